--- a/tests/regions_cluster_test.cpp
+++ b/tests/regions_cluster_test.cpp
@@ -2,85 +2,13 @@
 // that share the teams' limits.
 #include <gtest/gtest.h>
 
-#include <deque>
 #include <random>
 
-#include "regions/records.hpp"
-#include "test_cluster.hpp"
+#include "two_region_clusters.hpp"
 
 namespace cranklock::testing {
 namespace {
 
-using wire::Shape;
-
-constexpr double kLimit = 16;  // GPUs of each team, in fixtures.hpp
-
-class TwoRegionClusters {
- public:
-  TwoRegionClusters()
-      : east(3, {}, settings("east"), &east_), west(3, {}, settings("west"), &west_) {
-    for (auto* cluster : {&east, &west}) {
-      cluster->run_s = 1e6;
-      for (int i = 0; i < 3; ++i) cluster->add_worker();
-    }
-  }
-
-  void run(double seconds) {
-    constexpr double kStep = 0.02;
-    for (double passed = 0; passed < seconds; passed += kStep) {
-      east.run(kStep);
-      west.run(kStep);
-      for (; !frames_.empty(); frames_.pop_front()) {
-        const auto& [from, frame] = frames_.front();
-        if (!apart) (from == "east" ? west : east).heard_region(from, frame);
-      }
-      const auto used = [](TestCluster& cluster) {
-        double gpus = 0;
-        for (const auto& id : cluster.rules.accepted()) {
-          gpus += cluster.held(id) * cluster.rules.spec(id)->room.gpus;
-        }
-        return gpus;
-      };
-      EXPECT_LE(used(east) + used(west), kLimit);
-    }
-  }
-  static double held(TestCluster& cluster) {
-    const auto stored = cluster.state_service.values.find(regions::share_key("red"));
-    if (stored == cluster.state_service.values.end()) return 0;
-    const auto amounts = regions::read_share(stored->second.data);
-    return static_cast<double>((*amounts)[regions::Resource::gpus]) / regions::Amounts::kUnit;
-  }
-  static wire::JobSpec service(const std::string& id, std::uint32_t replicas) {
-    return make_job(id, Shape::service, replicas, 1).spec;
-  }
-
-  bool apart = false;
-
- private:
-  struct Network : regions::RegionNetwork {
-    Network(TwoRegionClusters& w, std::string n) : all(w), name(std::move(n)) {}
-    std::vector<std::string> reachable() const override {
-      const std::string other = name == "east" ? "west" : "east";
-      return all.apart ? std::vector<std::string>{} : std::vector<std::string>{other};
-    }
-    void send(const std::string&, const regions::RegionFrame& frame) override {
-      all.frames_.emplace_back(name, frame);
-    }
-    TwoRegionClusters& all;
-    std::string name;
-  };
-  static base::Settings settings(const std::string& self) {
-    base::Settings settings = small_settings();
-    settings.operators.regions = {self, "east", {{"east", 0.5, {}}, {"west", 0.5, {}}}};
-    return settings;
-  }
-  std::deque<std::pair<std::string, regions::RegionFrame>> frames_;
-  Network east_{*this, "east"}, west_{*this, "west"};
-
- public:
-  TestCluster east, west;
-};
-
 TEST(RegionClusters, WorkBeyondARegionsShareRunsOnWhatTheOtherHasUnused) {
   TwoRegionClusters all;
   all.run(4);
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -27,12 +27,23 @@
   int node;
   NodeTransport(TestCluster& w, int n) : cluster(w), node(n) {}
   net::Task<Reply> call(std::string address, Request request, double timeout_s) override {
+    TrafficEvent event;
+    event.node = node;
+    const std::string to = address, method = request.method, path = request.path,
+                      query = request.query;
+    event.address = to, event.method = method, event.path = path, event.query = query;
+    event.body = request.body;
+    cluster.observe(event);
     auto calling = cluster.call(node, std::move(address), std::move(request), timeout_s);
     auto reply = co_await calling;
     while (cluster.stands_still(node)) {
       Sleep pause(cluster.reactor, kLook);
       co_await pause;
     }
+    event.kind = TrafficEvent::Kind::reply;
+    event.response = reply.answered() ? &reply.response : nullptr;
+    event.body = reply.answered() ? std::string_view(reply.response.body) : std::string_view();
+    cluster.observe(event);
     co_return reply;
   }
 };
@@ -196,6 +207,11 @@
 }
 
 net::Task<void> TestCluster::deliver(int from, int to, peer::Frame frame) {
+  const std::string packed = peer::pack(frame), receiver = "n" + std::to_string(to);
+  TrafficEvent event;
+  event.kind = TrafficEvent::Kind::peer_frame;
+  event.node = from, event.address = receiver, event.body = packed;
+  observe(event);
   Sleep there(reactor, kWay);
   co_await there;
   while (stands_still(to)) {
@@ -210,11 +226,42 @@
 }
 
 void TestCluster::heard_region(const std::string& region, const regions::RegionFrame& frame) {
+  const std::string packed = regions::pack(frame);
+  TrafficEvent event;
+  event.kind = TrafficEvent::Kind::region_frame;
+  event.address = region, event.body = packed;
   for (const auto& host : hosts_) {
-    if (host) host->node.heard_region(region, frame);
+    if (host) {
+      event.node = static_cast<int>(&host - hosts_.data());
+      observe(event);
+      host->node.heard_region(region, frame);
+    }
   }
 }
 
+void TestCluster::observe(TrafficEvent event) const {
+  if (!on_traffic) return;
+  event.at_s = reactor.now();
+  event.region = base_settings.operators.regions.self;
+  on_traffic(event);
+}
+
+net::Task<Response> TestCluster::handle(int node, Request request) {
+  TrafficEvent event;
+  event.kind = TrafficEvent::Kind::public_request;
+  event.node = node;
+  const std::string method = request.method, path = request.path, query = request.query;
+  event.method = method, event.path = path, event.query = query;
+  event.body = request.body;
+  observe(event);
+  auto handling = hosts_[static_cast<std::size_t>(node)]->node.handle(std::move(request));
+  auto response = co_await handling;
+  event.kind = TrafficEvent::Kind::public_answer;
+  event.response = &response, event.body = response.body;
+  observe(event);
+  co_return response;
+}
+
 void TestCluster::crash_node(int i) {
   hosts_[static_cast<std::size_t>(i)].reset();
 }
@@ -248,7 +295,7 @@
 Response TestCluster::ask(int node, const std::string& method, const std::string& path,
                           const std::string& body) {
   const auto question = rules.ask(method, path, body);
-  auto task = hosts_[static_cast<std::size_t>(node)]->node.handle({method, path, "", body, true});
+  auto task = handle(node, {method, path, "", body, true});
   task.start();
   for (int i = 0; i < 1000 && !task.done(); ++i) run(0.01);
   EXPECT_TRUE(task.done()) << "an answer was held back";
@@ -388,7 +435,7 @@
 }
 
 net::Task<void> TestCluster::serve(int node, Request request, std::shared_ptr<Exchange> exchange) {
-  auto handling = hosts_[static_cast<std::size_t>(node)]->node.handle(std::move(request));
+  auto handling = handle(node, std::move(request));
   auto response = co_await handling;
   exchange->response = std::move(response);
   exchange->answered.set();
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -11,6 +11,7 @@
 #include <random>
 #include <set>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "control/node.hpp"
@@ -75,8 +76,34 @@
   bool looks = false;
 };
 
+/// A message that a node sends or is answered with, as the node sees it. The views hold only during
+/// the call that passes the event on.
+struct TrafficEvent {
+  enum class Kind {
+    request,         ///< the node asks the state service, the cloud, a worker or the router
+    reply,           ///< what came of that
+    public_request,  ///< a user's request or a worker's report, which the node takes up
+    public_answer,   ///< what the node answers to it
+    peer_frame,      ///< the node sends to another of its region
+    region_frame     ///< the node hears from another region's leader
+  };
+  Kind kind = Kind::request;
+  double at_s = 0;          ///< simulated time
+  std::string_view region;  ///< of the node; empty where regions share no limits
+  int node = 0;
+  std::string_view address;              ///< the other side; empty: a user or a worker that asks
+  std::string_view method, path, query;  ///< of what is asked or answered
+  /// Of a reply or an answer; nothing for a request, a frame, or a reply that never came.
+  const net::Response* response = nullptr;
+  std::string_view body;  ///< of a request or an answer; the packed bytes of a frame
+};
+
 class TestCluster {
  public:
+  /// Called with the traffic of every cluster in the process. Clusters send as soon as they are
+  /// made, so it is set before and not for a single one.
+  static inline std::function<void(const TrafficEvent&)> on_traffic;
+
   /// Nodes are told apart by zones only when these are given, one each; then they are linked too.
   explicit TestCluster(int nodes = 3, std::vector<std::string> zones = {},
                        base::Settings settings = small_settings(),
@@ -202,6 +229,8 @@
   int calls_under_way = 0, most_calls_under_way = 0;  ///< to workers, from all nodes
   std::map<std::string, int> starts;                  ///< by task
 
+  /// Passes an event of one of its nodes to `on_traffic`, with its time and region filled in.
+  void observe(TrafficEvent event) const;
   net::Task<net::Reply> call(int node, std::string address, net::Request request, double timeout_s);
   /// A request to a node's public address that outlives the node; nothing if it is not answered.
   net::Task<std::optional<net::Response>> exchange(int node, net::Request request,
@@ -231,6 +260,7 @@
   bool connect(Worker& w, int node);
   /// What the node does with the connection after an answer.
   void keep_or_close(Worker& w, int node, bool answered);
+  net::Task<net::Response> handle(int node, net::Request request);
   net::Task<void> serve(int node, net::Request request, std::shared_ptr<Exchange> exchange);
   net::Task<void> serve_when_awake(int node, net::Request request,
                                    std::shared_ptr<Exchange> exchange);
--- /dev/null
+++ b/tests/traffic_digest.cpp
@@ -0,0 +1,495 @@
+// A digest of all that controllers send and are answered in fixed scenarios of the in-memory
+// cluster. Two versions whose lines agree have sent the same bytes at the same simulated times, as
+// a change that only renames or moves code has to. Not part of the tests:
+//   cmake -S . -B target-bench -DCRANKLOCK_TESTS=ON -DCRANKLOCK_TRAFFIC_DIGEST=ON
+//   cmake --build target-bench --target traffic_digest && target-bench/tests/traffic_digest
+// One line per scenario and seed: name, seed, messages, hash. With an argument, only scenarios
+// whose names contain it are played.
+#include <gtest/gtest.h>
+#include <spdlog/spdlog.h>
+
+#include <cinttypes>
+#include <cmath>
+#include <cstdio>
+
+#include "fragments.hpp"
+#include "router_stand_in.hpp"
+#include "test_cluster.hpp"
+#include "two_region_clusters.hpp"
+
+namespace cranklock::testing {
+namespace {
+
+using wire::Shape;
+
+/// The 64-bit hash FNV-1a of all fields added so far, each led by its length, so that the bounds
+/// between fields count too.
+class FowlerNollVoHash {
+ public:
+  void add(std::uint64_t number) {
+    for (int byte = 0; byte < 8; ++byte) add_byte(static_cast<std::uint8_t>(number >> (8 * byte)));
+  }
+  void add(std::string_view text) {
+    add(std::uint64_t{text.size()});
+    for (const char c : text) add_byte(static_cast<std::uint8_t>(c));
+  }
+  std::uint64_t value() const { return value_; }
+
+ private:
+  void add_byte(std::uint8_t byte) {
+    constexpr std::uint64_t kPrime = 0x100000001b3;
+    value_ = (value_ ^ byte) * kPrime;
+  }
+  std::uint64_t value_ = 0xcbf29ce484222325;  // the offset basis that FNV-1a prescribes
+};
+
+class TrafficDigest {
+ public:
+  void add(const TrafficEvent& event) {
+    constexpr double kMicroseconds = 1e6;
+    ++messages_;
+    hash_.add(static_cast<std::uint64_t>(event.kind));
+    hash_.add(static_cast<std::uint64_t>(std::llround(event.at_s * kMicroseconds)));
+    hash_.add(event.region);
+    hash_.add(static_cast<std::uint64_t>(event.node));
+    for (const auto text : {event.address, event.method, event.path, event.query, event.body}) {
+      hash_.add(text);
+    }
+    hash_.add(std::uint64_t{event.response != nullptr});
+    if (event.response == nullptr) return;
+    hash_.add(static_cast<std::uint64_t>(event.response->status));
+    hash_.add(event.response->allow);
+    hash_.add(static_cast<std::uint64_t>(event.response->retry_after_s));
+    hash_.add(std::uint64_t{event.response->keep_alive});
+  }
+  std::uint64_t messages() const { return messages_; }
+  std::uint64_t hash() const { return hash_.value(); }
+
+ private:
+  std::uint64_t messages_ = 0;
+  FowlerNollVoHash hash_;
+};
+
+/// Makes runs of one scenario differ by seed: in when workers report and how long the state service
+/// takes, and in all that a scenario leaves to chance.
+void vary(TestCluster& cluster, unsigned seed) {
+  cluster.random.seed(seed);
+  cluster.report_spread = 0.2;
+  cluster.state_slow_s = 0.02;
+}
+
+wire::JobSpec job(int number, std::uint32_t tasks, Shape shape = Shape::array, double gpus = 4,
+                  const std::string& team = "red") {
+  return make_job(name(number), shape, tasks, gpus, team).spec;
+}
+
+/// The node that led, or -1 and a failure where none did.
+int crash_leader(TestCluster& cluster) {
+  const int leader = cluster.leader();
+  EXPECT_GE(leader, 0);
+  if (leader >= 0) cluster.crash_node(leader);
+  return leader;
+}
+
+/// Four array jobs and a service, from both teams.
+void add_usual_users(TestCluster& cluster) {
+  for (int i = 0; i < 4; ++i) {
+    cluster.add_user(job(i, 2, Shape::array, 2, i % 2 == 0 ? "red" : "blue"));
+  }
+  UserHabits cancels;
+  cancels.cancels_after = 40;
+  cluster.add_user(job(4, 2, Shape::service, 1), cancels);
+}
+
+// ---- controllers that fail ----
+
+void play_leader_crash(unsigned seed) {
+  TestCluster cluster(3, {"a", "a", "b"});
+  vary(cluster, seed);
+  cluster.run_s = 12;
+  cluster.run(1);
+  add_usual_users(cluster);
+  cluster.run(10 + seed);
+  const int old = crash_leader(cluster);
+  cluster.run(6);
+  if (old >= 0) cluster.start_node(old);
+  cluster.run(12);
+  for (int node = 0; node < cluster.nodes(); ++node) cluster.crash_node(node);
+  cluster.run(2);
+  for (int node = 0; node < cluster.nodes(); ++node) cluster.start_node(node);
+  cluster.run(40);
+}
+
+void play_paused_leader(unsigned seed) {
+  TestCluster cluster(3, {"a", "a", "b"});
+  vary(cluster, seed);
+  cluster.run_s = 30;
+  cluster.run(1);
+  add_usual_users(cluster);
+  cluster.run(12 + 0.3 * seed);
+  const int old = cluster.leader();
+  ASSERT_GE(old, 0);
+  cluster.stop_node(old);
+  cluster.run(25);
+  cluster.wake_node(old);
+  cluster.run(30);
+}
+
+// ---- networks and the state service ----
+
+void play_zone_cut(unsigned seed) {
+  TestCluster cluster(3, {"a", "a", "b"});
+  vary(cluster, seed);
+  cluster.run_s = 1000;
+  cluster.run(1);
+  UserHabits cancels;
+  cancels.cancels_after = 50;
+  for (int i = 0; i < 2; ++i) {
+    auto in_zone = job(i, 2, Shape::service, 2);
+    in_zone.zone = "b";
+    cluster.add_user(in_zone, i == 0 ? cancels : UserHabits{});
+  }
+  auto spread = job(2, 4, Shape::service, 1, "blue");
+  spread.spread = true;
+  cluster.add_user(spread);
+  cluster.run(25);
+  cluster.cut_zones = {"b"};
+  cluster.run(10 + 25 * seed);
+  cluster.cut_zones.clear();
+  cluster.cut_from_workers = {cluster.leader()};
+  cluster.run(15);
+  cluster.cut_from_workers.clear();
+  cluster.run(20);
+}
+
+void play_state_outage(unsigned seed) {
+  TestCluster cluster(3, {"a", "a", "a"});
+  vary(cluster, seed);
+  cluster.run_s = 20;
+  cluster.run(1);
+  add_usual_users(cluster);
+  cluster.run(12);
+  cluster.refused_by_state = {cluster.leader()};
+  cluster.run(8);
+  cluster.refused_by_state.clear();
+  cluster.run(3);
+  cluster.state_down = true;
+  cluster.run(15);
+  cluster.state_down = false;
+  cluster.run(5);
+  if (cluster.leader() >= 0) cluster.cut_from_state = {cluster.leader()};
+  cluster.run(12);
+  cluster.cut_from_state.clear();
+  cluster.run(40);
+}
+
+void play_late_messages(unsigned seed) {
+  TestCluster cluster;
+  vary(cluster, seed);
+  cluster.keeps_reports = true;
+  cluster.kept_s = 1;
+  cluster.state_service.limits_writes = true;
+  cluster.run(1);
+  cluster.late_reports = 0.4;
+  cluster.late_txns = 0.3;
+  cluster.lost_txns = 0.2;
+  for (int i = 0; i < 8; ++i) {
+    UserHabits habits;
+    if (i % 3 == 0) habits.cancels_after = 2.0 * i;
+    habits.cancels_at_end = i % 3 == 1;
+    cluster.add_user(job(i, 1 + i % 2, Shape::array, 2), habits);
+    cluster.run(0.5);
+  }
+  cluster.run(20);
+  crash_leader(cluster);
+  cluster.run(20);
+  cluster.late_reports = cluster.late_txns = cluster.lost_txns = 0;
+  for (int node = 0; node < cluster.nodes(); ++node) {
+    if (!cluster.is_up(node)) cluster.start_node(node);
+  }
+  cluster.run(40);
+}
+
+// ---- machines and the cloud ----
+
+/// The cloud takes two of six spot machines after a notice, and one without.
+void play_spot_wave(unsigned seed) {
+  TestCluster cluster(3, {"a", "a", "b"}, settings_with_moves());
+  vary(cluster, seed);
+  cluster.run_s = 25;
+  cluster.cloud_full = true;
+  for (int i = 0; i < 8; ++i) {
+    cluster.add_worker(i % 2 == 0 ? "a" : "b");
+    cluster.workers.at("n-" + std::to_string(i + 1))->kind.spot = i < 6;
+  }
+  cluster.run(3);
+  for (int i = 0; i < 6; ++i) {
+    auto batch = job(i, 3, Shape::array, 2, i % 2 == 0 ? "red" : "blue");
+    batch.spot = true;
+    batch.checkpoint_s = 5;
+    batch.save_s = 2;
+    cluster.add_user(batch);
+  }
+  cluster.run(8);
+  cluster.workers.at("n-1")->notice_s = cluster.workers.at("n-2")->notice_s = 10;
+  cluster.run(9 + 0.5 * seed);
+  for (const char* taken : {"n-1", "n-2", "n-3"}) {
+    auto& worker = *cluster.workers.at(taken);
+    worker.gone = worker.hangs = true;
+    worker.tasks.clear();
+  }
+  cluster.run(80);
+  EXPECT_EQ(cluster.rules.accepted().size(), 6U);
+}
+
+void play_faults(unsigned seed) {
+  TestCluster cluster;
+  vary(cluster, seed);
+  cluster.faulty_machines = {"n-1"};
+  cluster.broken_jobs = {name(1)};
+  for (int i = 0; i < 2; ++i) cluster.add_worker();
+  cluster.run(2);
+  for (int i = 0; i < 4; ++i) {
+    UserHabits habits;
+    if (i == 1) habits.cancels_after = 50;
+    cluster.add_user(job(i, 2, Shape::array, 4, i % 2 == 0 ? "red" : "blue"), habits);
+  }
+  cluster.run(20);
+  auto& machine = *cluster.workers.at("n-2");
+  machine.hangs = true;
+  cluster.run(4 + 5 * seed);
+  cluster.wake(machine);
+  machine.commands_late_s = 3;
+  cluster.run(10);
+  machine.commands_late_s = 0;
+  machine.cannot_receive = true;
+  cluster.run(15);
+  machine.cannot_receive = false;
+  cluster.run(30);
+}
+
+void play_cloud_trouble(unsigned seed) {
+  TestCluster cluster(3, {}, settings_with_moves());
+  vary(cluster, seed);
+  cluster.run_s = 20;
+  cluster.boot_s = 30;
+  cluster.unlisted_s = 5;
+  cluster.barren_zones = {"b"};
+  cluster.swallow_rental_answers = static_cast<int>(seed);
+  cluster.run(1);
+  for (int i = 0; i < 6; ++i) {
+    auto wanted = job(i, 4, Shape::array, 4);
+    wanted.spread = i % 2 == 0;
+    if (i == 5) wanted.zone = "a";
+    cluster.add_user(wanted, i % 2 == 0 ? UserHabits{60.0 + i, false, false} : UserHabits{});
+    cluster.run(2);
+  }
+  cluster.run(20);
+  cluster.cloud_down = true;
+  cluster.run(10);
+  cluster.cloud_down = false;
+  cluster.run(200);
+}
+
+// ---- users and jobs ----
+
+void play_pipeline(unsigned seed) {
+  auto settings = small_settings();
+  settings.txn_ops = 4;
+  settings.state_write_rps = 21;
+  TestCluster cluster(3, {}, settings);
+  vary(cluster, seed);
+  cluster.state_service.limits_writes = true;
+  cluster.run_s = 6;
+  cluster.run(8);
+  for (int i = 0; i < 14; ++i) {
+    auto stage = job(i, 1, Shape::array, 2);
+    if (i > 0) stage.needs.push_back(name((i - 1) / 2));
+    if (i > 4) stage.needs.push_back(name(i - 2));
+    UserHabits habits;
+    if (i == 5) habits.cancels_after = 14.0 + seed;
+    cluster.add_user(stage, habits);
+    cluster.run(0.4);
+  }
+  cluster.run(90);
+}
+
+void play_read_storm(unsigned seed) {
+  TestCluster cluster(3, {"a", "a", "b"});
+  vary(cluster, seed);
+  cluster.run(1);
+  for (int i = 0; i < 12; ++i) {
+    UserHabits looks;
+    looks.looks = true;
+    cluster.add_user(job(i, 1, Shape::array, 2, i % 2 == 0 ? "red" : "blue"), looks);
+  }
+  std::vector<net::Task<std::optional<net::Response>>> questions;
+  for (int round = 0; round < 60; ++round) {
+    for (int i = 0; i < 20; ++i) {
+      const auto id = name(static_cast<int>(20 * cluster.chance()));  // some are unknown
+      questions.push_back(cluster.user_asks(cluster.any_node(), "GET", "/v1/jobs/" + id, ""));
+      questions.back().start();
+    }
+    if (round == 30) crash_leader(cluster);
+    cluster.run(0.25);
+  }
+  cluster.run(20);
+}
+
+/// Two machines are full of arrays of the lowest rank when a gang of the highest needs both.
+void play_gang_preemption(unsigned seed) {
+  TestCluster cluster(3, {"a", "a", "a"}, settings_with_moves());
+  vary(cluster, seed);
+  cluster.run_s = 25;
+  cluster.cloud_full = true;
+  for (int i = 0; i < 2; ++i) cluster.add_worker();
+  cluster.run(3);
+  for (int i = 0; i < 3; ++i) {
+    auto low = job(i, 2, Shape::array, i == 0 ? 4 : 2, i == 2 ? "blue" : "red");
+    low.rank = wire::Rank::best_effort;
+    low.checkpoint_s = 5;
+    low.save_s = 1;
+    cluster.add_user(low);
+  }
+  cluster.run(14 + 0.5 * seed);
+  auto urgent = job(3, 2, Shape::gang, 8);
+  urgent.rank = wire::Rank::production;
+  cluster.add_user(urgent);
+  cluster.add_user(job(4, 3, Shape::gang, 2, "blue"));
+  cluster.run(15);
+  // A gang that loses a machine is stopped whole.
+  auto& machine = *cluster.workers.at("n-1");
+  machine.hangs = true;
+  cluster.run(15);
+  cluster.wake(machine);
+  cluster.run(120);
+  EXPECT_GT(cluster.starts[name(0) + "/0"], 1);  // stopped for the urgent gang
+  EXPECT_GT(cluster.starts[name(3) + "/0"], 1);
+}
+
+// ---- moves ----
+
+void play_moves(unsigned seed) {
+  Fragments fragments;
+  auto& cluster = fragments.w;
+  vary(cluster, seed);
+  cluster.state_slow_s = 0.1;  // so that each step takes its time
+  EXPECT_TRUE(fragments.run_into_plan(0.4 * seed));
+  const int old = crash_leader(cluster);
+  fragments.run(5);
+  if (old >= 0) cluster.start_node(old);
+  EXPECT_TRUE(fragments.recovers());
+  fragments.run(10);
+}
+
+/// Replicas move behind a router, and each has chats whose requests stay open for a while.
+void play_replica_moves(unsigned seed) {
+  auto settings = settings_with_moves();
+  settings.operators.defrag.drain = {"router", "/drains"};
+  Fragments fragments(settings, 3, make_job(kSmall, Shape::service, 4, 3).spec);
+  auto& cluster = fragments.w;
+  vary(cluster, seed);
+  constexpr int kChats = 12, kMostChats = 20;
+  RouterStandIn router{kMostChats};
+  const auto look = [&] {
+    std::vector<RouterStandIn::Replica> replicas;
+    for (const auto& [id, worker] : cluster.workers) {
+      for (const auto& [task_name, task] : worker->tasks) {
+        const auto parsed = *wire::parse_task(task_name);
+        const bool serves = parsed.job == kSmall && task.state == wire::TaskState::running;
+        if (serves) replicas.push_back({parsed, task.attempt, id, worker->address});
+      }
+    }
+    router.set_replicas(std::move(replicas), cluster.reactor.now());
+  };
+  cluster.router = [&](const net::Request& request) -> std::optional<net::Response> {
+    look();
+    return router.handle(request, cluster.reactor.now());
+  };
+  fragments.run(1);
+  fragments.ask_for_large();
+  for (int round = 0; round < 200; ++round) {
+    look();
+    for (int chat = round % 2; chat < kChats; chat += 2) {
+      router.end_request(chat);
+      if (round % 7 == 0) router.end_chat(chat);
+      router.begin_request(chat, kSmall, cluster.reactor.now());
+    }
+    fragments.run(0.5);
+  }
+  EXPECT_TRUE(fragments.large_runs());
+}
+
+// ---- regions ----
+
+void play_shared_limits(unsigned seed) {
+  TwoRegionClusters regions;
+  vary(regions.east, seed);
+  vary(regions.west, seed);
+  regions.run(4);
+  regions.west.add_user(job(0, 13, Shape::service, 1));
+  regions.run(3 + 0.1 * seed);
+  crash_leader(regions.east);
+  regions.run(0.3);
+  crash_leader(regions.west);
+  regions.run(15);
+  UserHabits cancels;
+  cancels.cancels_after = 10;
+  regions.east.add_user(job(1, 3, Shape::service, 1), cancels);
+  regions.run(15);
+}
+
+struct Scenario {
+  const char* name;
+  void (*play)(unsigned seed);
+};
+constexpr Scenario kScenarios[] = {
+    {"leader crash", play_leader_crash},
+    {"paused leader", play_paused_leader},
+    {"zone cut", play_zone_cut},
+    {"state outage", play_state_outage},
+    {"late messages", play_late_messages},
+    {"spot wave", play_spot_wave},
+    {"faulty jobs and machines", play_faults},
+    {"cloud trouble", play_cloud_trouble},
+    {"pipeline", play_pipeline},
+    {"read storm", play_read_storm},
+    {"gang preemption", play_gang_preemption},
+    {"moves", play_moves},
+    {"replica moves", play_replica_moves},
+    {"shared limits", play_shared_limits},
+};
+
+int print_digests(std::string_view wanted) {
+  std::uint64_t messages = 0;
+  FowlerNollVoHash total;
+  const auto print = [](const char* what, const std::string& seed, std::uint64_t count,
+                        std::uint64_t hash) {
+    std::printf("%-26s %4s %9" PRIu64 "  %016" PRIx64 "\n", what, seed.c_str(), count, hash);
+    std::fflush(stdout);
+  };
+  for (const auto& scenario : kScenarios) {
+    if (std::string_view(scenario.name).find(wanted) == std::string_view::npos) continue;
+    for (const unsigned seed : {1U, 2U}) {
+      TrafficDigest digest;
+      TestCluster::on_traffic = [&](const TrafficEvent& event) { digest.add(event); };
+      scenario.play(seed);
+      TestCluster::on_traffic = nullptr;
+      print(scenario.name, std::to_string(seed), digest.messages(), digest.hash());
+      messages += digest.messages();
+      total.add(digest.hash());
+    }
+  }
+  print("total", "", messages, total.value());
+  // A digest of runs that broke a rule or missed what they are about shows nothing.
+  return ::testing::UnitTest::GetInstance()->ad_hoc_test_result().Failed() ? 1 : 0;
+}
+
+}  // namespace
+}  // namespace cranklock::testing
+
+int main(int argc, char** argv) {
+  ::testing::InitGoogleTest(&argc, argv);
+  spdlog::set_level(spdlog::level::off);
+  return cranklock::testing::print_digests(argc > 1 ? argv[1] : "");
+}
