--- /dev/null
+++ b/tests/wire_compatibility_test.cpp
@@ -0,0 +1,571 @@
+// The protocol with users, workers, the cloud and the state service, as literal bytes. These tests
+// state what other programs send and expect: a rename inside of the program must leave them as they
+// are.
+#include <gtest/gtest.h>
+
+#include <ostream>
+
+#include "cloud/client.hpp"
+#include "complete_job.hpp"
+#include "store/client.hpp"
+#include "test_cluster.hpp"
+#include "wire/messages.hpp"
+
+namespace cranklock::testing {
+namespace {
+
+using Texts = std::vector<std::string>;
+
+std::string written(const wire::JobSpec& job) {
+  wire::JsonWriter writer;
+  wire::write_job(writer, job);
+  return writer.take();
+}
+
+std::variant<wire::JobSpec, std::string> parsed(const std::string& text) {
+  const wire::JsonDocument document(text);
+  return wire::parse_job(document.root());
+}
+
+std::string replaced(std::string text, const std::string& from, const std::string& to) {
+  const auto at = text.find(from);
+  EXPECT_NE(at, std::string::npos) << from;
+  return at == std::string::npos ? text : text.replace(at, from.size(), to);
+}
+
+// Users.
+
+TEST(UserProtocol, EveryFieldOfASubmittedJobIsRead) {
+  const auto job = parsed(kCompleteJob);
+  ASSERT_TRUE(std::holds_alternative<wire::JobSpec>(job)) << std::get<std::string>(job);
+  expect_complete_job(std::get<wire::JobSpec>(job));
+}
+
+TEST(UserProtocol, EveryFieldOfAJobIsWritten) {
+  EXPECT_EQ(written(complete_job()), kCompleteJob);
+}
+
+TEST(UserProtocol, OptionalFieldsOfAJobAreLeftOutWhereTheyAreNotSet) {
+  wire::JobSpec job = complete_job();
+  job.types.clear();
+  job.zone.clear();
+  job.due_s.reset();
+  job.needs.clear();
+  const std::string expected =
+      R"({"Id":"j-000412","Gear":"train","Crew":"red","Shape":"ensemble","Rank":"high",)"
+      R"("Teeth":16,"Cpus":8.5,"Accelerators":2.0,"MemGb":64.25,"Cast":"img-07","SizeGb":6.2,)"
+      R"("OneZone":true,"Apart":false,"Loaners":true,"ExpectS":240.0,"NotchS":30.5,"StowS":4.0})";
+  EXPECT_EQ(written(job), expected);
+  const auto read = std::get<wire::JobSpec>(parsed(expected));
+  EXPECT_TRUE(read.types.empty());
+  EXPECT_EQ(read.zone, "");
+  EXPECT_FALSE(read.due_s);
+  EXPECT_TRUE(read.needs.empty());
+}
+
+TEST(UserProtocol, EachFlagOfAJobHasItsOwnName) {
+  const std::string none = R"("OneZone":false,"Apart":false,"Loaners":false)";
+  const auto with_flags = [&](const std::string& flags) {
+    const std::string all = R"("OneZone":true,"Apart":false,"Loaners":true)";
+    return std::get<wire::JobSpec>(parsed(replaced(kCompleteJob, all, flags)));
+  };
+  EXPECT_FALSE(with_flags(none).one_zone || with_flags(none).spread || with_flags(none).spot);
+  EXPECT_TRUE(with_flags(R"("OneZone":true,"Apart":false,"Loaners":false)").one_zone);
+  EXPECT_TRUE(with_flags(R"("OneZone":false,"Apart":true,"Loaners":false)").spread);
+  EXPECT_TRUE(with_flags(R"("OneZone":false,"Apart":false,"Loaners":true)").spot);
+  wire::JobSpec spread = complete_job();
+  spread.one_zone = spread.spot = false;
+  spread.spread = true;
+  EXPECT_NE(written(spread).find(R"("OneZone":false,"Apart":true,"Loaners":false)"),
+            std::string::npos);
+}
+
+TEST(UserProtocol, EveryShapeAndRankHasItsNameInBothDirections) {
+  for (const auto& [shape, name] :
+       {std::pair{wire::Shape::array, "batch"}, std::pair{wire::Shape::gang, "ensemble"},
+        std::pair{wire::Shape::service, "standing"}}) {
+    wire::JobSpec job = complete_job();
+    job.shape = shape;
+    const auto text = replaced(kCompleteJob, R"("ensemble")", '"' + std::string(name) + '"');
+    EXPECT_EQ(written(job), text);
+    EXPECT_EQ(std::get<wire::JobSpec>(parsed(text)).shape, shape);
+  }
+  for (const auto& [rank, name] :
+       {std::pair{wire::Rank::production, "production"}, std::pair{wire::Rank::high, "high"},
+        std::pair{wire::Rank::standard, "standard"},
+        std::pair{wire::Rank::best_effort, "best_effort"}}) {
+    wire::JobSpec job = complete_job();
+    job.rank = rank;
+    const auto text = replaced(kCompleteJob, R"("high")", '"' + std::string(name) + '"');
+    EXPECT_EQ(written(job), text);
+    EXPECT_EQ(std::get<wire::JobSpec>(parsed(text)).rank, rank);
+  }
+}
+
+TEST(UserProtocol, EachMalformedFieldOfAJobHasItsMessage) {
+  struct Case {
+    const char *from, *to, *message;
+  };
+  for (const auto& [from, to, message] : {
+           Case{R"("j-000412")", R"("x-1")", "Id: expected a job id"},
+           Case{R"("train")", R"("")", "Gear: expected a class"},
+           Case{R"("red")", R"("")", "Crew: expected a team"},
+           Case{R"("ensemble")", "1", "Shape: expected batch, ensemble or standing"},
+           Case{R"("high")", "1", "Rank: expected production, high, standard or best_effort"},
+           Case{":16", ":0", "Teeth: expected 1 to 100000"},
+           Case{R"("img-07")", R"("")", "Cast: expected an image"},
+           Case{"8.5", "-1", "Cpus: expected a number of at least 0"},
+           Case{R"("Accelerators":2.0)", R"("Accelerators":-1)",
+                "Accelerators: expected a number of at least 0"},
+           Case{"64.25", "-1", "MemGb: expected a number of at least 0"},
+           Case{"6.2", "-1", "SizeGb: expected a number of at least 0"},
+           Case{"240.0", "-1", "ExpectS: expected a number of at least 0"},
+           Case{"30.5", "-1", "NotchS: expected a number of at least 0"},
+           Case{R"("StowS":4.0)", R"("StowS":-1)", "StowS: expected a number of at least 0"},
+           Case{R"("OneZone":true)", R"("OneZone":1)", "OneZone: expected true or false"},
+           Case{R"("Apart":false)", R"("Apart":1)", "Apart: expected true or false"},
+           Case{R"("Loaners":true)", R"("Loaners":1)", "Loaners: expected true or false"},
+           Case{R"(["g8","g4"])", "1", "Frames: expected a list of machine types"},
+           Case{R"("Yard":"a")", R"("Yard":"")", "Yard: expected a zone"},
+           Case{"900.0", "-1", "DueS: expected a number of at least 0"},
+           Case{R"(["j-1","j-22"])", "1", "WaitsOn: expected a list of at most 256 job ids"},
+       }) {
+    const auto result = parsed(replaced(kCompleteJob, from, to));
+    ASSERT_TRUE(std::holds_alternative<std::string>(result)) << message;
+    EXPECT_EQ(std::get<std::string>(result), message);
+  }
+}
+
+TEST(UserProtocol, AnswersNameEveryStateOfAJob) {
+  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::queued), R"({"Id":"j-1","Stance":"queued"})");
+  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::running), R"({"Id":"j-1","Stance":"running"})");
+  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::done), R"({"Id":"j-1","Stance":"done"})");
+  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::withdrawn),
+            R"({"Id":"j-1","Stance":"withdrawn"})");
+  EXPECT_EQ(wire::job_status("j-1", wire::JobState::running, 3, 5),
+            R"({"Id":"j-1","Stance":"running","done":3,"running":5})");
+}
+
+TEST(UserProtocol, AnErrorIsAnsweredWithItsReason) {
+  EXPECT_EQ(wire::error_answer("unknown \"team\""), R"({"error":"unknown \"team\""})");
+}
+
+// Workers.
+
+TEST(WorkerProtocol, EveryFieldOfAReportIsRead) {
+  const auto report = wire::parse_report(
+      R"({"Rig":"n-000007","Address":"10.1.0.7:9000","Frame":"g8","Yard":"b","Loaners":true,)"
+      R"("Shift":11,"Tick":12,"KeyTurn":13,"WarningS":29.5,"Teeth":[)"
+      R"({"Tooth":"j-000412/3","Crank":14,"Stance":"exited","Cause":"halted","Kept":true}]})");
+  ASSERT_TRUE(report);
+  EXPECT_EQ(report->machine, "n-000007");
+  EXPECT_EQ(report->address, "10.1.0.7:9000");
+  EXPECT_EQ(report->type, "g8");
+  EXPECT_EQ(report->zone, "b");
+  EXPECT_TRUE(report->spot);
+  EXPECT_EQ(report->session, 11U);
+  EXPECT_EQ(report->tick, 12U);
+  EXPECT_EQ(report->token, 13U);
+  EXPECT_EQ(report->notice_s, 29.5);
+  ASSERT_EQ(report->tasks.size(), 1U);
+  EXPECT_EQ(report->tasks[0].task, (wire::TaskName{"j-000412", 3}));
+  EXPECT_EQ(report->tasks[0].attempt, 14U);
+  EXPECT_EQ(report->tasks[0].state, wire::TaskState::exited);
+  EXPECT_EQ(report->tasks[0].cause, wire::Cause::stopped);
+  EXPECT_TRUE(report->tasks[0].saved);
+}
+
+TEST(WorkerProtocol, AReportMayLeaveOutItsNoticeAndItsTasks) {
+  const auto report = wire::parse_report(
+      R"({"Rig":"n-1","Address":"","Frame":"g8","Yard":"b","Loaners":false,"Shift":1,"Tick":2,)"
+      R"("KeyTurn":0})");
+  ASSERT_TRUE(report);
+  EXPECT_FALSE(report->spot);
+  EXPECT_FALSE(report->notice_s);
+  EXPECT_TRUE(report->tasks.empty());
+}
+
+/// The only task of a report that says this of its state.
+wire::TaskReport reported(const std::string& state) {
+  const auto report = wire::parse_report(
+      R"({"Rig":"n-1","Address":"a","Frame":"g","Yard":"z","Loaners":false,"Shift":1,"Tick":1,)"
+      R"("KeyTurn":1,"Teeth":[{"Tooth":"j-1/0","Crank":1,)" +
+      state + "}]}");
+  EXPECT_TRUE(report) << state;
+  return report ? report->tasks.at(0) : wire::TaskReport{};
+}
+
+TEST(WorkerProtocol, EveryStateOfATaskIsRead) {
+  EXPECT_EQ(reported(R"("Stance":"fetching")").state, wire::TaskState::fetching);
+  EXPECT_EQ(reported(R"("Stance":"waiting")").state, wire::TaskState::waiting);
+  EXPECT_EQ(reported(R"("Stance":"running")").state, wire::TaskState::running);
+  EXPECT_EQ(reported(R"("Stance":"flushing")").state, wire::TaskState::saving);
+  EXPECT_EQ(reported(R"("Stance":"exited","Cause":"done")").state, wire::TaskState::exited);
+  EXPECT_EQ(reported(R"("Stance":"running")").cause, wire::Cause::none);
+  EXPECT_FALSE(reported(R"("Stance":"running")").saved);
+}
+
+TEST(WorkerProtocol, EveryCauseOfAnExitIsRead) {
+  for (const auto& [name, cause] :
+       {std::pair{"done", wire::Cause::done}, std::pair{"halted", wire::Cause::stopped},
+        std::pair{"peers", wire::Cause::peers}, std::pair{"incomplete", wire::Cause::alone},
+        std::pair{"error", wire::Cause::error}, std::pair{"no_room", wire::Cause::no_room},
+        std::pair{"busy", wire::Cause::busy}, std::pair{"no_such", wire::Cause::unknown}}) {
+    EXPECT_EQ(reported(R"("Stance":"exited","Cause":")" + std::string(name) + '"').cause, cause)
+        << name;
+  }
+}
+
+TEST(WorkerProtocol, OrdersAreWrittenInAnswersAndInCommands) {
+  const std::vector<wire::Order> orders = {{wire::Verb::start, {"j-000412", 3}, 14, 0},
+                                           {wire::Verb::stop, {"j-000413", 0}, 15, 2.5},
+                                           {wire::Verb::forget, {"j-000414", 7}, 16, 0}};
+  const std::string list = R"("Orders":[{"Verb":"start","Tooth":"j-000412/3","Crank":14},)"
+                           R"({"Verb":"kill","Tooth":"j-000413/0","Crank":15,"SlackS":2.5},)"
+                           R"({"Verb":"forget","Tooth":"j-000414/7","Crank":16}]})";
+  EXPECT_EQ(wire::orders_answer(41, orders), R"({"KeyTurn":41,)" + list);
+  EXPECT_EQ(wire::orders_command(41, 11, orders), R"({"KeyTurn":41,"Shift":11,)" + list);
+  EXPECT_EQ(wire::orders_answer(41, {}), R"({"KeyTurn":41,"Orders":[]})");
+}
+
+TEST(WorkerProtocol, AMisdirectedReportIsAnsweredWithTheLeaderIfThereIsOne) {
+  EXPECT_EQ(wire::misdirected_answer("n2"), R"({"Foreman":"n2"})");
+  EXPECT_EQ(wire::misdirected_answer(""), "{}");
+}
+
+TEST(WorkerProtocol, ATaskIsNamedByItsJobAndItsIndex) {
+  EXPECT_EQ(wire::to_string({"j-000412", 99999}), "j-000412/99999");
+  EXPECT_EQ(wire::parse_task("j-000412/99999"), (wire::TaskName{"j-000412", 99999}));
+  for (const char* malformed : {"j-000412", "j-000412/", "j-000412/x", "x-1/0", "j-1/0/1", ""}) {
+    EXPECT_FALSE(wire::parse_task(malformed)) << malformed;
+  }
+}
+
+// The cloud.
+
+TEST(CloudProtocol, EveryFieldOfAMachineTypeIsReadAndWritten) {
+  const std::string text =
+      R"({"Frames":[{"Label":"g8","Cpus":96.0,"Accelerators":8.0,"MemGb":768.5,"CacheGb":200.0,)"
+      R"("PullGbPerS":5.5,"Price":12.25,"SpotPrice":4.75,"ReadyS":45.0,"Yards":["a","b"]}]})";
+  const auto types = wire::parse_machine_types(text);
+  ASSERT_TRUE(types);
+  ASSERT_EQ(types->size(), 1U);
+  const wire::MachineType& type = types->front();
+  EXPECT_EQ(type.name, "g8");
+  EXPECT_EQ(type.room, (wire::Room{96, 8, 768.5}));
+  EXPECT_EQ(type.cache_gb, 200);
+  EXPECT_EQ(type.fetch_gb_per_s, 5.5);
+  EXPECT_EQ(type.price, 12.25);
+  EXPECT_EQ(type.spot_price, 4.75);
+  EXPECT_EQ(type.ready_s, 45);
+  EXPECT_EQ(type.zones, (Texts{"a", "b"}));
+  wire::MachineType copy;
+  copy.name = "g8";
+  copy.room = {96, 8, 768.5};
+  copy.cache_gb = 200;
+  copy.fetch_gb_per_s = 5.5;
+  copy.price = 12.25;
+  copy.spot_price = 4.75;
+  copy.ready_s = 45;
+  copy.zones = {"a", "b"};
+  wire::JsonWriter writer;
+  wire::write_machine_types(writer, {copy});
+  EXPECT_EQ(writer.take(), text);
+}
+
+TEST(CloudProtocol, MachinesAreRentedWithEveryField) {
+  EXPECT_EQ(wire::rental_request({"r-7", "g8", "b", true, 3}),
+            R"({"Charter":"r-7","Frame":"g8","Yard":"b","Loaners":true,"Count":3})");
+  EXPECT_EQ(wire::parse_rented(R"({"Rigs":["n-1","n-2"]})"), (Texts{"n-1", "n-2"}));
+}
+
+TEST(CloudProtocol, MachinesAreGivenBackByTheirNames) {
+  EXPECT_EQ(wire::delete_request({"n-1", "n-2"}), R"({"Rigs":["n-1","n-2"]})");
+}
+
+TEST(CloudProtocol, EveryFieldAndStateOfListedMachinesIsRead) {
+  const auto page = wire::parse_machine_page(
+      R"({"Rigs":[{"Id":"n-1","Address":"10.1.0.1:9000","Frame":"g8","Yard":"b",)"
+      R"("Loaners":true,"Stance":"running","HeldS":12.5},)"
+      R"({"Id":"n-2","Frame":"g4","Yard":"a","Stance":"booting"},)"
+      R"({"Id":"n-3","Frame":"g4","Yard":"a","Stance":"failed"}],"HasNext":true})");
+  ASSERT_TRUE(page);
+  EXPECT_TRUE(page->more);
+  ASSERT_EQ(page->machines.size(), 3U);
+  const wire::ListedMachine& first = page->machines[0];
+  EXPECT_EQ(first.id, "n-1");
+  EXPECT_EQ(first.address, "10.1.0.1:9000");
+  EXPECT_EQ(first.type, "g8");
+  EXPECT_EQ(first.zone, "b");
+  EXPECT_TRUE(first.spot);
+  EXPECT_EQ(first.state, wire::MachineState::running);
+  EXPECT_EQ(first.age_s, 12.5);
+  const wire::ListedMachine& second = page->machines[1];
+  EXPECT_EQ(second.address, "");
+  EXPECT_FALSE(second.spot);
+  EXPECT_EQ(second.state, wire::MachineState::booting);
+  EXPECT_EQ(second.age_s, 0);
+  EXPECT_EQ(page->machines[2].state, wire::MachineState::failed);
+  EXPECT_FALSE(wire::parse_machine_page(R"({"Rigs":[]})")->more);
+}
+
+TEST(CloudProtocol, PagesAreAskedForWithALimitAndAStart) {
+  EXPECT_EQ(wire::machine_page_query("", 500), "Most=500");
+  EXPECT_EQ(wire::machine_page_query("n-000007", 500), "Most=500&Since=n-000007");
+}
+
+// The state service.
+
+TEST(StateProtocol, ATransactionNamesItsConditionsWritesAndRemovals) {
+  EXPECT_EQ(wire::txn_request({{"leader", 7}, {"jobs/j-1", 0}}, {{"jobs/j-1", R"({"x":1})", 0},
+                                                                 {"leader", R"({"node":"n0"})", 9},
+                                                                 {"parts/j-1/1", "", 0}}),
+            R"({"If":[{"K":"leader","Mark":7},{"K":"jobs/j-1","Mark":0}],)"
+            R"("Then":[{"Write":"jobs/j-1","Data":{"x":1}},)"
+            R"({"Write":"leader","Data":{"node":"n0"},"Hold":9},{"Remove":"parts/j-1/1"}]})");
+}
+
+TEST(StateProtocol, AnswersOfTransactionsAreRead) {
+  const auto done = wire::parse_txn_answer(R"({"LedgerTurn":18})");
+  ASSERT_TRUE(done);
+  EXPECT_EQ(done->revision, 18U);
+  EXPECT_TRUE(done->failed.empty());
+  const auto failed = wire::parse_txn_answer(R"({"LedgerTurn":19,"failed":["leader","a"]})");
+  ASSERT_TRUE(failed);
+  EXPECT_EQ(failed->revision, 19U);
+  EXPECT_EQ(failed->failed, (Texts{"leader", "a"}));
+}
+
+TEST(StateProtocol, AStoredValueAndARevisionAreRead) {
+  const auto value = wire::parse_stored(R"({"K":"leader","Mark":17,"Data":{"node":"n0"}})");
+  ASSERT_TRUE(value);
+  EXPECT_EQ(value->key, "leader");
+  EXPECT_EQ(value->data, R"({"node":"n0"})");
+  EXPECT_EQ(value->revision, 17U);
+  EXPECT_EQ(wire::parse_revision(R"({"LedgerTurn":18})"), 18U);
+}
+
+TEST(StateProtocol, APageOfStoredValuesIsRead) {
+  const auto page = wire::parse_range(
+      R"({"Rows":[{"K":"jobs/j-1","Mark":17,"Data":{"n":1}},{"K":"jobs/j-2","Mark":16,)"
+      R"("Data":{"n":2}}],"HasNext":true,"LedgerTurn":18})");
+  ASSERT_TRUE(page);
+  EXPECT_TRUE(page->more);
+  EXPECT_EQ(page->revision, 18U);
+  ASSERT_EQ(page->items.size(), 2U);
+  EXPECT_EQ(page->items[0].key, "jobs/j-1");
+  EXPECT_EQ(page->items[0].data, R"({"n":1})");
+  EXPECT_EQ(page->items[0].revision, 17U);
+  EXPECT_EQ(page->items[1].key, "jobs/j-2");
+  EXPECT_EQ(page->items[1].revision, 16U);
+}
+
+TEST(StateProtocol, ChangesOfAWatchAreRead) {
+  const auto page =
+      wire::parse_watch(R"({"LedgerTurn":20,"News":[{"Write":"jobs/j-1","Mark":19,"Data":{"n":1}},)"
+                        R"({"Remove":"jobs/j-2","Mark":20}]})");
+  ASSERT_TRUE(page);
+  EXPECT_EQ(page->revision, 20U);
+  ASSERT_EQ(page->items.size(), 2U);
+  EXPECT_EQ(page->items[0].key, "jobs/j-1");
+  EXPECT_EQ(page->items[0].data, R"({"n":1})");
+  EXPECT_EQ(page->items[0].revision, 19U);
+  EXPECT_EQ(page->items[1].key, "jobs/j-2");
+  EXPECT_EQ(page->items[1].data, "");
+  EXPECT_EQ(page->items[1].revision, 20U);
+}
+
+TEST(StateProtocol, QueriesNameTheirPrefixStartLimitAndWait) {
+  EXPECT_EQ(wire::range_query("jobs/", "", 200), "Under=jobs/&Most=200");
+  EXPECT_EQ(wire::range_query("jobs/", "jobs/j-1", 200), "Under=jobs/&Most=200&Since=jobs/j-1");
+  EXPECT_EQ(wire::watch_query("jobs/", 18, 5000), "Under=jobs/&Since=18&HoldMs=5000");
+}
+
+TEST(StateProtocol, ALeaseIsRequestedWithItsLifeAndItsNumberIsRead) {
+  EXPECT_EQ(wire::lease_request(9500), R"({"LifeMs":9500})");
+  EXPECT_EQ(wire::parse_lease(R"({"Hold":77})"), 77U);
+}
+
+// Methods and paths of the requests that the clients send.
+
+/// Keeps each request as one line and answers them all with 503.
+struct RecordingTransport : net::Transport {
+  Texts requests;
+  std::string body;  ///< of the answers
+  net::Task<net::Reply> call(std::string address, net::Request request, double) override {
+    std::string line = address + " " + request.method + " " + request.path;
+    if (!request.query.empty()) line += "?" + request.query;
+    if (!request.body.empty()) line += " " + request.body;
+    requests.push_back(line);
+    net::Response response;
+    response.status = 503;
+    response.body = body;
+    co_return net::Reply{net::Reply::Kind::answered, response};
+  }
+};
+
+struct Clients {
+  FakeReactor reactor;
+  RecordingTransport transport;
+  base::Settings settings = small_settings();
+  std::optional<store::Client> store;
+  std::optional<cloud::Client> cloud;
+
+  Clients() {
+    settings.state = "state:1";
+    settings.cloud = "cloud:1";
+    store.emplace(reactor, transport, settings);
+    cloud.emplace(reactor, transport, settings);
+    reactor.run_until(100);
+  }
+  /// The request that the operation sends first.
+  template <typename Result>
+  std::string request_of(net::Task<Result> operation) {
+    transport.requests.clear();
+    operation.start();
+    reactor.run_until(reactor.now() + 10);
+    return transport.requests.empty() ? "" : transport.requests.front();
+  }
+};
+
+TEST(StateProtocol, EachOperationHasItsMethodAndPath) {
+  Clients c;
+  EXPECT_EQ(c.request_of(c.store->transact({}, {}, 1)), R"(state:1 POST /txn {"If":[],"Then":[]})");
+  EXPECT_EQ(c.request_of(c.store->read("jobs/j-1", 1)), "state:1 GET /store/jobs/j-1");
+  EXPECT_EQ(c.request_of(c.store->read_page("jobs/", "jobs/j-1", 7, 1)),
+            "state:1 GET /store?Under=jobs/&Most=7&Since=jobs/j-1");
+  EXPECT_EQ(c.request_of(c.store->read_all("jobs/", 1)), "state:1 GET /store?Under=jobs/&Most=200");
+  EXPECT_EQ(c.request_of(c.store->watch("jobs/", 18, 2.5)),
+            "state:1 GET /follow?Under=jobs/&Since=18&HoldMs=2500");
+  EXPECT_EQ(c.request_of(c.store->changes("jobs/", 18, 1)),
+            "state:1 GET /follow?Under=jobs/&Since=18&HoldMs=0");
+  EXPECT_EQ(c.request_of(c.store->grant_lease(9.5, 1)), R"(state:1 POST /leases {"LifeMs":9500})");
+  EXPECT_EQ(c.request_of(c.store->renew_lease(77, 1)), "state:1 POST /leases/77/renew {}");
+  EXPECT_EQ(c.request_of(c.store->drop_lease(77, 1)), "state:1 DELETE /leases/77");
+}
+
+TEST(CloudProtocol, EachOperationHasItsMethodAndPath) {
+  Clients c;
+  EXPECT_EQ(c.request_of(c.cloud->types()), "cloud:1 GET /machine_types");
+  EXPECT_EQ(c.request_of(c.cloud->rent({"r-7", "g8", "b", false, 1})),
+            "cloud:1 POST /rentals "
+            R"({"Charter":"r-7","Frame":"g8","Yard":"b","Loaners":false,"Count":1})");
+  EXPECT_EQ(c.request_of(c.cloud->remove({"n-1"})),
+            R"(cloud:1 POST /rentals/delete {"Rigs":["n-1"]})");
+  EXPECT_EQ(c.request_of(c.cloud->list()), "cloud:1 GET /rentals?Most=500");
+}
+
+TEST(CloudProtocol, ARefusalOfARentalNamesTroubleOrMeansThatThereIsNoCapacity) {
+  Clients c;
+  const auto kind_for = [&](const std::string& body) {
+    c.transport.body = body;
+    auto renting = c.cloud->rent({"r-7", "g8", "b", false, 1});
+    renting.start();
+    c.reactor.run_until(c.reactor.now() + 10);
+    return renting.take().kind;
+  };
+  EXPECT_EQ(kind_for(R"({"error":"trouble"})"), cloud::RentResult::Kind::refused);
+  EXPECT_EQ(kind_for(R"({"error":"no capacity"})"), cloud::RentResult::Kind::no_capacity);
+}
+
+// Whole answers of a cluster to users.
+
+struct Answer {
+  int status;
+  std::string body;
+  bool operator==(const Answer&) const = default;
+};
+
+std::ostream& operator<<(std::ostream& out, const Answer& answer) {
+  return out << answer.status << " " << answer.body;
+}
+
+struct ClusterOfUsers {
+  TestCluster cluster;
+
+  ClusterOfUsers() { cluster.run(5); }
+  Answer ask(const std::string& method, const std::string& path, const std::string& body = "") {
+    const auto response = cluster.ask(0, method, path, body);
+    return {response.status, response.body};
+  }
+};
+
+// There are no machines: the job stays queued.
+const std::string kSmallJob =
+    R"({"Id":"j-000412","Gear":"train","Crew":"red","Shape":"batch","Rank":"high","Teeth":2,)"
+    R"("Cpus":1,"Accelerators":1,"MemGb":1,"Cast":"img-07","SizeGb":1,"OneZone":false,)"
+    R"("Apart":false,"Loaners":false,"ExpectS":1,"NotchS":0,"StowS":0})";
+
+TEST(UserProtocol, AJobIsSubmittedAskedForAndWithdrawn) {
+  ClusterOfUsers users;
+  EXPECT_EQ(users.ask("POST", "/v1/jobs", kSmallJob),
+            (Answer{201, R"({"Id":"j-000412","Stance":"queued"})"}));
+  EXPECT_EQ(users.ask("POST", "/v1/jobs", kSmallJob),
+            (Answer{200, R"({"Id":"j-000412","Stance":"queued"})"}));
+  EXPECT_EQ(users.ask("GET", "/v1/jobs/j-000412"),
+            (Answer{200, R"({"Id":"j-000412","Stance":"queued","done":0,"running":0})"}));
+  EXPECT_EQ(users.ask("POST", "/v1/jobs/j-000412/withdraw"),
+            (Answer{200, R"({"Id":"j-000412","Stance":"withdrawn"})"}));
+}
+
+TEST(UserProtocol, RefusalsHaveTheirStatusAndReason) {
+  ClusterOfUsers users;
+  const auto refused = [](int status, const std::string& reason) {
+    return Answer{status, R"({"error":")" + reason + R"("})"};
+  };
+  EXPECT_EQ(users.ask("POST", "/v1/jobs", "[]"), refused(400, "expected a JSON object"));
+  EXPECT_EQ(users.ask("POST", "/v1/jobs", "{}"), refused(400, "Id: expected a job id"));
+  EXPECT_EQ(users.ask("POST", "/v1/jobs", replaced(kSmallJob, "red", "nobody")),
+            refused(422, "unknown team"));
+  EXPECT_EQ(users.ask("POST", "/v1/jobs", replaced(kSmallJob, R"("Cpus":1)", R"("Cpus":1e6)")),
+            refused(422, "no allowed machine type has room for a task"));
+  EXPECT_EQ(users.ask("POST", "/v1/jobs",
+                      replaced(kSmallJob, R"(batch","Rank":"high","Teeth":2)",
+                               R"(ensemble","Rank":"high","Teeth":99)")),
+            refused(422, "more than the team's limit"));
+  EXPECT_EQ(users.ask("POST", "/v1/jobs",
+                      replaced(kSmallJob, R"("StowS":0)", R"("StowS":0,"WaitsOn":["j-000412"])")),
+            refused(422, "needs itself"));
+  EXPECT_EQ(users.ask("GET", "/v1/jobs/j-000413"), refused(404, "no such job"));
+  EXPECT_EQ(users.ask("POST", "/v1/jobs/j-000413/withdraw"), refused(404, "no such job"));
+  EXPECT_EQ(users.ask("GET", "/v1/other"), refused(404, "no such path"));
+  EXPECT_EQ(users.ask("GET", "/v1/jobs"), refused(405, "method not allowed"));
+}
+
+TEST(WorkerProtocol, PathsOfANodeAnswerTheirOwnMethodsOnly) {
+  ClusterOfUsers users;
+  EXPECT_EQ(users.ask("GET", "/ready"), (Answer{200, "{}"}));
+  EXPECT_EQ(users.ask("POST", "/ready"), (Answer{405, R"({"error":"method not allowed"})"}));
+  EXPECT_EQ(users.ask("POST", "/checkin", "{}"), (Answer{400, R"({"error":"malformed report"})"}));
+  EXPECT_EQ(users.ask("GET", "/checkin"), (Answer{405, R"({"error":"method not allowed"})"}));
+}
+
+// HTTP.
+
+TEST(HttpMessages, ARequestIsWrittenWithItsHeaders) {
+  EXPECT_EQ(net::serialize(net::Request{"POST", "/txn", "", "{}", true}, "10.1.0.9:81"),
+            "POST /txn HTTP/1.1\r\nHost: 10.1.0.9:81\r\nContent-Type: application/json\r\n"
+            "Content-Length: 2\r\n\r\n{}");
+  EXPECT_EQ(net::serialize(net::Request{"GET", "/store", "Under=jobs/&Most=7", "", false}, "h:1"),
+            "GET /store?Under=jobs/&Most=7 HTTP/1.1\r\nHost: h:1\r\nConnection: close\r\n\r\n");
+}
+
+TEST(HttpMessages, AResponseIsWrittenWithItsHeaders) {
+  net::Response response;
+  response.status = 503;
+  response.body = "{}";
+  response.retry_after_s = 1;
+  EXPECT_EQ(net::serialize(response),
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n"
+            "Retry-After: 1\r\nContent-Length: 2\r\n\r\n{}");
+  net::Response refusal;
+  refusal.status = 405;
+  refusal.allow = "POST";
+  refusal.keep_alive = false;
+  EXPECT_EQ(net::serialize(refusal),
+            "HTTP/1.1 405 Method Not Allowed\r\nAllow: POST\r\nConnection: close\r\n"
+            "Content-Length: 0\r\n\r\n");
+}
+
+}  // namespace
+}  // namespace cranklock::testing
