--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -190,9 +190,9 @@
 }
 
 void Controllers::crash(const std::string& region) {
-  const auto leading = serving_token(region);
+  const auto leading = serving_fencing_token(region);
   for (auto& controller : controllers_) {
-    if (controller.region == region && serving_token(controller) == leading) {
+    if (controller.region == region && serving_fencing_token(controller) == leading) {
       return end(controller, SIGKILL);
     }
   }
@@ -221,23 +221,24 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-std::uint64_t Controllers::serving_token(const Controller& controller) const {
+std::uint64_t Controllers::serving_fencing_token(const Controller& controller) const {
   static const std::regex line_format("serving with token ([0-9]+)");
   const std::string log = log_of(controller);
-  std::uint64_t token = 0;
+  std::uint64_t fencing_token = 0;
   for (std::sregex_iterator match(log.begin(), log.end(), line_format), end; match != end;
        ++match) {
-    token = std::max<std::uint64_t>(token, std::stoull((*match)[1]));
+    fencing_token = std::max<std::uint64_t>(fencing_token, std::stoull((*match)[1]));
   }
-  return token;
+  return fencing_token;
 }
 
-std::uint64_t Controllers::serving_token(const std::string& region) const {
-  std::uint64_t token = 0;
+std::uint64_t Controllers::serving_fencing_token(const std::string& region) const {
+  std::uint64_t fencing_token = 0;
   for (const auto& controller : controllers_) {
-    if (controller.region == region) token = std::max(token, serving_token(controller));
+    if (controller.region == region)
+      fencing_token = std::max(fencing_token, serving_fencing_token(controller));
   }
-  return token;
+  return fencing_token;
 }
 
 std::vector<Controllers::Usage> Controllers::usage() const {
--- a/lab/controllers.hpp
+++ b/lab/controllers.hpp
@@ -28,7 +28,7 @@
   /// Ends the controller that leads the region, by its id, without warning; and starts it again.
   void crash(const std::string& region);
   /// The highest token with which a controller of the region has logged that it serves; 0: none.
-  std::uint64_t serving_token(const std::string& region) const;
+  std::uint64_t serving_fencing_token(const std::string& region) const;
   void restart(const std::string& region);
   /// Cuts a region off from all others, or joins it again.
   void set_apart(const std::string& region, bool apart);
@@ -67,7 +67,7 @@
     std::unique_ptr<Relay> relay;
   };
   std::string log_of(const Controller& controller) const;
-  std::uint64_t serving_token(const Controller& controller) const;
+  std::uint64_t serving_fencing_token(const Controller& controller) const;
   std::string path(const std::string& member, const char* ending) const {
     return folder_ + "/" + member + ending;
   }
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -302,10 +302,10 @@
   auto& stand_in = worker.stand_in;
   const wire::JsonDocument document(response.body.empty() ? "{}" : response.body);
   if (response.status == 200) {
-    const auto token = wire::read_count(document.root(), "KeyTurn").value_or(0);
-    if (token < stand_in.token) return;
-    worker.changed = worker.changed || token > stand_in.token;
-    stand_in.token = token;
+    const auto fencing_token = wire::read_count(document.root(), "KeyTurn").value_or(0);
+    if (fencing_token < stand_in.fencing_token) return;
+    worker.changed = worker.changed || fencing_token > stand_in.fencing_token;
+    stand_in.fencing_token = fencing_token;
     stand_in.answered_sent = sent;
     const auto& orders = document.root()["Orders"];
     worker.changed = worker.changed || orders.Size() > 0;
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -308,8 +308,8 @@
 Task<void> Run::time_takeover(std::string region) {
   constexpr double kPoll = 0.02;
   const double crashed = now();
-  const auto before = controllers_.serving_token(region);
-  while (controllers_.serving_token(region) == before) {
+  const auto before = controllers_.serving_fencing_token(region);
+  while (controllers_.serving_fencing_token(region) == before) {
     Sleep pause(reactor_, kPoll);
     co_await pause;
   }
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -86,7 +86,7 @@
   std::optional<regions::Links> region_links;
   if (settings.operators.regions.enabled()) {
     region_links.emplace(
-        reactor, settings, [&] { return node.leading_token(); },
+        reactor, settings, [&] { return node.leader_fencing_token(); },
         [&](const std::string& region, const regions::RegionFrame& frame) {
           node.heard_region(region, frame);
         });
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -110,7 +110,7 @@
     co_return;
   }
   net::Request request{"POST", "/commands", "",
-                       wire::orders_command(leader_lease_.token(), session, orders), true};
+                       wire::orders_command(leader_lease_.fencing_token(), session, orders), true};
   auto calling =
       services_.transport.call(machine->address, std::move(request), services_.settings.report_s);
   const auto reply = co_await calling;
@@ -125,7 +125,7 @@
   if (machine == nullptr) co_return;
   confirm_starts(*machine, session, orders, reply.status() == 200 ? report : std::nullopt);
   if (!report) co_return;
-  if (report->token > leader_lease_.token()) {
+  if (report->fencing_token > leader_lease_.fencing_token()) {
     term_.lose("a worker has seen a higher token");
     co_return;
   }
@@ -135,7 +135,7 @@
 
 // A worker that reports to a former leader, or to nobody, is told of our token straight away: from
 // then on it drops the former leader's answers, and its lease is ours to time.
-Task<void> CommandSender::announce_token() {
+Task<void> CommandSender::announce_fencing_token() {
   const auto& s = services_.settings;
   for (;;) {
     Sleep pause(services_.reactor, s.report_s / 2);
@@ -143,38 +143,39 @@
     const double at = now();
     if (at - term_began_ < 1.5 * s.report_s) continue;  // most come by themselves
     std::vector<std::string> due;
-    std::erase_if(shown_at_,
+    std::erase_if(announced_at_,
                   [&](const auto& call) { return cluster_.machine(call.first) == nullptr; });
     for (const auto& [id, m] : cluster_.machines()) {
-      if (m.shown_token || m.removing || m.failed || m.address.empty() || !m.listed) continue;
+      if (m.token_acknowledged || m.removing || m.failed || m.address.empty() || !m.listed)
+        continue;
       if (m.booting || at - m.last_report < 2 * s.report_s) continue;
-      const auto last = shown_at_.find(id);
-      if (last != shown_at_.end() && at - last->second < s.lease_s / 3) continue;
+      const auto last = announced_at_.find(id);
+      if (last != announced_at_.end() && at - last->second < s.lease_s / 3) continue;
       due.push_back(id);
     }
     for (const auto& id : due) {
       if (calling_.size() >= most_calls() / 2) break;
-      shown_at_[id] = at;
-      if (calling_.insert(id).second) scope_.spawn(show_token(id));
+      announced_at_[id] = at;
+      if (calling_.insert(id).second) scope_.spawn(send_fencing_token(id));
     }
   }
 }
 
-Task<void> CommandSender::show_token(std::string id) {
+Task<void> CommandSender::send_fencing_token(std::string id) {
   std::uint64_t session = 1;
   for (int tries = 0; tries < 2; ++tries) {
     const Machine* m = cluster_.machine(id);
     if (m == nullptr || !leader_lease_.valid(now())) break;
     if (m->session != 0) session = m->session;
     net::Request request{"POST", "/commands", "",
-                         wire::orders_command(leader_lease_.token(), session, {}), true};
+                         wire::orders_command(leader_lease_.fencing_token(), session, {}), true};
     auto calling =
         services_.transport.call(m->address, std::move(request), services_.settings.report_s);
     const auto reply = co_await calling;
     if (reply.status() != 200 && reply.status() != 409) break;
     const auto report = wire::parse_report(reply.response.body);
     if (!report || report->machine != id || term_.is_deleted(id)) break;
-    if (report->token > leader_lease_.token()) {
+    if (report->fencing_token > leader_lease_.fencing_token()) {
       term_.lose("a worker has seen a higher token");
       break;
     }
--- a/src/control/command_sender.hpp
+++ b/src/control/command_sender.hpp
@@ -38,7 +38,7 @@
   void send_orders();
   /// Shows our token to workers that have not shown it, for ever. From then on they drop a former
   /// leader's answers, and their leases are ours to time.
-  net::Task<void> announce_token();
+  net::Task<void> announce_fencing_token();
 
  private:
   net::Task<void> send_to(std::string machine);
@@ -46,7 +46,7 @@
   void confirm_starts(sched::Machine& machine, std::uint64_t session,
                       const std::vector<wire::Order>& orders,
                       const std::optional<wire::Report>& report);
-  net::Task<void> show_token(std::string machine);
+  net::Task<void> send_fencing_token(std::string machine);
   double now() const { return services_.reactor.now(); }
   /// Guards the sockets against hung machines by the hundred, each of which holds one until its
   /// call's time is over.
@@ -60,9 +60,9 @@
   net::Signal& work_;
   Term term_;
   double term_began_;
-  std::set<std::string> calling_;           ///< workers under way
-  std::map<std::string, double> shown_at_;  ///< when workers were last told of our token
-  net::Scope scope_;                        ///< last, so that its routines end before what they use
+  std::set<std::string> calling_;               ///< workers under way
+  std::map<std::string, double> announced_at_;  ///< when workers were last told of our token
+  net::Scope scope_;  ///< last, so that its routines end before what they use
 };
 
 }  // namespace cranklock::control
--- a/src/control/leader_lease.hpp
+++ b/src/control/leader_lease.hpp
@@ -12,15 +12,15 @@
 /// the steady clock and are judged at the moment of sending (invariants 6 and 10, docs/design.md).
 class LeaderLease {
  public:
-  LeaderLease(const base::Settings& settings, std::uint64_t token, double confirmed_sent)
+  LeaderLease(const base::Settings& settings, std::uint64_t fencing_token, double confirmed_sent)
       : settings_(settings),
-        token_(token),
+        fencing_token_(fencing_token),
         confirmed_sent_(confirmed_sent),
         asked_sent_(confirmed_sent) {}
 
   static double lease_life(const base::Settings& settings) { return settings.lease_s / 5; }
 
-  std::uint64_t token() const { return token_; }
+  std::uint64_t fencing_token() const { return fencing_token_; }
   /// A renewal that was sent at this time has succeeded.
   void confirm(double sent) { confirmed_sent_ = std::max(confirmed_sent_, sent); }
   /// A renewal that was sent at this time was not refused for an ended lease: it succeeded, or the
@@ -54,7 +54,7 @@
   double known_until() const { return std::min(confirmed_sent_, caught_up_sent_); }
 
   const base::Settings& settings_;
-  std::uint64_t token_;
+  std::uint64_t fencing_token_;
   double confirmed_sent_;
   double asked_sent_;
   double caught_up_sent_ = -1e9;
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -23,7 +23,7 @@
       cluster_(cluster),
       work_(work),
       term_(std::move(term)),
-      executor_(cluster, lease.token(), services.settings.operators.defrag.drain.named(),
+      executor_(cluster, lease.fencing_token(), services.settings.operators.defrag.drain.named(),
                 services.reactor.now()),
       due_(services.reactor) {}
 
@@ -80,7 +80,7 @@
   if (!wanted && !is_unknown_) co_return;
   // After a write without an answer whatever is wanted now is written, so that one of the two wins.
   const defrag::MoveRecord record = wanted ? *wanted : executor_.wanted();
-  std::vector<wire::Condition> conditions{{kLeaderKey, leader_lease_.token()},
+  std::vector<wire::Condition> conditions{{kLeaderKey, leader_lease_.fencing_token()},
                                           {kMovesKey, revision_}};
   if (record.plan) conditions.push_back({kMovesOffKey, 0});
   std::vector<wire::Change> changes{{kMovesKey, defrag::write_move_record(record), 0}};
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -46,7 +46,7 @@
 
 peer::Hello Node::hello() const {
   const double now = services_.reactor.now();
-  peer::Hello hello{services_.settings.name, leading_token(), reaches_state(),
+  peer::Hello hello{services_.settings.name, leader_fencing_token(), reaches_state(),
                     now - workers_heard_ < 2 * services_.settings.report_s};
   hello.run = run_;
   hello.sent_ms = static_cast<std::uint64_t>(now * 1000);
@@ -137,14 +137,14 @@
   if (term_ != nullptr) term_->heard(hello);
   // A leader that lost only the state service learns here that it has a successor, long before it
   // would have to stop answering; until it does, its workers stay with it.
-  if (term_ != nullptr && hello.token > leader_lease_->token()) {
+  if (term_ != nullptr && hello.fencing_token > leader_lease_->fencing_token()) {
     term_->lose("another node leads with a higher token");
   }
 }
 
 std::string Node::believed_leader() const {
   const auto said = roster_.leader(services_.reactor.now());
-  if (said.token > 0 && said.token >= leader_token_) return said.name;
+  if (said.fencing_token > 0 && said.fencing_token >= leader_fencing_token_) return said.name;
   return reaches_state() && leader_ != services_.settings.name ? leader_ : "";
 }
 
@@ -193,7 +193,7 @@
 void Node::note_leader(const store::ReadResult& found) {
   leader_.clear();
   if (found.outcome != Outcome::ok) return;
-  leader_token_ = std::max(leader_token_, found.value.revision);
+  leader_fencing_token_ = std::max(leader_fencing_token_, found.value.revision);
   if (const auto leader = read_leader(found.value.data)) leader_ = leader->name;
 }
 
@@ -230,7 +230,7 @@
     const auto written = co_await writing;
     if (written.outcome == Outcome::ok) {
       taken.ok = true;
-      taken.token = written.revision;
+      taken.fencing_token = written.revision;
       co_return taken;
     }
     // Unanswered, it may be applied later: what is stored decides, and asking again under the same
@@ -241,7 +241,7 @@
       const auto holder = read_leader(found.value.data);
       if (holder && holder->nonce == record.nonce) {
         taken.ok = true;
-        taken.token = found.value.revision;
+        taken.fencing_token = found.value.revision;
       }
       break;
     }
@@ -292,17 +292,19 @@
 
 Task<void> Node::serve_term(Taken taken) {
   const double life = LeaderLease::lease_life(services_.settings);
-  spdlog::info("leadership acquired, token {}", taken.token);
+  spdlog::info("leadership acquired, token {}", taken.fencing_token);
   leader_ = services_.settings.name;
   services_.store.set_leading(true);
-  leader_lease_ = std::make_unique<LeaderLease>(services_.settings, taken.token, taken.sent);
+  leader_lease_ =
+      std::make_unique<LeaderLease>(services_.settings, taken.fencing_token, taken.sent);
   term_ = std::make_unique<Term>(services_, *leader_lease_, lost_, region_network_);
   auto loading = term_->load();
   bool keeps = co_await loading;
   if (keeps) {
     serving_ = true;
     term_->start(duties_);
-    spdlog::info("serving with token {}: {} jobs", taken.token, term_->cluster().jobs().size());
+    spdlog::info("serving with token {}: {} jobs", taken.fencing_token,
+                 term_->cluster().jobs().size());
   }
   // Leaves the leadership to a node that may have it.
   if (term_->is_unfit()) abstain_until_ = services_.reactor.now() + 2 * services_.settings.lease_s;
@@ -314,12 +316,12 @@
     if (renewed == Outcome::ok) {
       leader_lease_->confirm(sent);
     } else if (renewed == Outcome::failed) {
-      spdlog::info("leadership lost, token {}: its lease has ended", taken.token);
+      spdlog::info("leadership lost, token {}: its lease has ended", taken.fencing_token);
       break;
     }
     if (cut_off_from_workers()) {
       // Another node may hear the workers where this one can't.
-      spdlog::info("leadership given up, token {}: no worker is heard", taken.token);
+      spdlog::info("leadership given up, token {}: no worker is heard", taken.fencing_token);
       abstain_until_ = services_.reactor.now() + 2 * services_.settings.lease_s;
       break;
     }
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -43,7 +43,9 @@
   /// Takes what the leader of another region says; ignored while this node does not lead.
   void heard_region(const std::string& region, const regions::RegionFrame& frame);
   /// 0: this node does not lead.
-  std::uint64_t leading_token() const { return leads() ? leader_lease_->token() : 0; }
+  std::uint64_t leader_fencing_token() const {
+    return leads() ? leader_lease_->fencing_token() : 0;
+  }
   static double hello_every(const base::Settings& settings) { return settings.report_s / 3; }
   bool leads() const { return term_ != nullptr && serving_; }
   Term* term() { return term_.get(); }
@@ -51,7 +53,7 @@
  private:
   struct Taken {
     bool ok = false;
-    std::uint64_t lease = 0, token = 0;
+    std::uint64_t lease = 0, fencing_token = 0;
     double sent = 0;
   };
   net::Task<Taken> acquire_leadership();
@@ -87,7 +89,7 @@
   net::Scope duties_;
   bool serving_ = false;  ///< the term has loaded its cluster state
   std::string leader_;    ///< whom the state service named last; empty: nobody
-  std::uint64_t leader_token_ = 0;
+  std::uint64_t leader_fencing_token_ = 0;
   double abstain_until_ = 0;
   double state_heard_ = 0;
   double workers_heard_ = -1e9;
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -135,8 +135,8 @@
 
 Task<void> PoolScaler::rent(sched::MachineKind kind, int count) {
   // The token makes the name unique among leaders, the sequence among our own.
-  const std::string name =
-      "r-" + std::to_string(leader_lease_.token()) + "-" + std::to_string(++rental_sequence_);
+  const std::string name = "r-" + std::to_string(leader_lease_.fencing_token()) + "-" +
+                           std::to_string(++rental_sequence_);
   const auto& figures = services_.settings.operators.scaler;
   for (;;) {
     if (!leader_lease_.valid(now())) co_return;
@@ -198,7 +198,7 @@
       .integer(pool.state.scaled_ms)
       .end();
   const std::string key = kPoolsPrefix + name;
-  std::vector<wire::Condition> conditions{{kLeaderKey, leader_lease_.token()},
+  std::vector<wire::Condition> conditions{{kLeaderKey, leader_lease_.fencing_token()},
                                           {key, pool_revisions_[name]}};
   std::vector<wire::Change> changes{{key, w.take(), 0}};
   auto writing = services_.store.transact(std::move(conditions), std::move(changes), kStoreTimeout);
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -19,13 +19,13 @@
 
 RecordWriter::RecordWriter(net::Reactor& reactor, const base::Settings& settings,
                            store::Client& store, sched::ClusterState& cluster,
-                           RecordReloader& reloader, std::uint64_t token)
+                           RecordReloader& reloader, std::uint64_t fencing_token)
     : reactor_(reactor),
       settings_(settings),
       store_(store),
       cluster_(cluster),
       reloader_(reloader),
-      token_(token) {}
+      fencing_token_(fencing_token) {}
 
 struct RecordWriter::Batch {
   struct Entry {
@@ -177,7 +177,7 @@
 
 RecordWriter::Batch RecordWriter::next_batch() {
   Batch batch;
-  batch.conditions.push_back({kLeaderKey, token_});
+  batch.conditions.push_back({kLeaderKey, fencing_token_});
   for (Job* job : jobs_to_write()) {
     if (batch.full) break;
     add_to_batch(*job, batch);
--- a/src/control/record_writer.hpp
+++ b/src/control/record_writer.hpp
@@ -30,9 +30,9 @@
     leadership_lost,  ///< the leader's key has changed
   };
 
-  /// `token` is the leader's. All that is referred to outlives the writer.
+  /// `fencing_token` is the leader's. All that is referred to outlives the writer.
   RecordWriter(net::Reactor& reactor, const base::Settings& settings, store::Client& store,
-               sched::ClusterState& cluster, RecordReloader& reloader, std::uint64_t token);
+               sched::ClusterState& cluster, RecordReloader& reloader, std::uint64_t fencing_token);
 
   /// Writes what is most urgent, as much as one transaction takes.
   net::Task<Written> write_next();
@@ -57,7 +57,7 @@
   store::Client& store_;
   sched::ClusterState& cluster_;
   RecordReloader& reloader_;
-  std::uint64_t token_;
+  std::uint64_t fencing_token_;
   double write_after_ = 0;  ///< the state service has refused a write
   /// Parts of records of jobs that are over: never read again, removed when a transaction has room.
   std::deque<std::string> stale_parts_;
--- a/src/control/report_forwarder.cpp
+++ b/src/control/report_forwarder.cpp
@@ -12,15 +12,15 @@
 using net::Task;
 
 void ReportForwarder::heard(const peer::Hello& hello) {
-  if (hello.token == 0 || hello.token < token_) return;
-  token_ = hello.token;
+  if (hello.fencing_token == 0 || hello.fencing_token < fencing_token_) return;
+  fencing_token_ = hello.fencing_token;
   leader_ = hello.name;
   leader_ms_ = hello.sent_ms;
   heard_at_ = reactor_.now();
 }
 
 void ReportForwarder::describe(peer::Hello& hello) const {
-  hello.echo_token = token_;
+  hello.echoed_fencing_token = fencing_token_;
   hello.echo_ms = leader_ms_;
   if (answered_alone_at_ >= 0) {
     const double age = (reactor_.now() - answered_alone_at_) * 1000;
@@ -29,14 +29,14 @@
 }
 
 bool ReportForwarder::reaches_leader() const {
-  return token_ > 0 && reactor_.now() - heard_at_ < patience(settings_);
+  return fencing_token_ > 0 && reactor_.now() - heard_at_ < patience(settings_);
 }
 
 bool ReportForwarder::leader_expected() const {
   if (reaches_leader()) return true;
   constexpr double kTakeOver = 1.5;  // of the leader lease's life: it ends, and another is taken
   const double silent = reactor_.now() - heard_at_;
-  return token_ > 0 && may_wait_() &&
+  return fencing_token_ > 0 && may_wait_() &&
          silent < patience(settings_) + kTakeOver * LeaderLease::lease_life(settings_);
 }
 
@@ -44,8 +44,9 @@
 // on none after what it allowed. A worker that has seen a newer token would drop the answer anyway.
 bool ReportForwarder::answers_alone(const wire::Report& report) const {
   const Trust* trust = trusted_.find(report.machine);
-  return trust != nullptr && trust->token == token_ && report.token <= token_ &&
-         !reaches_leader() && reactor_.now() < trust->until;
+  return trust != nullptr && trust->fencing_token == fencing_token_ &&
+         report.fencing_token <= fencing_token_ && !reaches_leader() &&
+         reactor_.now() < trust->until;
 }
 
 ReportForwarder::Visit ReportForwarder::last_visit(const std::string& machine) const {
@@ -95,8 +96,8 @@
   ReportForwarder& forwarder;
   std::string body;
   Pending pending;
-  std::uint64_t id = 0;     ///< 0: not sent yet
-  std::uint64_t token = 0;  ///< of the leader that it was sent to
+  std::uint64_t id = 0;             ///< 0: not sent yet
+  std::uint64_t fencing_token = 0;  ///< of the leader that it was sent to
 
   Forwarding(ReportForwarder& by, std::string text)
       : forwarder(by), body(std::move(text)), pending(by.reactor_) {}
@@ -109,7 +110,7 @@
 void ReportForwarder::send_to_leader(Forwarding& forwarding) {
   pending_.erase(forwarding.id);
   forwarding.id = ++next_id_;
-  forwarding.token = token_;
+  forwarding.fencing_token = fencing_token_;
   pending_[forwarding.id] = &forwarding.pending;
   send_(leader_, peer::ForwardedReport{forwarding.id, forwarding.body});
 }
@@ -127,7 +128,8 @@
     auto& pending = forwarding.pending;
     while (!pending.done && reactor_.now() < until) {
       // Guards against workers sent to a leader that stands still: its successor is waited for.
-      if (reaches_leader() && forwarding.token != token_) send_to_leader(forwarding);
+      if (reaches_leader() && forwarding.fencing_token != fencing_token_)
+        send_to_leader(forwarding);
       // One that is cut off may answer by itself, unless the leader has the report.
       const bool lost = cut_off() ? forwarding.id == 0 : !leader_expected();
       if (!reaches_leader() && lost) break;
@@ -138,17 +140,17 @@
     if (pending.done && pending.answer.status == 200) {
       const auto& answer = pending.answer;
       // Counted from the coming of the report, which was before the leader's answer.
-      trusted_.put(report.machine, {answer.token, sent + answer.answer_alone_ms / 1000.0});
+      trusted_.put(report.machine, {answer.fencing_token, sent + answer.answer_alone_ms / 1000.0});
       response.body = answer.body;
       co_return response;
     }
   }
   if (cut_off() && answers_alone(report)) {
     if (answered_alone_at_ < 0 || reactor_.now() - answered_alone_at_ > settings_.lease_s) {
-      spdlog::info("answering the zone's workers in the leader's stead, token {}", token_);
+      spdlog::info("answering the zone's workers in the leader's stead, token {}", fencing_token_);
     }
     answered_alone_at_ = reactor_.now();
-    response.body = wire::orders_answer(token_, {});
+    response.body = wire::orders_answer(fencing_token_, {});
     co_return response;
   }
   response.status = 421;
--- a/src/control/report_forwarder.hpp
+++ b/src/control/report_forwarder.hpp
@@ -87,7 +87,7 @@
   };
   struct Forwarding;
   struct Trust {
-    std::uint64_t token = 0;
+    std::uint64_t fencing_token = 0;
     double until = 0;
   };
   /// Workers of which something is remembered, some 150 bytes each; many times the machines of the
@@ -109,7 +109,7 @@
   Send send_;
   std::function<bool()> may_wait_ = [] { return true; };
   std::string leader_;
-  std::uint64_t token_ = 0;  ///< the highest that a leader was heard with
+  std::uint64_t fencing_token_ = 0;  ///< the highest that a leader was heard with
   std::uint64_t leader_ms_ = 0;
   double heard_at_ = -1e9;
   double answered_alone_at_ = -1;
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -23,7 +23,7 @@
     : services_(services),
       leader_lease_(lease),
       lost_(lost),
-      cluster_(services.settings, lease.token(), services.reactor.now()),
+      cluster_(services.settings, lease.fencing_token(), services.reactor.now()),
       work_(services.reactor),
       last_heard_(services.reactor.now()),
       machines_(services, lease, cluster_, work_),
@@ -33,7 +33,7 @@
           [this](Job job) { jobs_.put(std::move(job)); }, work_),
       jobs_(services, lease, cluster_, reloader_, work_, job_duties()),
       writer_(services.reactor, services.settings, services.store, cluster_, reloader_,
-              lease.token()),
+              lease.fencing_token()),
       commands_(services, lease, cluster_, work_, command_duties()),
       scaler_(services, lease, cluster_, work_, scaler_duties()) {
   const double advise_every_s = services.settings.operators.defrag.advise_every_s;
@@ -44,14 +44,14 @@
   if (regions == nullptr) return;
   shares_ = std::make_unique<regions::ShareService>(
       services.reactor, services.settings, services.store, *regions,
-      wire::Condition{kLeaderKey, lease.token()}, share_duties());
+      wire::Condition{kLeaderKey, lease.fencing_token()}, share_duties());
   cluster_.set_team_shares(&shares_->book());
 }
 
 void Term::lose(const char* why) {
   if (is_lost_) return;
   is_lost_ = true;
-  spdlog::info("leadership lost, token {}: {}", leader_lease_.token(), why);
+  spdlog::info("leadership lost, token {}: {}", leader_lease_.fencing_token(), why);
   lost_.set();
 }
 
@@ -142,7 +142,7 @@
   scope.spawn(jobs_.follow());
   machines_.start(scope);
   scope.spawn(scaler_.run());
-  scope.spawn(commands_.announce_token());
+  scope.spawn(commands_.announce_fencing_token());
   if (shares_) shares_->start(scope);
   if (moves_) scope.spawn(moves_->run());
 }
@@ -152,7 +152,7 @@
 Response Term::handle_report(const wire::Report& report) {
   Response response;
   const double at = now();
-  if (report.token > leader_lease_.token()) {
+  if (report.fencing_token > leader_lease_.fencing_token()) {
     lose("a worker has seen a higher token");
     response.status = 421;
     response.body = wire::misdirected_answer("");
@@ -189,7 +189,7 @@
     orders = cluster_.orders(report, leader_lease_.may_start(at), at);
   }
   cluster_.note_answered(report.machine, at);
-  response.body = wire::orders_answer(leader_lease_.token(), orders);
+  response.body = wire::orders_answer(leader_lease_.fencing_token(), orders);
   work_.set();
   return response;
 }
@@ -199,7 +199,7 @@
                                                     std::uint64_t id) {
   const auto response = handle_report(report);
   peer::ForwardedAnswer answer{id, static_cast<std::uint16_t>(response.status),
-                               leader_lease_.token(), 0, response.body};
+                               leader_lease_.fencing_token(), 0, response.body};
   Machine* m = cluster_.machine(report.machine);
   if (response.status != 200 || m == nullptr || response.body.size() > peer::kMostText) {
     if (response.status == 200) answer.status = 503;
@@ -220,7 +220,7 @@
 }
 
 void Term::heard(const peer::Hello& hello) {
-  const bool ours = hello.echo_token == leader_lease_.token();
+  const bool ours = hello.echoed_fencing_token == leader_lease_.fencing_token();
   const double never = -1;
   cluster_.note_forwarder(
       hello.name, hello.run,
@@ -234,7 +234,8 @@
 bool Term::may_hand_over(const std::string& id, const std::string& forwarder) {
   Machine* m = cluster_.machine(id);
   const double at = now();
-  if (m == nullptr || !m->shown_token || !cluster_.forwarder_heard(forwarder, at)) return false;
+  if (m == nullptr || !m->token_acknowledged || !cluster_.forwarder_heard(forwarder, at))
+    return false;
   // Once in a while only: a worker that comes back has found its forwarder wanting.
   if (m->handed_over > 0 && at - m->handed_over < 2 * services_.settings.lease_s) return false;
   m->handed_over = at;
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -126,7 +126,8 @@
   if (!found) return;
   forget_past(wall_ms);
   MoveRecord record = wanted_;
-  record.plan = name_plan(*found, fmt::format("{}-{}", token_, ++plans_), wall_ms, cluster_);
+  record.plan =
+      name_plan(*found, fmt::format("{}-{}", fencing_token_, ++plans_), wall_ms, cluster_);
   // With all its moves as begun, since the record has to hold that too.
   MoveRecord longest = record;
   for (auto& move : longest.plan->moves) {
--- a/src/defrag/move_executor.hpp
+++ b/src/defrag/move_executor.hpp
@@ -29,8 +29,12 @@
 class MoveExecutor {
  public:
   /// Made when a term begins, with the token of its leader. `services`: a router drains replicas.
-  MoveExecutor(sched::ClusterState& cluster, std::uint64_t token, bool services, double now)
-      : cluster_(cluster), token_(token), services_(services), began_(now), budget_({}) {}
+  MoveExecutor(sched::ClusterState& cluster, std::uint64_t fencing_token, bool services, double now)
+      : cluster_(cluster),
+        fencing_token_(fencing_token),
+        services_(services),
+        began_(now),
+        budget_({}) {}
 
   /// Takes over what is stored, once, before anything else.
   void load(const MoveRecord& stored, std::int64_t wall_ms, double now);
@@ -94,7 +98,7 @@
   void forget_past(std::int64_t wall_ms);
 
   sched::ClusterState& cluster_;
-  std::uint64_t token_;
+  std::uint64_t fencing_token_;
   bool services_;
   double began_;
   MoveBudget budget_;
--- a/src/peer/frames.cpp
+++ b/src/peer/frames.cpp
@@ -9,10 +9,13 @@
 
 std::string pack_one(const Hello& hello) {
   Packer p;
-  p.text(hello.name).number(hello.token);
+  p.text(hello.name).number(hello.fencing_token);
   p.number(static_cast<std::uint8_t>(hello.reaches_state ? 1 : 0));
   p.number(static_cast<std::uint8_t>(hello.hears_workers ? 1 : 0));
-  p.number(hello.run).number(hello.sent_ms).number(hello.echo_token).number(hello.echo_ms);
+  p.number(hello.run)
+      .number(hello.sent_ms)
+      .number(hello.echoed_fencing_token)
+      .number(hello.echo_ms);
   p.number(hello.answered_alone_ms);
   return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::hello));
 }
@@ -25,7 +28,10 @@
 
 std::string pack_one(const ForwardedAnswer& answer) {
   Packer p;
-  p.number(answer.id).number(answer.status).number(answer.token).number(answer.answer_alone_ms);
+  p.number(answer.id)
+      .number(answer.status)
+      .number(answer.fencing_token)
+      .number(answer.answer_alone_ms);
   p.long_text(answer.body);
   return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::forwarded_answer));
 }
--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -17,13 +17,13 @@
 /// Who is there, and what it reaches.
 struct Hello {
   std::string name;
-  std::uint64_t token = 0;     ///< of its leadership; 0: it doesn't lead
-  bool reaches_state = false;  ///< the state service answered it lately
-  bool hears_workers = false;  ///< workers have reported to it lately, be it in vain
-  std::uint64_t run = 0;       ///< another one each time the process starts
-  std::uint64_t sent_ms = 0;   ///< its steady clock, for others to echo
+  std::uint64_t fencing_token = 0;  ///< of its leadership; 0: it doesn't lead
+  bool reaches_state = false;       ///< the state service answered it lately
+  bool hears_workers = false;       ///< workers have reported to it lately, be it in vain
+  std::uint64_t run = 0;            ///< another one each time the process starts
+  std::uint64_t sent_ms = 0;        ///< its steady clock, for others to echo
   /// The newest hello that it heard from a leader: whose token, and that leader's clock.
-  std::uint64_t echo_token = 0, echo_ms = 0;
+  std::uint64_t echoed_fencing_token = 0, echo_ms = 0;
   /// How long ago it last answered a worker in a leader's stead.
   std::uint32_t answered_alone_ms = kNever;
   bool operator==(const Hello&) const = default;
@@ -40,7 +40,7 @@
 struct ForwardedAnswer {
   std::uint64_t id = 0;
   std::uint16_t status = 0;
-  std::uint64_t token = 0;
+  std::uint64_t fencing_token = 0;
   /// For so long from the sending of what it answers, its forwarder may answer this worker alone.
   std::uint32_t answer_alone_ms = 0;
   std::string body;
--- a/src/peer/roster.cpp
+++ b/src/peer/roster.cpp
@@ -24,7 +24,8 @@
 Hello Roster::leader(double now) const {
   Hello best;
   for (const auto& [name, said] : said_) {
-    if (now - said.at < fresh_s_ && said.hello.token > best.token) best = said.hello;
+    if (now - said.at < fresh_s_ && said.hello.fencing_token > best.fencing_token)
+      best = said.hello;
   }
   return best;
 }
--- a/src/regions/frames.cpp
+++ b/src/regions/frames.cpp
@@ -26,7 +26,7 @@
 
 std::string pack_one(const RegionHello& hello) {
   Packer packer;
-  packer.text(hello.region).text(hello.member).text(hello.founder).number(hello.token);
+  packer.text(hello.region).text(hello.member).text(hello.founder).number(hello.fencing_token);
   return finish(std::move(packer), Kind::hello);
 }
 
--- a/src/regions/frames.hpp
+++ b/src/regions/frames.hpp
@@ -17,8 +17,8 @@
 /// The first frame of a connection and its heartbeat, in both directions.
 struct RegionHello {
   std::string region, member;
-  std::string founder;      ///< as the sender's settings name it
-  std::uint64_t token = 0;  ///< of its leadership; 0: it does not lead its region
+  std::string founder;              ///< as the sender's settings name it
+  std::uint64_t fencing_token = 0;  ///< of its leadership; 0: it does not lead its region
   bool operator==(const RegionHello&) const = default;
 };
 
--- a/src/regions/links.cpp
+++ b/src/regions/links.cpp
@@ -19,8 +19,11 @@
 }  // namespace
 
 Links::Links(net::EvReactor& reactor, const base::Settings& settings,
-             std::function<std::uint64_t()> token, Heard heard)
-    : reactor_(reactor), settings_(settings), token_(std::move(token)), heard_(std::move(heard)) {
+             std::function<std::uint64_t()> fencing_token, Heard heard)
+    : reactor_(reactor),
+      settings_(settings),
+      fencing_token_(std::move(fencing_token)),
+      heard_(std::move(heard)) {
   const auto& regions = settings.operators.regions;
   for (const auto& region : regions.regions) {
     if (region.name == regions.self) continue;
@@ -42,7 +45,7 @@
 
 RegionHello Links::hello() const {
   const auto& regions = settings_.operators.regions;
-  return {regions.self, settings_.name, regions.founder, token_()};
+  return {regions.self, settings_.name, regions.founder, fencing_token_()};
 }
 
 Task<std::optional<std::vector<RegionFrame>>> Links::receive(int fd, Session& session) {
@@ -120,7 +123,7 @@
     for (const auto& frame : *frames) {
       const auto* hello = std::get_if<RegionHello>(&frame);
       if (hello == nullptr || hello->region != link.region) continue;
-      link.token = hello->token;
+      link.fencing_token = hello->fencing_token;
       link.heard_at = reactor_.now();
     }
   }
@@ -130,7 +133,7 @@
 void Links::close(Link& link) {
   if (link.fd) ::shutdown(link.fd->get(), SHUT_RDWR);  // ends its reader
   link.fd.reset();
-  link.token = 0;
+  link.fencing_token = 0;
   link.frames.clear();
 }
 
@@ -146,7 +149,7 @@
 
 Task<void> Links::keep(Link& link) {
   for (;;) {
-    if (token_() == 0) {
+    if (fencing_token_() == 0) {
       close(link);
     } else if (!link.fd) {
       auto connecting = connect(link);
@@ -174,9 +177,9 @@
   const double since = reactor_.now() - kPatience * hello_every(settings_);
   for (std::size_t i = 0; i < links_.size(); ++i) {
     const Link& link = *links_[i];
-    const bool leads = link.fd && link.token > 0 && link.heard_at > since;
+    const bool leads = link.fd && link.fencing_token > 0 && link.heard_at > since;
     if (link.region != region || !leads) continue;
-    if (!best || link.token > links_[*best]->token) best = i;
+    if (!best || link.fencing_token > links_[*best]->fencing_token) best = i;
   }
   return best;
 }
--- a/src/regions/links.hpp
+++ b/src/regions/links.hpp
@@ -23,9 +23,9 @@
  public:
   using Heard = std::function<void(const std::string& region, const RegionFrame& frame)>;
 
-  /// `token` is that of this controller's leadership, 0 while it does not lead.
+  /// `fencing_token` is that of this controller's leadership, 0 while it does not lead.
   Links(net::EvReactor& reactor, const base::Settings& settings,
-        std::function<std::uint64_t()> token, Heard heard);
+        std::function<std::uint64_t()> fencing_token, Heard heard);
 
   /// False when the address that the operator's XML gives this controller can't be listened on.
   bool listen();
@@ -51,7 +51,7 @@
     std::deque<std::string> frames;
     SharedFd fd;
     double next_hello = 0;
-    std::uint64_t token = 0;  ///< as its last hello had it; 0: it does not lead
+    std::uint64_t fencing_token = 0;  ///< as its last hello had it; 0: it does not lead
     double heard_at = -1e9;
   };
 
@@ -70,7 +70,7 @@
 
   net::EvReactor& reactor_;
   const base::Settings& settings_;
-  std::function<std::uint64_t()> token_;
+  std::function<std::uint64_t()> fencing_token_;
   Heard heard_;
   std::vector<std::unique_ptr<Link>> links_;
   net::Fd listener_;
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -442,17 +442,17 @@
   }
   if (m.reported && when <= std::pair(m.session, m.tick)) return Freshness::overtaken;
   note_message(m, r, now);
-  const auto reported = apply_tasks(m, r, now);
+  const auto reported_attempts = apply_tasks(m, r, now);
   // Absences. Only a report of the worker's own that shows our token counts, and only one newer
   // than what carried the start: the token shuts out a former leader's commands still under way,
   // the order shuts out late copies and answers crossing on the way.
-  if (own_report && r.token < token_ && m.last_answered > 0 &&
+  if (own_report && r.fencing_token < fencing_token_ && m.last_answered > 0 &&
       ++m.unacknowledged >= kUnacknowledged) {
     m.unresponsive_until = now + settings_.lease_s;
   }
-  if (!own_report || r.token != token_) return Freshness::fresh;
+  if (!own_report || r.fencing_token != fencing_token_) return Freshness::fresh;
   m.unacknowledged = 0;
-  end_absent(m, r, reported, now);
+  end_absent(m, r, reported_attempts, now);
   return Freshness::fresh;
 }
 
@@ -462,7 +462,7 @@
   if (r.session != m.session) {
     // What an earlier session was told can't be executed in this one.
     m.unconfirmed_starts.clear();
-    if (m.reported) m.images.clear(), m.shown_token = false;
+    if (m.reported) m.images.clear(), m.token_acknowledged = false;
   }
   // What another leader rented may have been up for long.
   if (!m.reported && m.rented_here) {
@@ -475,9 +475,9 @@
   m.reported = true;
   m.silent = false;
   m.last_report = now;
-  if (r.token == token_ && !m.shown_token) {
+  if (r.fencing_token == fencing_token_ && !m.token_acknowledged) {
     // Until just now a former leader may have prolonged its lease: it is timed from here.
-    m.shown_token = true;
+    m.token_acknowledged = true;
     changed_ = true;
     m.last_answered = std::max(m.last_answered, now);
   }
@@ -493,29 +493,29 @@
 
 // What a message says of tasks; returns all that it names.
 ClusterState::Attempts ClusterState::apply_tasks(Machine& m, const wire::Report& r, double now) {
-  Attempts reported;
+  Attempts reported_attempts;
   int unknown_tasks = 0;
   for (const auto& t : r.tasks) {
-    reported.insert({t.task, t.attempt});
+    reported_attempts.insert({t.task, t.attempt});
     Job* j = job(t.task.job);
     Placement* p = j != nullptr ? j->find(t.task.index, t.attempt) : nullptr;
     if (p == nullptr || p->machine != m.id) {
       if (t.state != TaskState::exited) ++unknown_tasks;
     } else if (!p->ended) {
-      apply_task(m, *j, *p, t, r.token == token_, now);
+      apply_task(m, *j, *p, t, r.fencing_token == fencing_token_, now);
     }
   }
   if (m.unknown_tasks != unknown_tasks) changed_ = true;
   m.unknown_tasks = unknown_tasks;
-  return reported;
+  return reported_attempts;
 }
 
 void ClusterState::apply_task(Machine& m, Job& job, Placement& placement, const wire::TaskReport& t,
-                              bool shows_token, double now) {
+                              bool acknowledges_token, double now) {
   if (t.state == TaskState::exited) {
     // Guards against a late copy, from before our leadership, of an end in an earlier session: the
     // same attempt may have been started again since. Only that it is done stays true.
-    if (shows_token) {
+    if (acknowledges_token) {
       task_exited(job, placement, t, m, now);
     } else if (t.cause == Cause::done && !job.done.contains(placement.task)) {
       job.done.add(placement.task);
@@ -539,13 +539,13 @@
 }
 
 // Ends the placements that a report proves gone by not naming them.
-void ClusterState::end_absent(Machine& m, const wire::Report& r, const Attempts& reported,
+void ClusterState::end_absent(Machine& m, const wire::Report& r, const Attempts& reported_attempts,
                               double now) {
   const auto tasks = m.tasks;  // ending a placement changes the list
   for (const auto& held : tasks) {
     Job& j = *held.job;
     Placement& p = held.placement();
-    if (reported.contains({{j.spec.id, p.task}, p.attempt})) continue;
+    if (reported_attempts.contains({{j.spec.id, p.task}, p.attempt})) continue;
     if (p.unconfirmed_session == r.session) continue;  // may still be executed
     const bool told = p.start_session != 0;
     if (told && std::pair(r.session, r.tick) <= std::pair(p.start_session, p.start_tick)) {
@@ -578,9 +578,9 @@
   std::vector<wire::Order> out;
   Machine* m = machine(r.machine);
   if (m == nullptr) return out;
-  std::set<std::pair<wire::TaskName, std::uint64_t>> reported;
+  std::set<std::pair<wire::TaskName, std::uint64_t>> reported_attempts;
   for (const auto& t : r.tasks) {
-    reported.insert({t.task, t.attempt});
+    reported_attempts.insert({t.task, t.attempt});
     Job* j = job(t.task.job);
     const Placement* p = j != nullptr ? j->find(t.task.index, t.attempt) : nullptr;
     const bool ours = p != nullptr && p->machine == m->id;
@@ -609,7 +609,7 @@
     // it end. Told here of both, the worker knows the attempt, and the start in doubt has no effect
     // any more.
     if (p.stop && p.unconfirmed_session != r.session) continue;
-    if (reported.contains({{j.spec.id, p.task}, p.attempt})) continue;
+    if (reported_attempts.contains({{j.spec.id, p.task}, p.attempt})) continue;
     out.push_back({wire::Verb::start, {j.spec.id, p.task}, p.attempt, 0});
     if (p.stop) out.push_back({wire::Verb::stop, {j.spec.id, p.task}, p.attempt, 0});
     p.start_session = r.session;
@@ -650,7 +650,7 @@
   // A worker that has not shown our token may still listen to a former leader. That one's last
   // renewal came before our leadership, and it answers, or lets others answer, for no longer than
   // this after it: what lets a successor promise cancellations.
-  if (!m.shown_token) {
+  if (!m.token_acknowledged) {
     at = std::max(at, began_ + base::answer_span(settings_) * (1 + 4 * base::kClockDrift));
   }
   for (const auto& [name, until] : m.kept_until) {
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -49,7 +49,7 @@
   bool overdue = false;                 ///< it has booted for so long that it may never come up
   bool rented_here = false;             ///< by this leader
   bool reported = false;                ///< to this leader
-  bool shown_token = false;             ///< in the session and since this leader's token
+  bool token_acknowledged = false;      ///< in the session and since this leader's token
   std::uint64_t session = 0, tick = 0;  ///< newest message of any kind
   std::uint64_t own_session = 0, own_tick = 0;  ///< newest report of its own
   double last_report = 0;
@@ -77,7 +77,7 @@
   std::set<std::pair<wire::TaskName, std::uint64_t>> unconfirmed_starts;
 
   /// Since this leader began: a report alone may be a late copy of a machine that is gone.
-  bool confirmed() const { return shown_token || rented_here; }
+  bool confirmed() const { return token_acknowledged || rented_here; }
   bool holds_image(const std::string& image) const;
   bool idle() const { return tasks.empty() && unknown_tasks == 0; }
 };
@@ -85,8 +85,8 @@
 class ClusterState {
  public:
   /// `began` is when the leadership was known to be ours.
-  ClusterState(const base::Settings& settings, std::uint64_t token, double began)
-      : settings_(settings), token_(token), began_(began) {}
+  ClusterState(const base::Settings& settings, std::uint64_t fencing_token, double began)
+      : settings_(settings), fencing_token_(fencing_token), began_(began) {}
 
   // Jobs.
   /// Takes over what is stored. What was learnt of the job and its placements is kept.
@@ -194,7 +194,7 @@
   /// the machine yet.
   bool in_force(const Reservation& reservation) const;
   const base::Settings& settings() const { return settings_; }
-  std::uint64_t token() const { return token_; }
+  std::uint64_t fencing_token() const { return fencing_token_; }
   double lease_bound() const;
   /// True since the last call when something happened that placement should look at.
   bool take_changed() { return std::exchange(changed_, false); }
@@ -206,8 +206,8 @@
   void note_message(Machine& machine, const wire::Report& report, double now);
   Attempts apply_tasks(Machine& machine, const wire::Report& report, double now);
   void apply_task(Machine& machine, Job& job, Placement& placement, const wire::TaskReport& report,
-                  bool shows_token, double now);
-  void end_absent(Machine& machine, const wire::Report& report, const Attempts& reported,
+                  bool acknowledges_token, double now);
+  void end_absent(Machine& machine, const wire::Report& report, const Attempts& reported_attempts,
                   double now);
   void task_exited(Job& job, Placement& placement, const wire::TaskReport& report, Machine& machine,
                    double now);
@@ -225,7 +225,7 @@
   void detach(Job& job, const Placement& placement, double now);
 
   const base::Settings& settings_;
-  std::uint64_t token_;
+  std::uint64_t fencing_token_;
   double began_;
   std::map<std::string, Job> jobs_;
   Dependencies dependencies_;
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -235,15 +235,15 @@
     const auto machine = read_text(o, "Rig"), address = read_text(o, "Address"),
                type = read_text(o, "Frame"), zone = read_text(o, "Yard");
     const auto session = read_count(o, "Shift"), tick = read_count(o, "Tick"),
-               token = read_count(o, "KeyTurn");
+               fencing_token = read_count(o, "KeyTurn");
     const auto spot = read_flag(o, "Loaners");
     const Json* tasks = find(o, "Teeth");
-    if (!machine || machine->empty() || !address || !type || !zone || !session || !tick || !token ||
-        !spot || (tasks != nullptr && !tasks->IsArray())) {
+    if (!machine || machine->empty() || !address || !type || !zone || !session || !tick ||
+        !fencing_token || !spot || (tasks != nullptr && !tasks->IsArray())) {
       return std::nullopt;
     }
     r.machine = *machine, r.address = *address, r.type = *type, r.zone = *zone, r.spot = *spot;
-    r.session = *session, r.tick = *tick, r.token = *token;
+    r.session = *session, r.tick = *tick, r.fencing_token = *fencing_token;
     if (const Json* notice = find(o, "WarningS")) {
       if (!notice->IsNumber()) return std::nullopt;
       r.notice_s = notice->GetDouble();
@@ -277,18 +277,18 @@
 }
 }  // namespace
 
-std::string orders_answer(std::uint64_t token, const std::vector<Order>& orders) {
+std::string orders_answer(std::uint64_t fencing_token, const std::vector<Order>& orders) {
   JsonWriter w;
-  w.begin().key("KeyTurn").count(token);
+  w.begin().key("KeyTurn").count(fencing_token);
   write_orders(w, orders);
   w.end();
   return w.take();
 }
 
-std::string orders_command(std::uint64_t token, std::uint64_t session,
+std::string orders_command(std::uint64_t fencing_token, std::uint64_t session,
                            const std::vector<Order>& orders) {
   JsonWriter w;
-  w.begin().key("KeyTurn").count(token).key("Shift").count(session);
+  w.begin().key("KeyTurn").count(fencing_token).key("Shift").count(session);
   write_orders(w, orders);
   w.end();
   return w.take();
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -9,7 +9,7 @@
 namespace cranklock::defrag {
 namespace {
 
-using testing::kToken;
+using testing::kFencingToken;
 using testing::make_job;
 
 /// Two machines of eight GPUs, each half full with a running task that saves, and a job of the same
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using testing::Fleet;
-using testing::kToken;
+using testing::kFencingToken;
 using testing::make_job;
 using testing::report;
 using testing::task;
@@ -59,9 +59,9 @@
 TEST(ClusterState, AReportThatDoesNotShowOurTokenProvesNothing) {
   Placed s;
   s.placement().seen = true;  // a former leader's command may still be under way
-  s.checkin(report("n-1", 1, 2, {}, kToken - 1));
+  s.checkin(report("n-1", 1, 2, {}, kFencingToken - 1));
   EXPECT_FALSE(s.placement().ended);
-  s.checkin(report("n-1", 1, 3, {}, kToken));
+  s.checkin(report("n-1", 1, 3, {}, kFencingToken));
   EXPECT_TRUE(s.placement().ended);
 }
 
@@ -121,7 +121,7 @@
   Fleet s;
   s.add(make_job("j-000001", wire::Shape::service, 1, 4));
   for (std::uint64_t tick = 2; tick <= 4; ++tick) {
-    s.cluster.apply_report(report("n-1", 1, tick, {}, kToken - 1), true, 2);
+    s.cluster.apply_report(report("n-1", 1, tick, {}, kFencingToken - 1), true, 2);
     s.cluster.note_answered("n-1", 2);
   }
   EXPECT_EQ(s.pass(3).placed, 0);
@@ -150,7 +150,7 @@
   EXPECT_TRUE(s.placement().ended);
 
   Placed other;
-  other.cluster.machine("n-1")->shown_token = false;
+  other.cluster.machine("n-1")->token_acknowledged = false;
   const double last = base::answer_span(other.settings);  // our leadership began at 0
   EXPECT_TRUE(other.cluster.expire_leases(last + other.settings.lease_s).empty());
   EXPECT_FALSE(other.placement().ended);
@@ -182,7 +182,7 @@
 TEST(ClusterState, ALeaseIsTimedFromTheTokensFirstShowing) {
   Placed s;
   Machine& m = *s.cluster.machine("n-1");
-  m.shown_token = false;
+  m.token_acknowledged = false;
   m.last_answered = 0;
   s.cluster.apply_report(report("n-1", 1, 9), false, 100);
   EXPECT_TRUE(s.cluster.expire_leases(105).empty());
@@ -420,7 +420,7 @@
 TEST(ClusterState, AZoneIsDarkWhenAllItsWorkersGoQuietAndOthersDoNot) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}, {"n-4", "b"}});
   EXPECT_TRUE(s.cluster.watch_zones(5).empty());  // nobody is heard: it is us who are cut off
-  s.cluster.apply_report(report("n-4", 1, 2, {}, kToken, "b"), true, 5);
+  s.cluster.apply_report(report("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
   EXPECT_EQ(s.cluster.watch_zones(5), std::vector<std::string>{"a"});
   EXPECT_FALSE(usable(s.cluster, *s.cluster.machine("n-1")));
   EXPECT_TRUE(usable(s.cluster, *s.cluster.machine("n-4")));
@@ -436,7 +436,7 @@
   s.add(make_job("j-000001", wire::Shape::service, 2, 8));
   ASSERT_EQ(s.pass().placed, 2);
   ASSERT_TRUE(s.pass().shortfall.wanted.empty());
-  s.cluster.apply_report(report("n-4", 1, 2, {}, kToken, "b"), true, 5);
+  s.cluster.apply_report(report("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
   s.cluster.watch_zones(5);
   const auto wanted = s.pass(5).shortfall.wanted;  // one of the two finds room on n-4
   ASSERT_EQ(wanted.size(), 1u);
@@ -517,7 +517,7 @@
   s.cluster.apply_report(report("n-7", 1, 9,
                                 {task("j-000001", 0, 1, exited, wire::Cause::stopped),
                                  task("j-000001", 1, 2, exited, wire::Cause::done)},
-                                kToken - 1),
+                                kFencingToken - 1),
                          true, 1);
   EXPECT_EQ(job.live(), 2U);
   EXPECT_TRUE(job.done.contains(1));  // what is done stays done
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -48,10 +48,11 @@
   return job;
 }
 
-inline constexpr std::uint64_t kToken = 7;
+inline constexpr std::uint64_t kFencingToken = 7;
 
 inline wire::Report report(const std::string& machine, std::uint64_t session, std::uint64_t tick,
-                           std::vector<wire::TaskReport> tasks = {}, std::uint64_t token = kToken,
+                           std::vector<wire::TaskReport> tasks = {},
+                           std::uint64_t fencing_token = kFencingToken,
                            const std::string& zone = "a", const std::string& type = "g8") {
   wire::Report r;
   r.machine = machine;
@@ -60,7 +61,7 @@
   r.zone = zone;
   r.session = session;
   r.tick = tick;
-  r.token = token;
+  r.fencing_token = fencing_token;
   r.tasks = std::move(tasks);
   return r;
 }
@@ -73,7 +74,7 @@
 /// A cluster state with types, and machines that have reported.
 struct Fleet {
   base::Settings settings = small_settings();
-  sched::ClusterState cluster{settings, kToken, 0};
+  sched::ClusterState cluster{settings, kFencingToken, 0};
   std::map<sched::MachineKind, double> refused;
 
   struct Where {
@@ -83,7 +84,7 @@
   explicit Fleet(std::initializer_list<Where> machines) {
     cluster.set_types({machine_type()});
     for (const auto& [id, zone] : machines) {
-      cluster.apply_report(report(id, 1, 1, {}, kToken, zone), true, 0);
+      cluster.apply_report(report(id, 1, 1, {}, kFencingToken, zone), true, 0);
       cluster.note_answered(id, 0);
     }
   }
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -112,7 +112,7 @@
     for (int node = 0; node < w.nodes(); ++node) {
       auto* term = w.term(node);
       const bool leads = term != nullptr && key != w.state_service.values.end() &&
-                         term->cluster().token() == key->second.revision;
+                         term->cluster().fencing_token() == key->second.revision;
       if (leads) return node;
     }
     return -1;
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -10,7 +10,7 @@
 namespace cranklock::defrag {
 namespace {
 
-using testing::kToken;
+using testing::kFencingToken;
 using testing::make_job;
 
 constexpr const char* kFirst = "j-000001";
@@ -57,7 +57,9 @@
     placement.running_since = 0;
   }
   std::int64_t wall_ms() const { return kWallMs + static_cast<std::int64_t>(now * 1000); }
-  MoveExecutor executor(bool services = false) { return {fleet.cluster, kToken, services, 0}; }
+  MoveExecutor executor(bool services = false) {
+    return {fleet.cluster, kFencingToken, services, 0};
+  }
   void look(MoveExecutor& executor) { executor.look(kAnySize, wall_ms(), now); }
   void advance(MoveExecutor& executor) { executor.advance(wall_ms(), now); }
   /// What a successful write would do.
@@ -127,7 +129,7 @@
   auto former = halves.executor();
   halves.look(former);
   Halves::store(former);
-  MoveExecutor successor(halves.fleet.cluster, kToken, false, halves.now);
+  MoveExecutor successor(halves.fleet.cluster, kFencingToken, false, halves.now);
   successor.load(former.wanted(), halves.wall_ms(), halves.now);
   for (const char* id : {"n-1", "n-2"}) halves.fleet.cluster.machine(id)->reported = false;
   halves.advance(successor);
--- a/tests/report_forwarder_test.cpp
+++ b/tests/report_forwarder_test.cpp
@@ -25,15 +25,15 @@
       sent.push_back(std::get<peer::ForwardedReport>(frame));
     });
   }
-  void hear(std::uint64_t token = 7) {
-    peer::Hello hello{"n9", token, true, true};
+  void hear(std::uint64_t fencing_token = 7) {
+    peer::Hello hello{"n9", fencing_token, true, true};
     hello.sent_ms = 5;
     forwarder.heard(hello);
   }
   /// The status, once the worker's patience is nearly over at the latest.
-  int forward(std::uint64_t token = 7, int answer_alone_ms = -1) {
-    auto task =
-        forwarder.forward(report("n-1", 1, 1, {}, token), "{}", [this] { return state_heard; });
+  int forward(std::uint64_t fencing_token = 7, int answer_alone_ms = -1) {
+    auto task = forwarder.forward(report("n-1", 1, 1, {}, fencing_token), "{}",
+                                  [this] { return state_heard; });
     task.start();
     if (answer_alone_ms >= 0 && !task.done()) {
       forwarder.answered(
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -888,8 +888,8 @@
       w.target = to.empty() ? next : to[1] - '0';
     } else if (response->status != 200) {
       w.target = next;
-    } else if (document.root()["KeyTurn"].GetUint64() >= w.token) {
-      w.token = document.root()["KeyTurn"].GetUint64();
+    } else if (document.root()["KeyTurn"].GetUint64() >= w.fencing_token) {
+      w.fencing_token = document.root()["KeyTurn"].GetUint64();
       w.turned_away = false;
       w.answered_sent = sent;
       w.execute(document.root()["Orders"], *surroundings_, reactor.now());
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -173,7 +173,7 @@
 TEST(Versions, FramesBetweenControllersAreThoseOfProduction) {
   peer::Hello hello;
   hello.name = "n0";
-  hello.token = 5;
+  hello.fencing_token = 5;
   hello.reaches_state = true;
   hello.run = 2;
   hello.sent_ms = 3;
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -165,7 +165,7 @@
   EXPECT_TRUE(report->spot);
   EXPECT_EQ(report->session, 11U);
   EXPECT_EQ(report->tick, 12U);
-  EXPECT_EQ(report->token, 13U);
+  EXPECT_EQ(report->fencing_token, 13U);
   EXPECT_EQ(report->notice_s, 29.5);
   ASSERT_EQ(report->tasks.size(), 1U);
   EXPECT_EQ(report->tasks[0].task, (wire::TaskName{"j-000412", 3}));
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -90,7 +90,7 @@
   JsonWriter j;
   j.begin().key("Rig").text(id).key("Address").text(address).key("Frame").text(kind.type);
   j.key("Yard").text(kind.zone).key("Loaners").flag(kind.spot).key("Shift").count(session);
-  j.key("Tick").count(++tick).key("KeyTurn").count(token);
+  j.key("Tick").count(++tick).key("KeyTurn").count(fencing_token);
   if (notice_s) j.key("WarningS").amount(*notice_s);
   j.key("Teeth").list();
   for (const auto& [name, t] : tasks) {
@@ -111,10 +111,10 @@
   progress(surroundings, now);
   const JsonDocument document(request.body);
   const auto told = document.root()["KeyTurn"].GetUint64();
-  if (told < token || document.root()["Shift"].GetUint64() != session) {
+  if (told < fencing_token || document.root()["Shift"].GetUint64() != session) {
     return control::plain_answer(409, report());
   }
-  token = told;
+  fencing_token = told;
   execute(document.root()["Orders"], surroundings, now);
   return control::plain_answer(200, report());
 }
