--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -95,8 +95,8 @@
 )",
       member_name(own.name, index), zone(index), region.controller_address(index, users),
       region.controller_address(index, peers), others, region.cloud_address(),
-      region.state_address(), own.controllers, joined, teams, plan_.report_s, plan_.lease_s,
-      plan_.cancel_s, plan_.state_write_rps, plan_.fd_limit, plan_.ram_mb);
+      region.state_address(), own.controllers, joined, teams, plan_.heartbeat_interval_s,
+      plan_.lease_s, plan_.cancel_s, plan_.state_write_rps, plan_.fd_limit, plan_.ram_mb);
 }
 
 void Controllers::write_operator_file(const std::vector<std::unique_ptr<Region>>& regions,
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -118,7 +118,7 @@
   scope.spawn(cloud_server_->run());
   for (int i = 0; i < region_.workers; ++i) {
     const auto zone = static_cast<std::size_t>(i) % region_.zones.size();
-    add_worker(region_.zones[zone], false, reactor_.now() + plan_.report_s * chance());
+    add_worker(region_.zones[zone], false, reactor_.now() + plan_.heartbeat_interval_s * chance());
   }
   return true;
 }
@@ -266,8 +266,8 @@
     const auto session = stand_in.session;
     stand_in.end_lease(plan_.lease_s, reactor_.now());
     ended_leases_ += stand_in.session == session ? 0 : 1;
-    if (worker.changed || reactor_.now() >= worker.next_report) {
-      auto reporting = report(worker);
+    if (worker.changed || reactor_.now() >= worker.next_heartbeat) {
+      auto reporting = heartbeat(worker);
       co_await reporting;
     }
     Sleep pause(reactor_, kTick * (0.9 + 0.2 * chance()));
@@ -275,26 +275,26 @@
   }
 }
 
-Task<void> Region::report(Worker& worker) {
+Task<void> Region::heartbeat(Worker& worker) {
   worker.changed = false;
-  worker.next_report = reactor_.now() + plan_.report_s * (0.75 + 0.5 * chance());
+  worker.next_heartbeat = reactor_.now() + plan_.heartbeat_interval_s * (0.75 + 0.5 * chance());
   const double sent = reactor_.now();
   const auto session = worker.stand_in.session;
-  Request request{"POST", "/checkin", "", worker.stand_in.report(), true};
+  Request request{"POST", "/checkin", "", worker.stand_in.heartbeat(), true};
   auto calling =
       worker.client.call(controller_address(worker.target, 0), std::move(request), kAnswerTimeout);
   const auto reply = co_await calling;
   if (reply.status() == 200) {
-    report_s_.push_back(reactor_.now() - sent);
+    heartbeat_s_.push_back(reactor_.now() - sent);
   } else {
-    ++failed_reports_;
+    ++failed_heartbeats_;
   }
   if (worker.gone || session != worker.stand_in.session) co_return;
   if (reply.answered()) {
     take_answer(worker, reply.response, sent);
   } else {
     worker.target = (worker.target + 1) % region_.controllers;
-    worker.next_report = reactor_.now() + 1;
+    worker.next_heartbeat = reactor_.now() + 1;
   }
 }
 
@@ -316,11 +316,11 @@
   const auto dash = named.rfind('-');
   if (response.status == 421 && dash != std::string::npos) {
     worker.target = std::stoi(named.substr(dash + 1)) % region_.controllers;
-    worker.next_report = reactor_.now();
+    worker.next_heartbeat = reactor_.now();
     return;
   }
   worker.target = (worker.target + 1) % region_.controllers;
-  worker.next_report = reactor_.now() + 1;
+  worker.next_heartbeat = reactor_.now() + 1;
 }
 
 }  // namespace cranklock::lab
--- a/lab/region.hpp
+++ b/lab/region.hpp
@@ -67,8 +67,8 @@
   testing::StateStandIn& state() { return state_; }
   int workers() const;
   /// How long workers' reports took to be answered 200, in seconds, and how many were not.
-  const std::vector<double>& report_seconds() const { return report_s_; }
-  int failed_reports() const { return failed_reports_; }
+  const std::vector<double>& heartbeat_seconds() const { return heartbeat_s_; }
+  int failed_heartbeats() const { return failed_heartbeats_; }
   int ended_leases() const { return ended_leases_; }
   /// What it holds, for the rule checker.
   template <typename Use>
@@ -84,7 +84,7 @@
     testing::WorkerStandIn stand_in;
     net::HttpClient client;
     std::unique_ptr<net::HttpServer> server;
-    double ready_at = 0, next_report = 0, last_sent = 0;
+    double ready_at = 0, next_heartbeat = 0, last_sent = 0;
     int target = 0;
     bool changed = false, gone = false;
     net::Scope scope;
@@ -97,7 +97,7 @@
   net::Response list(const net::Request& request) const;
   Worker& add_worker(const std::string& zone, bool spot, double ready_at);
   net::Task<void> work(Worker& worker);
-  net::Task<void> report(Worker& worker);
+  net::Task<void> heartbeat(Worker& worker);
   void take_answer(Worker& worker, const net::Response& response, double sent);
   double chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
 
@@ -113,8 +113,8 @@
   std::map<std::string, std::unique_ptr<Worker>> workers_;
   std::map<std::string, std::string> rentals_;
   int rented_ = 0;
-  std::vector<double> report_s_;
-  int failed_reports_ = 0, ended_leases_ = 0;
+  std::vector<double> heartbeat_s_;
+  int failed_heartbeats_ = 0, ended_leases_ = 0;
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
 };
 
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -446,9 +446,9 @@
     w.key("state_requests").count(state.requests).key("state_writes").count(state.writes);
     w.key("state_writes_refused").integer(state.refused_writes);
     w.key("state_keys").count(state.values.size());
-    write_percentiles(w, "report_s", region->report_seconds());
-    w.key("reports").count(region->report_seconds().size());
-    w.key("reports_not_answered").integer(region->failed_reports());
+    write_percentiles(w, "report_s", region->heartbeat_seconds());
+    w.key("reports").count(region->heartbeat_seconds().size());
+    w.key("reports_not_answered").integer(region->failed_heartbeats());
     w.key("leases_ended").integer(region->ended_leases());
     const auto held = held_gpus_.find(region->plan().name);
     if (held != held_gpus_.end()) write_percentiles(w, "share_gpus", held->second);
--- a/lab/settings.cpp
+++ b/lab/settings.cpp
@@ -158,7 +158,7 @@
                     {"peak_factor", plan.peak_factor, 1},
                     {"guarantee_gpus", plan.guarantee_gpus, 0},
                     {"limit_gpus", plan.limit_gpus, 1},
-                    {"report_s", plan.report_s, 0.1},
+                    {"report_s", plan.heartbeat_interval_s, 0.1},
                     {"lease_s", plan.lease_s, 1},
                     {"cancel_s", plan.cancel_s, 2},
                     {"boot_s", plan.boot_s, 0.1},
--- a/lab/settings.hpp
+++ b/lab/settings.hpp
@@ -59,7 +59,7 @@
   double peak_from_s = 0, peak_for_s = 0, peak_factor = 1;
   int teams = 12;
   double guarantee_gpus = 8, limit_gpus = 16;  ///< of each team
-  double report_s = 4, lease_s = 22, cancel_s = 52, boot_s = 5;
+  double heartbeat_interval_s = 4, lease_s = 22, cancel_s = 52, boot_s = 5;
   double fetch_s = 0.5;
   double worker_gpus = 8;
   double state_write_rps = 120;
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -46,7 +46,7 @@
                             r.has("share") ? r.number("share", 0) : 0});
   });
   const auto workers = facts.table("workers");
-  s.report_s = workers.number("report_s", 0, true);
+  s.heartbeat_interval_s = workers.number("report_s", 0, true);
   s.lease_s = workers.number("lease_s", 0, true);
   s.gang_wait_s = workers.number("gang_wait_s", 0, true);
   s.gang_peer_s = workers.number("gang_peer_s", 0, true);
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -65,7 +65,7 @@
   double clock_error_s = 1.0;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 3, lease_s = 30, gang_wait_s = 45, gang_peer_s = 4, cancel_s = 50;
+  double heartbeat_interval_s = 3, lease_s = 30, gang_wait_s = 45, gang_peer_s = 4, cancel_s = 50;
   /// Limits of the state service: of each, the smaller of what holds now and what `state.next`
   /// announces, which comes without notice.
   double state_rps = 100, state_write_rps = 30, value_kb = 8;
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -52,9 +52,10 @@
   }
   for (const auto& id : machines) {
     const Machine* m = cluster_.machine(id);
-    if (m == nullptr || !m->reported || m->silent || m->removing || m->address.empty()) continue;
+    if (m == nullptr || !m->heartbeat_received || m->silent || m->removing || m->address.empty())
+      continue;
     // A worker not heard of lately would only leave starts in doubt.
-    if (at - m->last_report > 2 * services_.settings.report_s) continue;
+    if (at - m->last_heartbeat > 2 * services_.settings.heartbeat_interval_s) continue;
     if (calling_.size() >= most_calls()) return;
     if (calling_.insert(id).second) scope_.spawn(send_to(id));
   }
@@ -81,11 +82,11 @@
   return orders;
 }
 
-// `report` is the worker's where it executed the orders; otherwise they were certainly not
+// `heartbeat` is the worker's where it executed the orders; otherwise they were certainly not
 // executed.
 void CommandSender::confirm_starts(Machine& machine, std::uint64_t session,
                                    const std::vector<wire::Order>& orders,
-                                   const std::optional<wire::Report>& report) {
+                                   const std::optional<wire::Heartbeat>& heartbeat) {
   for (const auto& order : orders) {
     if (order.verb != wire::Verb::start) continue;
     if (machine.session == session) {
@@ -95,9 +96,9 @@
     auto* placement = job != nullptr ? job->find(order.task.index, order.attempt) : nullptr;
     if (placement == nullptr) continue;
     placement->unconfirmed_session = 0;
-    if (!report) continue;
-    placement->start_session = std::max(placement->start_session, report->session);
-    placement->start_tick = std::max(placement->start_tick, report->tick);
+    if (!heartbeat) continue;
+    placement->start_session = std::max(placement->start_session, heartbeat->session);
+    placement->start_tick = std::max(placement->start_tick, heartbeat->tick);
   }
 }
 
@@ -111,25 +112,26 @@
   }
   net::Request request{"POST", "/commands", "",
                        wire::orders_command(leader_lease_.fencing_token(), session, orders), true};
-  auto calling =
-      services_.transport.call(machine->address, std::move(request), services_.settings.report_s);
+  auto calling = services_.transport.call(machine->address, std::move(request),
+                                          services_.settings.heartbeat_interval_s);
   const auto reply = co_await calling;
   calling_.erase(id);
   if (reply.kind != net::Reply::Kind::not_sent && reply.status() != 200 && reply.status() != 409) {
     spdlog::debug("starts sent to {} are in doubt", id);
     co_return;
   }
-  const auto report = reply.answered() ? wire::parse_report(reply.response.body) : std::nullopt;
-  if (reply.answered() && (!report || report->machine != id)) co_return;  // tells nothing
+  const auto heartbeat =
+      reply.answered() ? wire::parse_heartbeat(reply.response.body) : std::nullopt;
+  if (reply.answered() && (!heartbeat || heartbeat->machine != id)) co_return;  // tells nothing
   machine = cluster_.machine(id);
   if (machine == nullptr) co_return;
-  confirm_starts(*machine, session, orders, reply.status() == 200 ? report : std::nullopt);
-  if (!report) co_return;
-  if (report->fencing_token > leader_lease_.fencing_token()) {
+  confirm_starts(*machine, session, orders, reply.status() == 200 ? heartbeat : std::nullopt);
+  if (!heartbeat) co_return;
+  if (heartbeat->fencing_token > leader_lease_.fencing_token()) {
     term_.lose("a worker has seen a higher token");
     co_return;
   }
-  cluster_.apply_report(*report, false, now());
+  cluster_.reconcile_heartbeat(*heartbeat, false, now());
   work_.set();
 }
 
@@ -138,17 +140,17 @@
 Task<void> CommandSender::announce_fencing_token() {
   const auto& s = services_.settings;
   for (;;) {
-    Sleep pause(services_.reactor, s.report_s / 2);
+    Sleep pause(services_.reactor, s.heartbeat_interval_s / 2);
     co_await pause;
     const double at = now();
-    if (at - term_began_ < 1.5 * s.report_s) continue;  // most come by themselves
+    if (at - term_began_ < 1.5 * s.heartbeat_interval_s) continue;  // most come by themselves
     std::vector<std::string> due;
     std::erase_if(announced_at_,
                   [&](const auto& call) { return cluster_.machine(call.first) == nullptr; });
     for (const auto& [id, m] : cluster_.machines()) {
       if (m.token_acknowledged || m.removing || m.failed || m.address.empty() || !m.listed)
         continue;
-      if (m.booting || at - m.last_report < 2 * s.report_s) continue;
+      if (m.booting || at - m.last_heartbeat < 2 * s.heartbeat_interval_s) continue;
       const auto last = announced_at_.find(id);
       if (last != announced_at_.end() && at - last->second < s.lease_s / 3) continue;
       due.push_back(id);
@@ -169,21 +171,21 @@
     if (m->session != 0) session = m->session;
     net::Request request{"POST", "/commands", "",
                          wire::orders_command(leader_lease_.fencing_token(), session, {}), true};
-    auto calling =
-        services_.transport.call(m->address, std::move(request), services_.settings.report_s);
+    auto calling = services_.transport.call(m->address, std::move(request),
+                                            services_.settings.heartbeat_interval_s);
     const auto reply = co_await calling;
     if (reply.status() != 200 && reply.status() != 409) break;
-    const auto report = wire::parse_report(reply.response.body);
-    if (!report || report->machine != id || term_.is_deleted(id)) break;
-    if (report->fencing_token > leader_lease_.fencing_token()) {
+    const auto heartbeat = wire::parse_heartbeat(reply.response.body);
+    if (!heartbeat || heartbeat->machine != id || term_.is_deleted(id)) break;
+    if (heartbeat->fencing_token > leader_lease_.fencing_token()) {
       term_.lose("a worker has seen a higher token");
       break;
     }
     term_.heard_worker();
-    cluster_.apply_report(*report, false, now());
+    cluster_.reconcile_heartbeat(*heartbeat, false, now());
     work_.set();
-    if (reply.status() == 200 || report->session == session) break;
-    session = report->session;  // it was told under the wrong session: once more
+    if (reply.status() == 200 || heartbeat->session == session) break;
+    session = heartbeat->session;  // it was told under the wrong session: once more
   }
   calling_.erase(id);
 }
--- a/src/control/command_sender.hpp
+++ b/src/control/command_sender.hpp
@@ -45,7 +45,7 @@
   std::vector<wire::Order> take_due_orders(sched::Machine& machine);
   void confirm_starts(sched::Machine& machine, std::uint64_t session,
                       const std::vector<wire::Order>& orders,
-                      const std::optional<wire::Report>& report);
+                      const std::optional<wire::Heartbeat>& heartbeat);
   net::Task<void> send_fencing_token(std::string machine);
   double now() const { return services_.reactor.now(); }
   /// Guards the sockets against hung machines by the hundred, each of which holds one until its
--- a/src/control/ending_reader.cpp
+++ b/src/control/ending_reader.cpp
@@ -29,7 +29,7 @@
       found.outcome == Outcome::ok ? read_ending(found.value.data) : std::optional<Ending>();
   if (!ending) {
     // Not to be had now; or the job is live, and the changes of it are still to come.
-    retry_at_[id] = reactor_.now() + cluster_.settings().report_s / 2;
+    retry_at_[id] = reactor_.now() + cluster_.settings().heartbeat_interval_s / 2;
     co_return;
   }
   sched::Dependencies::Ending known;
--- a/src/control/job_follower.cpp
+++ b/src/control/job_follower.cpp
@@ -109,7 +109,7 @@
         continue;
       }
     }
-    Sleep pause(services_.reactor, std::min(services_.settings.report_s, wait) / 4);
+    Sleep pause(services_.reactor, std::min(services_.settings.heartbeat_interval_s, wait) / 4);
     co_await pause;
   }
 }
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -80,9 +80,9 @@
 // those that report, as long as there is time for it.
 double MachineLifecycle::cancel_due(const Job& job) const {
   const auto& s = services_.settings;
-  const double due = job.withdrawn_since + (s.cancel_s - s.report_s) / 2;
+  const double due = job.withdrawn_since + (s.cancel_s - s.heartbeat_interval_s) / 2;
   const double heard =
-      std::min(term_began_ + 2.5 * s.report_s, job.withdrawn_since + s.cancel_s * 0.75);
+      std::min(term_began_ + 2.5 * s.heartbeat_interval_s, job.withdrawn_since + s.cancel_s * 0.75);
   return std::max(due, heard);
 }
 
@@ -135,7 +135,7 @@
 
 Task<void> MachineLifecycle::delete_retired() {
   for (;;) {
-    net::Signal::Wait wait(deletions_, services_.settings.report_s);
+    net::Signal::Wait wait(deletions_, services_.settings.heartbeat_interval_s);
     co_await wait;
     const auto names = due_deletions();
     if (names.empty()) continue;
@@ -147,7 +147,7 @@
       if (may_be_more) deletions_.set();
       continue;
     }
-    Sleep pause(services_.reactor, services_.settings.report_s / 2);
+    Sleep pause(services_.reactor, services_.settings.heartbeat_interval_s / 2);
     co_await pause;
   }
 }
@@ -165,7 +165,7 @@
   const auto& s = services_.settings;
   const auto* type = cluster_.type(m.kind.type);
   if (m.failed) return retire(m, "it has stopped on its own");
-  if (!m.reported) {
+  if (!m.heartbeat_received) {
     // A list alone proves nothing; a machine that has not reported for several boot times, to a
     // leader who has been there for long enough, does no work.
     const double expected =
@@ -190,7 +190,7 @@
   // Its work moves while it still runs: what saves is told to save.
   for (const auto& held : m.tasks) {
     const auto& spec = held.job->spec;
-    if (spec.checkpoint_s > 0 && *m.taken_at - at < 2 * spec.save_s + 3 * s.report_s) {
+    if (spec.checkpoint_s > 0 && *m.taken_at - at < 2 * spec.save_s + 3 * s.heartbeat_interval_s) {
       sched::ClusterState::request_stop(held.placement(), spec.save_s, at);
     }
   }
@@ -198,7 +198,7 @@
 
 Task<void> MachineLifecycle::supervise() {
   for (;;) {
-    Sleep pause(services_.reactor, services_.settings.report_s / 3);
+    Sleep pause(services_.reactor, services_.settings.heartbeat_interval_s / 3);
     co_await pause;
     const double at = now();
     note_silence(at);
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -44,7 +44,7 @@
 Task<void> MoveService::run() {
   for (;;) {
     log_plans();
-    net::Signal::Wait wait(due_, services_.settings.report_s / 4);
+    net::Signal::Wait wait(due_, services_.settings.heartbeat_interval_s / 4);
     co_await wait;
     if (term_.is_lost()) co_return;
     executor_.advance(wall_ms(), now());
@@ -67,7 +67,7 @@
   const double began = now();
   executor_.look(services_.store.value_bytes(), wall_ms(), began);
   const double took = now() - began;
-  look_after_ = now() + std::max(services_.settings.report_s, kRestAfterLook * took);
+  look_after_ = now() + std::max(services_.settings.heartbeat_interval_s, kRestAfterLook * took);
 }
 
 void MoveService::log_plans() {
@@ -105,7 +105,7 @@
     auto reading = read_revision();
     co_await reading;
   } else {
-    write_after_ = now() + services_.settings.report_s / 8;
+    write_after_ = now() + services_.settings.heartbeat_interval_s / 8;
   }
 }
 
@@ -131,8 +131,8 @@
   }
   const auto& endpoint = services_.settings.operators.defrag.drain;
   net::Request call{"POST", endpoint.path, "", defrag::write_drain_request(request), true};
-  auto calling =
-      services_.transport.call(endpoint.address, std::move(call), services_.settings.report_s);
+  auto calling = services_.transport.call(endpoint.address, std::move(call),
+                                          services_.settings.heartbeat_interval_s);
   const auto reply = co_await calling;
   std::optional<DrainAnswer> answer;
   if (reply.status() == 200) answer = defrag::read_drain_answer(reply.response.body);
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -19,12 +19,12 @@
       forwarder_(services.reactor, services.settings),
       lost_(services.reactor),
       roster_(4 * hello_every(services.settings)),
-      direct_reports_(2 * services.settings.report_s),
+      direct_heartbeats_(2 * services.settings.heartbeat_interval_s),
       run_(static_cast<std::uint64_t>(services.reactor.wall_ms())) {}
 
 void Node::set_connection_load(std::function<double()> load) {
   connection_load_ = std::move(load);
-  forwarder_.set_may_wait([this] { return !connections_crowd(); });
+  forwarder_.set_may_wait([this] { return !connections_overloaded(); });
 }
 
 Node::~Node() {
@@ -47,58 +47,61 @@
 peer::Hello Node::hello() const {
   const double now = services_.reactor.now();
   peer::Hello hello{services_.settings.name, leader_fencing_token(), reaches_state(),
-                    now - workers_heard_ < 2 * services_.settings.report_s};
+                    now - workers_heard_ < 2 * services_.settings.heartbeat_interval_s};
   hello.run = run_;
   hello.sent_ms = static_cast<std::uint64_t>(now * 1000);
   forwarder_.describe(hello);
   return hello;
 }
 
-void Node::set_send(ReportForwarder::Send send) {
+void Node::set_send(HeartbeatForwarder::Send send) {
   send_ = send;
   forwarder_.set_send(std::move(send));
 }
 
 void Node::heard(const std::string& from, peer::Frame frame) {
   if (const auto* hello = std::get_if<peer::Hello>(&frame)) return heard_hello(*hello);
-  if (const auto* forwarded = std::get_if<peer::ForwardedReport>(&frame))
-    return heard_forwarded_report(from, *forwarded);
-  forwarder_.answered(std::get<peer::ForwardedAnswer>(frame));
+  if (const auto* forwarded = std::get_if<peer::ForwardedHeartbeat>(&frame))
+    return on_forwarded_heartbeat(from, *forwarded);
+  forwarder_.answered(std::get<peer::ForwardedResponse>(frame));
 }
 
 void Node::heard_region(const std::string& region, const regions::RegionFrame& frame) {
   if (leads()) term_->heard_region(region, frame);
 }
 
-void Node::heard_forwarded_report(const std::string& from, const peer::ForwardedReport& forwarded) {
-  peer::ForwardedAnswer answer{forwarded.id, 503, 0, 0, ""};
-  const auto report = wire::parse_report(forwarded.report);
-  if (report && leads()) answer = term_->handle_forwarded_report(*report, from, forwarded.id);
+void Node::on_forwarded_heartbeat(const std::string& from,
+                                  const peer::ForwardedHeartbeat& forwarded) {
+  peer::ForwardedResponse answer{forwarded.id, 503, 0, 0, ""};
+  const auto heartbeat = wire::parse_heartbeat(forwarded.heartbeat);
+  if (heartbeat && leads())
+    answer = term_->handle_forwarded_heartbeat(*heartbeat, from, forwarded.id);
   if (send_) send_(from, answer);
 }
 
-bool Node::connections_crowd() const {
+bool Node::connections_overloaded() const {
   constexpr double kMostLoad = 0.5;  // the rest is for users and newcomers
   return connection_load_ && connection_load_() > kMostLoad;
 }
 
 // A report that comes straight here costs two packets and a connection; forwarded ones come and go
 // together with others, at the expense of a node that has more to spare.
-bool Node::reports_crowd() {
+bool Node::heartbeats_overloaded() {
   constexpr double kMostShare = 0.1;  // of this node's own, for reports of its own zone
   constexpr double kPackets = 2;      // a report and its answer
   const double cost =
-      direct_reports_.per_second(services_.reactor.now()) * kPackets * base::kPacketCost;
-  return cost > kMostShare * services_.settings.core_share || connections_crowd();
+      direct_heartbeats_.per_second(services_.reactor.now()) * kPackets * base::kPacketCost;
+  return cost > kMostShare * services_.settings.core_share || connections_overloaded();
 }
 
 // One after the other, and no more than a tenth of them in the time between two reports: the rate
 // tells only later what each has changed.
 double Node::relief_interval() {
   constexpr double kFewest = 10, kMostPart = 0.1;
-  const double report_s = services_.settings.report_s;
-  const double direct = direct_reports_.per_second(services_.reactor.now()) * report_s;
-  return report_s / std::max(kFewest, kMostPart * direct);
+  const double heartbeat_interval_s = services_.settings.heartbeat_interval_s;
+  const double direct =
+      direct_heartbeats_.per_second(services_.reactor.now()) * heartbeat_interval_s;
+  return heartbeat_interval_s / std::max(kFewest, kMostPart * direct);
 }
 
 /// The zone's own controllers; any, where none stands in the zone.
@@ -111,19 +114,19 @@
   return found;
 }
 
-std::string Node::forwarder_for(const wire::Report& report) {
+std::string Node::forwarder_for(const wire::Heartbeat& heartbeat) {
   if (!send_) return {};
   // Workers of other nodes' zones belong there; all others stay as long as there is room.
   const bool may_stay =
-      report.zone == services_.settings.zone || !services_.settings.has_node(report.zone);
+      heartbeat.zone == services_.settings.zone || !services_.settings.has_node(heartbeat.zone);
   const double now = services_.reactor.now();
-  if (may_stay && (now < next_relief_ || !reports_crowd())) return {};
-  const auto candidates = possible_forwarders(report.zone);
+  if (may_stay && (now < next_relief_ || !heartbeats_overloaded())) return {};
+  const auto candidates = possible_forwarders(heartbeat.zone);
   // Each worker begins at another of them, so that they share the work.
-  const auto first = std::hash<std::string>{}(report.machine);
+  const auto first = std::hash<std::string>{}(heartbeat.machine);
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const auto& name = candidates[(first + i) % candidates.size()]->name;
-    if (!term_->may_hand_over(report.machine, name)) continue;
+    if (!term_->may_hand_over(heartbeat.machine, name)) continue;
     if (may_stay) next_relief_ = now + relief_interval();
     return name;
   }
@@ -184,8 +187,9 @@
       stored = co_await storing;
     }
     if (types && !types->empty()) users_.set_types(std::move(*types));
-    Sleep pause(services_.reactor,
-                users_.knows_types() && stored ? 60.0 : services_.settings.report_s / 3);
+    Sleep pause(services_.reactor, users_.knows_types() && stored
+                                       ? 60.0
+                                       : services_.settings.heartbeat_interval_s / 3);
     co_await pause;
   }
 }
@@ -340,35 +344,35 @@
 }
 
 Task<Response> Node::checkin(Request request) {
-  auto report = wire::parse_report(request.body);
-  if (!report) {
+  auto heartbeat = wire::parse_heartbeat(request.body);
+  if (!heartbeat) {
     spdlog::error("a malformed report was refused");
     co_return plain_answer(400, wire::error_answer("malformed report"));
   }
   workers_heard_ = services_.reactor.now();
   if (leads()) {
-    direct_reports_.note(workers_heard_);
-    const auto forwarder = forwarder_for(*report);
+    direct_heartbeats_.note(workers_heard_);
+    const auto forwarder = forwarder_for(*heartbeat);
     if (!forwarder.empty()) {
-      spdlog::debug("worker {} is handed over to {}", report->machine, forwarder);
+      spdlog::debug("worker {} is handed over to {}", heartbeat->machine, forwarder);
       co_return plain_answer(421, wire::misdirected_answer(forwarder));
     }
-    co_return term_->handle_report(*report);
+    co_return term_->handle_heartbeat(*heartbeat);
   }
   if (term_ != nullptr) co_return come_back("taking over");
-  report->tasks.clear();  // of no use here: the leader reads them from the text
-  if (forwarder_.may_forward(*report)) {
+  heartbeat->tasks.clear();  // of no use here: the leader reads them from the text
+  if (forwarder_.may_forward(*heartbeat)) {
     auto forwarding =
-        forwarder_.forward(*report, std::move(request.body), [this] { return state_heard_; });
+        forwarder_.forward(*heartbeat, std::move(request.body), [this] { return state_heard_; });
     auto response = co_await forwarding;
     if (response.status == 200) {
-      forwarder_.note_forwarded(*report);
+      forwarder_.note_forwarded(*heartbeat);
       co_return response;
     }
   }
   const auto leader = believed_leader();
-  if (!leader.empty()) forwarder_.note_sent_away(*report);
-  spdlog::debug("worker {} is sent to {}", report->machine, leader.empty() ? "nobody" : leader);
+  if (!leader.empty()) forwarder_.note_sent_away(*heartbeat);
+  spdlog::debug("worker {} is sent to {}", heartbeat->machine, leader.empty() ? "nobody" : leader);
   co_return plain_answer(421, wire::misdirected_answer(leader));
 }
 
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -34,7 +34,7 @@
   peer::Hello hello() const;
   void heard(const std::string& from, peer::Frame frame);
   /// How frames reach the other nodes; without it each node serves only its own workers.
-  void set_send(ReportForwarder::Send send);
+  void set_send(HeartbeatForwarder::Send send);
   /// Tells the share of this node's connections that is in use; without it nobody is handed on for
   /// want of connections.
   void set_connection_load(std::function<double()> load);
@@ -46,7 +46,9 @@
   std::uint64_t leader_fencing_token() const {
     return leads() ? leader_lease_->fencing_token() : 0;
   }
-  static double hello_every(const base::Settings& settings) { return settings.report_s / 3; }
+  static double hello_every(const base::Settings& settings) {
+    return settings.heartbeat_interval_s / 3;
+  }
   bool leads() const { return term_ != nullptr && serving_; }
   Term* term() { return term_.get(); }
 
@@ -61,14 +63,14 @@
   net::Task<net::Response> checkin(net::Request request);
   net::Task<bool> store_types(std::string text);
   void heard_hello(const peer::Hello& hello);
-  void heard_forwarded_report(const std::string& from, const peer::ForwardedReport& forwarded);
+  void on_forwarded_heartbeat(const std::string& from, const peer::ForwardedHeartbeat& forwarded);
   /// The node that is to forward this worker's reports from now on, or none.
-  std::string forwarder_for(const wire::Report& report);
+  std::string forwarder_for(const wire::Heartbeat& heartbeat);
   std::vector<const base::Peer*> possible_forwarders(const std::string& zone) const;
   /// Reports that come straight here take more of this node's processor or connections than they
   /// should.
-  bool connections_crowd() const;
-  bool reports_crowd();
+  bool connections_overloaded() const;
+  bool heartbeats_overloaded();
   /// Until the next worker may be handed on that could as well stay here.
   double relief_interval();
   void note_leader(const store::ReadResult& found);
@@ -78,8 +80,8 @@
 
   Services services_;
   Users users_;
-  ReportForwarder forwarder_;
-  ReportForwarder::Send send_;
+  HeartbeatForwarder forwarder_;
+  HeartbeatForwarder::Send send_;
   std::function<double()> connection_load_;
   regions::RegionNetwork* region_network_ = nullptr;
   net::Signal lost_;
@@ -93,8 +95,8 @@
   double abstain_until_ = 0;
   double state_heard_ = 0;
   double workers_heard_ = -1e9;
-  base::EventRate direct_reports_;  ///< to this node as the leader
-  double next_relief_ = 0;          ///< when a worker of this zone may be handed on again
+  base::EventRate direct_heartbeats_;  ///< to this node as the leader
+  double next_relief_ = 0;             ///< when a worker of this zone may be handed on again
   std::uint64_t nonce_ = 0;
   std::uint64_t run_;  ///< of this process, as its hellos name it
 };
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -162,7 +162,7 @@
     }
     if (result.kind == Kind::refused) co_return;  // the next cooldown brings the next try
     // No answer: it may have rented. The same name asks again without renting twice.
-    Sleep pause(services_.reactor, services_.settings.report_s);
+    Sleep pause(services_.reactor, services_.settings.heartbeat_interval_s);
     co_await pause;
   }
 }
@@ -173,7 +173,7 @@
     // An emptied machine that a plan holds for large work is not idle.
     if (cluster_.reservations().any_on(id)) continue;
     if (sched::pool_of(m.kind) == pool && sched::usable(cluster_, m) && m.idle() &&
-        now() - m.idle_since > services_.settings.report_s * 2) {
+        now() - m.idle_since > services_.settings.heartbeat_interval_s * 2) {
       idle.push_back(&m);
     }
   }
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -29,7 +29,7 @@
 Task<void> RecordReloader::run() {
   constexpr std::size_t kMostAtOnce = 8;
   for (;;) {
-    const double every = settings_.report_s / 4;
+    const double every = settings_.heartbeat_interval_s / 4;
     net::Signal::Wait wait(due_, requested_.empty() ? 4 * every : every);
     co_await wait;
     const std::vector<std::string> due(requested_.begin(), requested_.end());
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -229,7 +229,7 @@
       if (p != nullptr && !p->durable && !p->ended) p->outcome_unknown = true;
     }
   }
-  if (result.outcome != Outcome::failed) write_after_ = now() + settings_.report_s / 8;
+  if (result.outcome != Outcome::failed) write_after_ = now() + settings_.heartbeat_interval_s / 8;
 }
 
 void RecordWriter::apply_stored(Batch& batch, std::uint64_t revision) {
--- a/src/control/report_forwarder.cpp
+++ b/src/control/report_forwarder.cpp
@@ -11,7 +11,7 @@
 using net::Response;
 using net::Task;
 
-void ReportForwarder::heard(const peer::Hello& hello) {
+void HeartbeatForwarder::heard(const peer::Hello& hello) {
   if (hello.fencing_token == 0 || hello.fencing_token < fencing_token_) return;
   fencing_token_ = hello.fencing_token;
   leader_ = hello.name;
@@ -19,7 +19,7 @@
   heard_at_ = reactor_.now();
 }
 
-void ReportForwarder::describe(peer::Hello& hello) const {
+void HeartbeatForwarder::describe(peer::Hello& hello) const {
   hello.echoed_fencing_token = fencing_token_;
   hello.echo_ms = leader_ms_;
   if (answered_alone_at_ >= 0) {
@@ -28,11 +28,11 @@
   }
 }
 
-bool ReportForwarder::reaches_leader() const {
+bool HeartbeatForwarder::reaches_leader() const {
   return fencing_token_ > 0 && reactor_.now() - heard_at_ < patience(settings_);
 }
 
-bool ReportForwarder::leader_expected() const {
+bool HeartbeatForwarder::leader_expected() const {
   if (reaches_leader()) return true;
   constexpr double kTakeOver = 1.5;  // of the leader lease's life: it ends, and another is taken
   const double silent = reactor_.now() - heard_at_;
@@ -42,48 +42,48 @@
 
 // Guards the leader's timing of leases: it counts on no answer of ours while it is heard here, and
 // on none after what it allowed. A worker that has seen a newer token would drop the answer anyway.
-bool ReportForwarder::answers_alone(const wire::Report& report) const {
-  const Trust* trust = trusted_.find(report.machine);
+bool HeartbeatForwarder::answers_alone(const wire::Heartbeat& heartbeat) const {
+  const Trust* trust = trusted_.find(heartbeat.machine);
   return trust != nullptr && trust->fencing_token == fencing_token_ &&
-         report.fencing_token <= fencing_token_ && !reaches_leader() &&
+         heartbeat.fencing_token <= fencing_token_ && !reaches_leader() &&
          reactor_.now() < trust->until;
 }
 
-ReportForwarder::Visit ReportForwarder::last_visit(const std::string& machine) const {
+HeartbeatForwarder::Visit HeartbeatForwarder::last_visit(const std::string& machine) const {
   const Visit* visit = visits_.find(machine);
   return visit != nullptr ? *visit : Visit{};
 }
 
-void ReportForwarder::note_forwarded(const wire::Report& report) {
-  if (!is_of_other_nodes(report)) return;
-  Visit visit = last_visit(report.machine);
+void HeartbeatForwarder::note_forwarded(const wire::Heartbeat& heartbeat) {
+  if (!is_of_other_nodes(heartbeat)) return;
+  Visit visit = last_visit(heartbeat.machine);
   // For as long as it comes here, it may go on doing so.
-  if (came_back(report.machine)) visit.sent_away_at = reactor_.now();
+  if (came_back(heartbeat.machine)) visit.sent_away_at = reactor_.now();
   visit.forwarded_at = reactor_.now();
-  visits_.put(report.machine, visit);
+  visits_.put(heartbeat.machine, visit);
 }
 
-void ReportForwarder::note_sent_away(const wire::Report& report) {
-  if (!is_of_other_nodes(report)) return;
-  Visit visit = last_visit(report.machine);
+void HeartbeatForwarder::note_sent_away(const wire::Heartbeat& heartbeat) {
+  if (!is_of_other_nodes(heartbeat)) return;
+  Visit visit = last_visit(heartbeat.machine);
   visit.sent_away_at = reactor_.now();
-  visits_.put(report.machine, visit);
+  visits_.put(heartbeat.machine, visit);
 }
 
 // Guards against a lease that ends on the way: a worker that comes from a node which holds its
 // reports has lost half of a short lease, and one that is sent back there loses the rest.
-bool ReportForwarder::is_first_visit(const std::string& machine) const {
+bool HeartbeatForwarder::is_first_visit(const std::string& machine) const {
   const Visit visit = last_visit(machine);
   return reactor_.now() - std::max(visit.forwarded_at, visit.sent_away_at) >= settings_.lease_s;
 }
 
 // Guards against workers sent to and fro until their leases end: one that is back so soon has found
 // that the leader, which this node hears, can't be reached from there.
-bool ReportForwarder::came_back(const std::string& machine) const {
+bool HeartbeatForwarder::came_back(const std::string& machine) const {
   return reactor_.now() - last_visit(machine).sent_away_at < settings_.lease_s;
 }
 
-void ReportForwarder::answered(const peer::ForwardedAnswer& answer) {
+void HeartbeatForwarder::answered(const peer::ForwardedResponse& answer) {
   const auto it = pending_.find(answer.id);
   if (it == pending_.end()) return;  // too late: its worker has been answered otherwise
   it->second->answer = answer;
@@ -92,14 +92,14 @@
 }
 
 /// One report on its way to whoever leads.
-struct ReportForwarder::Forwarding {
-  ReportForwarder& forwarder;
+struct HeartbeatForwarder::Forwarding {
+  HeartbeatForwarder& forwarder;
   std::string body;
   Pending pending;
   std::uint64_t id = 0;             ///< 0: not sent yet
   std::uint64_t fencing_token = 0;  ///< of the leader that it was sent to
 
-  Forwarding(ReportForwarder& by, std::string text)
+  Forwarding(HeartbeatForwarder& by, std::string text)
       : forwarder(by), body(std::move(text)), pending(by.reactor_) {}
   Forwarding(const Forwarding&) = delete;
   Forwarding& operator=(const Forwarding&) = delete;
@@ -107,21 +107,23 @@
 };
 
 // What the former leader answers from now on counts no more: its successor is asked.
-void ReportForwarder::send_to_leader(Forwarding& forwarding) {
+void HeartbeatForwarder::send_to_leader(Forwarding& forwarding) {
   pending_.erase(forwarding.id);
   forwarding.id = ++next_id_;
   forwarding.fencing_token = fencing_token_;
   pending_[forwarding.id] = &forwarding.pending;
-  send_(leader_, peer::ForwardedReport{forwarding.id, forwarding.body});
+  send_(leader_, peer::ForwardedHeartbeat{forwarding.id, forwarding.body});
 }
 
-Task<Response> ReportForwarder::forward(wire::Report report, std::string body,
-                                        std::function<double()> state_heard) {
+Task<Response> HeartbeatForwarder::forward(wire::Heartbeat heartbeat, std::string body,
+                                           std::function<double()> state_heard) {
   constexpr double kWorkersPatience = 4.0;  // PROTOCOL: then it tries the next node
   const double sent = reactor_.now();
   const double until = sent + 0.8 * kWorkersPatience;
   // What came last from outside is the leader's, give or take what lies between two hellos.
-  const auto cut_off = [&] { return state_heard() < heard_at_ + settings_.report_s / 2; };
+  const auto cut_off = [&] {
+    return state_heard() < heard_at_ + settings_.heartbeat_interval_s / 2;
+  };
   Response response;
   if (body.size() < peer::kMostText) {
     Forwarding forwarding(*this, std::move(body));
@@ -134,18 +136,19 @@
       const bool lost = cut_off() ? forwarding.id == 0 : !leader_expected();
       if (!reaches_leader() && lost) break;
       net::Signal::Wait wait(pending.arrived,
-                             std::min(settings_.report_s / 4, until - reactor_.now()));
+                             std::min(settings_.heartbeat_interval_s / 4, until - reactor_.now()));
       co_await wait;
     }
     if (pending.done && pending.answer.status == 200) {
       const auto& answer = pending.answer;
       // Counted from the coming of the report, which was before the leader's answer.
-      trusted_.put(report.machine, {answer.fencing_token, sent + answer.answer_alone_ms / 1000.0});
+      trusted_.put(heartbeat.machine,
+                   {answer.fencing_token, sent + answer.answer_alone_ms / 1000.0});
       response.body = answer.body;
       co_return response;
     }
   }
-  if (cut_off() && answers_alone(report)) {
+  if (cut_off() && answers_alone(heartbeat)) {
     if (answered_alone_at_ < 0 || reactor_.now() - answered_alone_at_ > settings_.lease_s) {
       spdlog::info("answering the zone's workers in the leader's stead, token {}", fencing_token_);
     }
--- a/src/control/report_forwarder.hpp
+++ b/src/control/report_forwarder.hpp
@@ -23,11 +23,11 @@
 
 namespace cranklock::control {
 
-class ReportForwarder {
+class HeartbeatForwarder {
  public:
   using Send = std::function<void(const std::string& to, const peer::Frame&)>;
 
-  ReportForwarder(net::Reactor& reactor, const base::Settings& settings)
+  HeartbeatForwarder(net::Reactor& reactor, const base::Settings& settings)
       : reactor_(reactor),
         settings_(settings),
         // Guards against an answer to a former run, whose question was held up on the way, being
@@ -44,33 +44,33 @@
   /// A leader that has not been heard for so long can't be reached. Only then does a forwarder
   /// answer in its stead; until then, so the leader knows, no forwarder that it heard from has.
   static double patience(const base::Settings& settings) {
-    return std::min(1.2 * settings.report_s, 3.0);
+    return std::min(1.2 * settings.heartbeat_interval_s, 3.0);
   }
 
   void heard(const peer::Hello& hello);
-  void answered(const peer::ForwardedAnswer& answer);
+  void answered(const peer::ForwardedResponse& answer);
   /// What this node's hellos say of it.
   void describe(peer::Hello& hello) const;
   /// A leader is heard that may have reports forwarded to it.
   bool reaches_leader() const;
   /// One is, or was so lately that its successor should be heard before long.
   bool leader_expected() const;
-  bool may_forward(const wire::Report& report) const {
+  bool may_forward(const wire::Heartbeat& heartbeat) const {
     if (!send_) return false;
-    if (report.zone == settings_.zone) return leader_expected() || answers_alone(report);
+    if (heartbeat.zone == settings_.zone) return leader_expected() || answers_alone(heartbeat);
     if (!leader_expected()) return false;
-    return !is_of_other_nodes(report) || is_first_visit(report.machine) ||
-           came_back(report.machine);
+    return !is_of_other_nodes(heartbeat) || is_first_visit(heartbeat.machine) ||
+           came_back(heartbeat.machine);
   }
   /// The worker was answered 200 here.
-  void note_forwarded(const wire::Report& report);
+  void note_forwarded(const wire::Heartbeat& heartbeat);
   /// The worker was told to report to the leader.
-  void note_sent_away(const wire::Report& report);
+  void note_sent_away(const wire::Heartbeat& heartbeat);
 
   /// `state_heard` says when the state service last answered: that tells a zone that is cut off
   /// from a leader that has ended, whose workers had better look for its successor. An answer of
   /// status 421 means that they should go elsewhere.
-  net::Task<net::Response> forward(wire::Report report, std::string body,
+  net::Task<net::Response> forward(wire::Heartbeat heartbeat, std::string body,
                                    std::function<double()> state_heard);
 
  private:
@@ -78,7 +78,7 @@
     explicit Pending(net::Reactor& reactor) : arrived(reactor) {}
     net::Signal arrived;
     bool done = false;
-    peer::ForwardedAnswer answer;
+    peer::ForwardedResponse answer;
   };
   /// When a worker of another zone was last here.
   struct Visit {
@@ -95,10 +95,10 @@
   static constexpr std::size_t kMostWorkers = 32'768;
 
   void send_to_leader(Forwarding& forwarding);
-  bool answers_alone(const wire::Report& report) const;
+  bool answers_alone(const wire::Heartbeat& heartbeat) const;
   /// Whether its zone is another one, with a node to forward for it.
-  bool is_of_other_nodes(const wire::Report& report) const {
-    return report.zone != settings_.zone && settings_.has_node(report.zone);
+  bool is_of_other_nodes(const wire::Heartbeat& heartbeat) const {
+    return heartbeat.zone != settings_.zone && settings_.has_node(heartbeat.zone);
   }
   bool is_first_visit(const std::string& machine) const;
   bool came_back(const std::string& machine) const;
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -57,7 +57,7 @@
 
 bool Term::hears_no_worker() const {
   const auto& s = services_.settings;
-  const double span = std::max(3 * s.report_s, s.lease_s / 3);
+  const double span = std::max(3 * s.heartbeat_interval_s, s.lease_s / 3);
   return now() > last_heard_ + span;
 }
 
@@ -149,25 +149,25 @@
 
 // ---- reports ----
 
-Response Term::handle_report(const wire::Report& report) {
+Response Term::handle_heartbeat(const wire::Heartbeat& heartbeat) {
   Response response;
   const double at = now();
-  if (report.fencing_token > leader_lease_.fencing_token()) {
+  if (heartbeat.fencing_token > leader_lease_.fencing_token()) {
     lose("a worker has seen a higher token");
     response.status = 421;
     response.body = wire::misdirected_answer("");
     return response;
   }
   // Judged now, at the moment of answering: the process may have been held up.
-  if (is_lost_ || !leader_lease_.may_answer(at) || machines_.is_deleted(report.machine)) {
+  if (is_lost_ || !leader_lease_.may_answer(at) || machines_.is_deleted(heartbeat.machine)) {
     response.status = 503;
     return response;
   }
-  const auto* before = cluster_.machine(report.machine);
+  const auto* before = cluster_.machine(heartbeat.machine);
   const bool was_quarantined = before != nullptr && before->quarantined;
-  const auto freshness = cluster_.apply_report(report, true, at);
-  if (!was_quarantined && cluster_.machine(report.machine)->quarantined) {
-    spdlog::info("machine {} is quarantined: it fails what it starts", report.machine);
+  const auto freshness = cluster_.reconcile_heartbeat(heartbeat, true, at);
+  if (!was_quarantined && cluster_.machine(heartbeat.machine)->quarantined) {
+    spdlog::info("machine {} is quarantined: it fails what it starts", heartbeat.machine);
   }
   if (freshness == sched::ClusterState::Freshness::late_copy) {
     response.status = 503;  // renews nothing
@@ -175,32 +175,32 @@
   }
   last_heard_ = at;
   if (spdlog::should_log(spdlog::level::debug)) {
-    for (const auto& t : report.tasks) {
+    for (const auto& t : heartbeat.tasks) {
       Job* job = cluster_.job(t.task.job);
       const auto* p = job != nullptr ? job->find(t.task.index, t.attempt) : nullptr;
       if (p == nullptr || p->running_since != at) continue;
       spdlog::debug("{} of {} runs on {}: {:.1f} s after its decision, {:.1f} s known",
-                    wire::to_string(t.task), job->spec.job_class, report.machine,
+                    wire::to_string(t.task), job->spec.job_class, heartbeat.machine,
                     at - p->decided_at, at - job->known_since);
     }
   }
   std::vector<wire::Order> orders;
   if (freshness == sched::ClusterState::Freshness::fresh) {
-    orders = cluster_.orders(report, leader_lease_.may_start(at), at);
+    orders = cluster_.orders(heartbeat, leader_lease_.may_start(at), at);
   }
-  cluster_.note_answered(report.machine, at);
+  cluster_.note_answered(heartbeat.machine, at);
   response.body = wire::orders_answer(leader_lease_.fencing_token(), orders);
   work_.set();
   return response;
 }
 
-peer::ForwardedAnswer Term::handle_forwarded_report(const wire::Report& report,
-                                                    const std::string& forwarder,
-                                                    std::uint64_t id) {
-  const auto response = handle_report(report);
-  peer::ForwardedAnswer answer{id, static_cast<std::uint16_t>(response.status),
-                               leader_lease_.fencing_token(), 0, response.body};
-  Machine* m = cluster_.machine(report.machine);
+peer::ForwardedResponse Term::handle_forwarded_heartbeat(const wire::Heartbeat& heartbeat,
+                                                         const std::string& forwarder,
+                                                         std::uint64_t id) {
+  const auto response = handle_heartbeat(heartbeat);
+  peer::ForwardedResponse answer{id, static_cast<std::uint16_t>(response.status),
+                                 leader_lease_.fencing_token(), 0, response.body};
+  Machine* m = cluster_.machine(heartbeat.machine);
   if (response.status != 200 || m == nullptr || response.body.size() > peer::kMostText) {
     if (response.status == 200) answer.status = 503;
     return answer;
@@ -225,7 +225,7 @@
   cluster_.note_forwarder(
       hello.name, hello.run,
       ours ? static_cast<double>(hello.echo_ms) / 1000 +
-                 ReportForwarder::patience(services_.settings) * 0.98
+                 HeartbeatForwarder::patience(services_.settings) * 0.98
            : 0,
       hello.answered_alone_ms == peer::kNever ? never : now() - hello.answered_alone_ms / 1000.0,
       now());
--- a/src/control/term.hpp
+++ b/src/control/term.hpp
@@ -38,10 +38,11 @@
   /// Starts the duties.
   void start(net::Scope& scope);
 
-  net::Response handle_report(const wire::Report& report);
+  net::Response handle_heartbeat(const wire::Heartbeat& heartbeat);
   /// The same for a report that another node has forwarded here.
-  peer::ForwardedAnswer handle_forwarded_report(const wire::Report& report,
-                                                const std::string& forwarder, std::uint64_t id);
+  peer::ForwardedResponse handle_forwarded_heartbeat(const wire::Heartbeat& heartbeat,
+                                                     const std::string& forwarder,
+                                                     std::uint64_t id);
   void heard(const peer::Hello& hello);
   /// The same of another region's leader.
   void heard_region(const std::string& region, const regions::RegionFrame& frame);
--- a/src/control/term_decide.cpp
+++ b/src/control/term_decide.cpp
@@ -22,7 +22,7 @@
 Task<void> Term::decide() {
   double last_pass = 0;
   for (;;) {
-    net::Signal::Wait wait(work_, services_.settings.report_s / 2);
+    net::Signal::Wait wait(work_, services_.settings.heartbeat_interval_s / 2);
     co_await wait;
     if (now() < next_pass_at_) {
       Sleep pause(services_.reactor, next_pass_at_ - now());
@@ -31,7 +31,7 @@
     if (is_lost_) co_return;
     jobs_.apply_changes();
     endings_.read_unknown();
-    const bool overdue = now() - last_pass > services_.settings.report_s;
+    const bool overdue = now() - last_pass > services_.settings.heartbeat_interval_s;
     if (!cluster_.types().empty() && (cluster_.take_changed() || overdue)) {
       last_pass = now();
       const bool job_came = std::exchange(pass_awaited_, false);
--- a/src/defrag/fleet_view.cpp
+++ b/src/defrag/fleet_view.cpp
@@ -21,12 +21,12 @@
 std::optional<double> move_cost(const sched::ClusterState& cluster, const sched::Job& job,
                                 const sched::Placement& placement, const MoveRules& rules,
                                 double now) {
-  constexpr double kReportsUntilRestart = 2;
+  constexpr double kHeartbeatsUntilRestart = 2;
   if (rules.allowance && rules.allowance(job) == 0) return std::nullopt;
   if (!is_settled(job, placement) || placement.state != wire::TaskState::running) {
     return std::nullopt;
   }
-  const double restart_s = kReportsUntilRestart * cluster.settings().report_s;
+  const double restart_s = kHeartbeatsUntilRestart * cluster.settings().heartbeat_interval_s;
   if (job.spec.shape == wire::Shape::service) {
     // A single replica has no other to serve in its place.
     if (!rules.services || job.live() < 2) return std::nullopt;
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -65,8 +65,8 @@
 }
 
 bool MoveExecutor::knows_fleet(double now) const {
-  constexpr double kReports = 3;
-  return now - began_ > kReports * cluster_.settings().report_s;
+  constexpr double kHeartbeats = 3;
+  return now - began_ > kHeartbeats * cluster_.settings().heartbeat_interval_s;
 }
 
 // ---- what is stored ----
@@ -359,8 +359,8 @@
 }
 
 bool MoveExecutor::is_refused_for_good(double now) const {
-  constexpr double kReports = 3;
-  const double patience_s = kReports * cluster_.settings().report_s;
+  constexpr double kHeartbeats = 3;
+  const double patience_s = kHeartbeats * cluster_.settings().heartbeat_interval_s;
   for (std::size_t i = 0; i < progress_.size(); ++i) {
     const bool refused = progress_[i].refused_at > 0 && now - progress_[i].refused_at > patience_s;
     if (refused && wanted_.plan->moves[i].step == MoveStep::stopping) return true;
@@ -380,7 +380,7 @@
     if (machine == nullptr) continue;
     Progress& progress = progress_[i];
     const bool asked =
-        progress.drain_asked > 0 && now - progress.drain_asked < settings.report_s / 2;
+        progress.drain_asked > 0 && now - progress.drain_asked < settings.heartbeat_interval_s / 2;
     if (progress.drain_under_way || asked || progress.refused_at > 0) continue;
     if (progress.drain_begun == 0) progress.drain_begun = now;
     progress.drain_asked = now;
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -89,7 +89,7 @@
   double tasks = 0;
   for (const auto& [id, machine] : cluster.machines()) {
     const auto* type = cluster.type(machine.kind.type);
-    if (type == nullptr || machine.reported || !sched::coming(cluster, machine)) continue;
+    if (type == nullptr || machine.heartbeat_received || !sched::coming(cluster, machine)) continue;
     if (!sched::allows(job.spec, machine.kind)) continue;
     tasks += tasks_that_fit(job.spec.room, type->room - machine.used);
   }
--- a/src/peer/frames.cpp
+++ b/src/peer/frames.cpp
@@ -5,7 +5,7 @@
 namespace cranklock::peer {
 namespace {
 
-enum class Kind : std::uint8_t { hello = 1, forwarded_report = 2, forwarded_answer = 3 };
+enum class Kind : std::uint8_t { hello = 1, forwarded_heartbeat = 2, forwarded_response = 3 };
 
 std::string pack_one(const Hello& hello) {
   Packer p;
@@ -20,20 +20,20 @@
   return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::hello));
 }
 
-std::string pack_one(const ForwardedReport& forwarded) {
+std::string pack_one(const ForwardedHeartbeat& forwarded) {
   Packer p;
-  p.number(forwarded.id).long_text(forwarded.report);
-  return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::forwarded_report));
+  p.number(forwarded.id).long_text(forwarded.heartbeat);
+  return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::forwarded_heartbeat));
 }
 
-std::string pack_one(const ForwardedAnswer& answer) {
+std::string pack_one(const ForwardedResponse& answer) {
   Packer p;
   p.number(answer.id)
       .number(answer.status)
       .number(answer.fencing_token)
       .number(answer.answer_alone_ms);
   p.long_text(answer.body);
-  return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::forwarded_answer));
+  return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::forwarded_response));
 }
 
 // The members of a braced list are read from left to right.
@@ -62,7 +62,7 @@
   const auto version = head.number<std::uint8_t>();
   const auto kind = head.number<std::uint8_t>();
   const bool known = kind >= static_cast<std::uint8_t>(Kind::hello) &&
-                     kind <= static_cast<std::uint8_t>(Kind::forwarded_answer);
+                     kind <= static_cast<std::uint8_t>(Kind::forwarded_response);
   if (version != kVersion || !known) return Unpacked::broken;
   if (buffer.size() < kHeader + length) return Unpacked::more;
   Unpacker in(std::string_view(buffer).substr(kHeader, length));
@@ -71,13 +71,13 @@
     case Kind::hello:
       frame = read_hello(in);
       break;
-    case Kind::forwarded_report:
-      frame = ForwardedReport{in.number<std::uint64_t>(), in.long_text()};
+    case Kind::forwarded_heartbeat:
+      frame = ForwardedHeartbeat{in.number<std::uint64_t>(), in.long_text()};
       break;
-    case Kind::forwarded_answer:
+    case Kind::forwarded_response:
       frame =
-          ForwardedAnswer{in.number<std::uint64_t>(), in.number<std::uint16_t>(),
-                          in.number<std::uint64_t>(), in.number<std::uint32_t>(), in.long_text()};
+          ForwardedResponse{in.number<std::uint64_t>(), in.number<std::uint16_t>(),
+                            in.number<std::uint64_t>(), in.number<std::uint32_t>(), in.long_text()};
       break;
   }
   if (!in.whole()) return Unpacked::broken;
--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -30,24 +30,24 @@
 };
 
 /// A worker's report, forwarded to the leader by the node that it reports to.
-struct ForwardedReport {
+struct ForwardedHeartbeat {
   std::uint64_t id = 0;  ///< never used again, not even by another run of the node
-  std::string report;
-  bool operator==(const ForwardedReport&) const = default;
+  std::string heartbeat;
+  bool operator==(const ForwardedHeartbeat&) const = default;
 };
 
 /// What the leader has the worker answered.
-struct ForwardedAnswer {
+struct ForwardedResponse {
   std::uint64_t id = 0;
   std::uint16_t status = 0;
   std::uint64_t fencing_token = 0;
   /// For so long from the sending of what it answers, its forwarder may answer this worker alone.
   std::uint32_t answer_alone_ms = 0;
   std::string body;
-  bool operator==(const ForwardedAnswer&) const = default;
+  bool operator==(const ForwardedResponse&) const = default;
 };
 
-using Frame = std::variant<Hello, ForwardedReport, ForwardedAnswer>;
+using Frame = std::variant<Hello, ForwardedHeartbeat, ForwardedResponse>;
 
 std::string pack(const Frame& frame);
 
--- a/src/peer/write_pacing.hpp
+++ b/src/peer/write_pacing.hpp
@@ -29,7 +29,7 @@
   constexpr double kLinkShare = 0.04;  // of the node's own share
   constexpr double kPackets = 2;       // a write, and what answers it
   return std::min(kPackets * base::kPacketCost / (kLinkShare * settings.core_share),
-                  settings.report_s / 4);
+                  settings.heartbeat_interval_s / 4);
 }
 
 }  // namespace cranklock::peer
--- a/src/regions/links.hpp
+++ b/src/regions/links.hpp
@@ -35,7 +35,9 @@
   void send(const std::string& region, const RegionFrame& frame) override;
 
   /// Time between hellos on a connection.
-  static double hello_every(const base::Settings& settings) { return settings.report_s; }
+  static double hello_every(const base::Settings& settings) {
+    return settings.heartbeat_interval_s;
+  }
 
  private:
   /// Shared by the routines that read and write it, so that its number is not used again before
--- a/src/regions/share_service.cpp
+++ b/src/regions/share_service.cpp
@@ -78,7 +78,7 @@
 }
 
 net::Task<void> ShareService::write() {
-  const double retry_s = settings_.report_s / 8;
+  const double retry_s = settings_.heartbeat_interval_s / 8;
   for (;;) {
     if (book_.leadership_lost()) {
       term_.leadership_lost();
--- a/src/regions/share_service.hpp
+++ b/src/regions/share_service.hpp
@@ -53,7 +53,9 @@
   void look_again();
   const ShareBook& book() const { return book_; }
   /// How often the teams' needs are looked at.
-  static double ask_every(const base::Settings& settings) { return settings.report_s / 4; }
+  static double ask_every(const base::Settings& settings) {
+    return settings.heartbeat_interval_s / 4;
+  }
 
  private:
   net::Task<void> write();
--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -32,34 +32,35 @@
 }  // namespace
 
 bool usable(const ClusterState& cluster, const Machine& machine) {
-  return is_sound(cluster, machine) && machine.reported && machine.confirmed() &&
+  return is_sound(cluster, machine) && machine.heartbeat_received && machine.confirmed() &&
          machine.unknown_tasks == 0 && machine.unresponsive_until == 0;
 }
 
 bool coming(const ClusterState& cluster, const Machine& machine) {
   return is_sound(cluster, machine) && !machine.overdue &&
-         (!machine.reported || (!machine.confirmed() && machine.unresponsive_until == 0));
+         (!machine.heartbeat_received || (!machine.confirmed() && machine.unresponsive_until == 0));
 }
 
 std::map<std::string, ZoneWorkers> count_workers(ClusterState& cluster, double now) {
   std::map<std::string, ZoneWorkers> zones;
   for (const auto& [id, machine] : cluster.machines()) {
-    if (!machine.reported || machine.silent || machine.removing || machine.taken_at) continue;
+    if (!machine.heartbeat_received || machine.silent || machine.removing || machine.taken_at)
+      continue;
     auto& zone = zones[machine.kind.zone];
     ++zone.workers;
-    if (now - machine.last_report < 2 * cluster.settings().report_s) ++zone.heard;
+    if (now - machine.last_heartbeat < 2 * cluster.settings().heartbeat_interval_s) ++zone.heard;
   }
   return zones;
 }
 
 bool surely_taken(const ClusterState& cluster, const Machine& machine,
                   const std::map<std::string, ZoneWorkers>& zones, double now) {
-  const double report_s = cluster.settings().report_s;
-  if (!machine.kind.spot || !machine.reported || machine.removing) return false;
-  const double quiet = now - machine.last_report;
-  if (machine.taken_at && now > *machine.taken_at) return quiet > 1.5 * report_s;
+  const double heartbeat_interval_s = cluster.settings().heartbeat_interval_s;
+  if (!machine.kind.spot || !machine.heartbeat_received || machine.removing) return false;
+  const double quiet = now - machine.last_heartbeat;
+  if (machine.taken_at && now > *machine.taken_at) return quiet > 1.5 * heartbeat_interval_s;
   const auto zone = zones.find(machine.kind.zone);
-  if (quiet < 3 * report_s || zone == zones.end()) return false;
+  if (quiet < 3 * heartbeat_interval_s || zone == zones.end()) return false;
   const int others = zone->second.workers - (machine.silent || machine.taken_at ? 0 : 1);
   return others > 0 && zone->second.heard >= 0.9 * others;
 }
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -26,7 +26,7 @@
 double ClusterState::lease_bound() const {
   // Both clocks may be off, in opposite directions; a report interval covers the time between our
   // stamping an answer and its leaving.
-  return settings_.lease_s * (1 + 4 * base::kClockDrift) + settings_.report_s / 4;
+  return settings_.lease_s * (1 + 4 * base::kClockDrift) + settings_.heartbeat_interval_s / 4;
 }
 
 Job* ClusterState::job(const std::string& id) {
@@ -120,7 +120,7 @@
   const auto rounds = shares_attempts ? job.last_attempt : job.last_attempt / job.spec.tasks;
   if (rounds < 2 || job.done.size() > 0 || job.live() > 0) return;
   job.earlier_rounds = static_cast<int>(std::min(rounds - 1, kMostRounds));
-  job.backoff_until = now + settings_.report_s * job.earlier_rounds;
+  job.backoff_until = now + settings_.heartbeat_interval_s * job.earlier_rounds;
 }
 
 Job& ClusterState::put_job(Job job, double now) {
@@ -396,7 +396,7 @@
   if (now < job.backoff_until) return;
   ++job.failures;
   const int rounds = std::min(job.failures + job.earlier_rounds, kMostRounds);
-  job.backoff_until = now + settings_.report_s * (1 << rounds);
+  job.backoff_until = now + settings_.heartbeat_interval_s * (1 << rounds);
 }
 
 void ClusterState::note_works(Job& job) {
@@ -404,7 +404,7 @@
   job.failed_on.clear();
 }
 
-void ClusterState::task_exited(Job& job, Placement& placement, const wire::TaskReport& t,
+void ClusterState::task_exited(Job& job, Placement& placement, const wire::TaskStatus& t,
                                Machine& m, double now) {
   placement.seen = true;
   placement.state = TaskState::exited;
@@ -422,7 +422,7 @@
     case Cause::no_room:
     case Cause::busy:
     case Cause::unknown:
-      job.backoff_until = now + settings_.report_s;
+      job.backoff_until = now + settings_.heartbeat_interval_s;
       break;
     default:
       break;
@@ -431,50 +431,50 @@
   if (t.cause != Cause::done) break_gang(job, attempt, now);
 }
 
-ClusterState::Freshness ClusterState::apply_report(const wire::Report& r, bool own_report,
-                                                   double now) {
+ClusterState::Freshness ClusterState::reconcile_heartbeat(const wire::Heartbeat& r,
+                                                          bool is_heartbeat, double now) {
   Machine& m = put_machine(r.machine, {r.type, r.zone, r.spot}, now);
   const std::pair when(r.session, r.tick);
-  if (own_report) {
+  if (is_heartbeat) {
     if (when <= std::pair(m.own_session, m.own_tick)) return Freshness::late_copy;
     m.own_session = r.session;
     m.own_tick = r.tick;
   }
-  if (m.reported && when <= std::pair(m.session, m.tick)) return Freshness::overtaken;
+  if (m.heartbeat_received && when <= std::pair(m.session, m.tick)) return Freshness::overtaken;
   note_message(m, r, now);
   const auto reported_attempts = apply_tasks(m, r, now);
   // Absences. Only a report of the worker's own that shows our token counts, and only one newer
   // than what carried the start: the token shuts out a former leader's commands still under way,
   // the order shuts out late copies and answers crossing on the way.
-  if (own_report && r.fencing_token < fencing_token_ && m.last_answered > 0 &&
+  if (is_heartbeat && r.fencing_token < fencing_token_ && m.last_answered > 0 &&
       ++m.unacknowledged >= kUnacknowledged) {
     m.unresponsive_until = now + settings_.lease_s;
   }
-  if (!own_report || r.fencing_token != fencing_token_) return Freshness::fresh;
+  if (!is_heartbeat || r.fencing_token != fencing_token_) return Freshness::fresh;
   m.unacknowledged = 0;
   end_absent(m, r, reported_attempts, now);
   return Freshness::fresh;
 }
 
 // What a message says of the machine itself.
-void ClusterState::note_message(Machine& m, const wire::Report& r, double now) {
-  const bool was_usable = m.reported && !m.silent;
+void ClusterState::note_message(Machine& m, const wire::Heartbeat& r, double now) {
+  const bool was_usable = m.heartbeat_received && !m.silent;
   if (r.session != m.session) {
     // What an earlier session was told can't be executed in this one.
     m.unconfirmed_starts.clear();
-    if (m.reported) m.images.clear(), m.token_acknowledged = false;
+    if (m.heartbeat_received) m.images.clear(), m.token_acknowledged = false;
   }
   // What another leader rented may have been up for long.
-  if (!m.reported && m.rented_here) {
+  if (!m.heartbeat_received && m.rented_here) {
     boot_times_.note_up({m.kind.type, m.kind.zone}, now - m.rented_at, now);
   }
   m.overdue = false;
   m.address = r.address;
   m.session = r.session;
   m.tick = r.tick;
-  m.reported = true;
+  m.heartbeat_received = true;
   m.silent = false;
-  m.last_report = now;
+  m.last_heartbeat = now;
   if (r.fencing_token == fencing_token_ && !m.token_acknowledged) {
     // Until just now a former leader may have prolonged its lease: it is timed from here.
     m.token_acknowledged = true;
@@ -492,7 +492,7 @@
 }
 
 // What a message says of tasks; returns all that it names.
-ClusterState::Attempts ClusterState::apply_tasks(Machine& m, const wire::Report& r, double now) {
+ClusterState::Attempts ClusterState::apply_tasks(Machine& m, const wire::Heartbeat& r, double now) {
   Attempts reported_attempts;
   int unknown_tasks = 0;
   for (const auto& t : r.tasks) {
@@ -510,7 +510,7 @@
   return reported_attempts;
 }
 
-void ClusterState::apply_task(Machine& m, Job& job, Placement& placement, const wire::TaskReport& t,
+void ClusterState::apply_task(Machine& m, Job& job, Placement& placement, const wire::TaskStatus& t,
                               bool acknowledges_token, double now) {
   if (t.state == TaskState::exited) {
     // Guards against a late copy, from before our leadership, of an end in an earlier session: the
@@ -539,8 +539,8 @@
 }
 
 // Ends the placements that a report proves gone by not naming them.
-void ClusterState::end_absent(Machine& m, const wire::Report& r, const Attempts& reported_attempts,
-                              double now) {
+void ClusterState::end_absent(Machine& m, const wire::Heartbeat& r,
+                              const Attempts& reported_attempts, double now) {
   const auto tasks = m.tasks;  // ending a placement changes the list
   for (const auto& held : tasks) {
     Job& j = *held.job;
@@ -574,7 +574,8 @@
 }
 }  // namespace
 
-std::vector<wire::Order> ClusterState::orders(const wire::Report& r, bool may_start, double now) {
+std::vector<wire::Order> ClusterState::orders(const wire::Heartbeat& r, bool may_start,
+                                              double now) {
   std::vector<wire::Order> out;
   Machine* m = machine(r.machine);
   if (m == nullptr) return out;
@@ -594,7 +595,7 @@
       out.push_back({wire::Verb::stop, t.task, t.attempt, 0});
     } else if (p->stop && may_send_stop(*p, now)) {
       // Past its grace it is ended for good.
-      const bool late = now > p->stop_since + p->grace_s + 2 * settings_.report_s;
+      const bool late = now > p->stop_since + p->grace_s + 2 * settings_.heartbeat_interval_s;
       if (t.state != TaskState::saving || late) {
         out.push_back({wire::Verb::stop, t.task, t.attempt, late ? 0 : p->grace_s});
       }
@@ -625,7 +626,7 @@
 void ClusterState::note_forwarder(const std::string& name, std::uint64_t run, double quiet_until,
                                   double answered_alone_at, double now) {
   const auto [it, first] = forwarders_.try_emplace(name);
-  ReportForwarder& forwarder = it->second;
+  HeartbeatForwarder& forwarder = it->second;
   // What another run of it did until it ended, nobody remembers.
   if (first || forwarder.run != run) answered_alone_at = now;
   forwarder.run = run;
@@ -676,21 +677,21 @@
   std::map<std::string, Zone> zones;
   double heard = 0;
   for (const auto& [id, m] : machines_) {
-    if (m.failed || m.removing || (!m.reported && (!m.listed || m.booting))) continue;
+    if (m.failed || m.removing || (!m.heartbeat_received && (!m.listed || m.booting))) continue;
     Zone& zone = zones[m.kind.zone];
     ++zone.workers;
-    zone.heard = std::max(zone.heard, m.reported ? m.last_report : m.known_since);
-    if (m.reported) heard = std::max(heard, m.last_report);
+    zone.heard = std::max(zone.heard, m.heartbeat_received ? m.last_heartbeat : m.known_since);
+    if (m.heartbeat_received) heard = std::max(heard, m.last_heartbeat);
   }
   // When nobody is heard, it is this node that is cut off.
-  const bool others_report = now - heard < 1.5 * settings_.report_s;
+  const bool others_reporting = now - heard < 1.5 * settings_.heartbeat_interval_s;
   std::vector<std::string> out;
   for (const auto& [name, zone] : zones) {
-    if (now - zone.heard < 3 * settings_.report_s) {
+    if (now - zone.heard < 3 * settings_.heartbeat_interval_s) {
       if (unreachable_until_.erase(name) == 0) continue;
       allow_silence(name, now + 2 * settings_.lease_s);  // who is there will be heard by then
       changed_ = true;
-    } else if (others_report && zone.workers >= kFewest && !unreachable_until_.contains(name)) {
+    } else if (others_reporting && zone.workers >= kFewest && !unreachable_until_.contains(name)) {
       // The machines come back with their zone, and with their images; but not for ever.
       unreachable_until_[name] = now + 3 * settings_.cancel_s;
       allow_silence(name, unreachable_until_[name]);
@@ -712,7 +713,7 @@
     // Guards against a new leader that takes machines for late which have been up for long, and
     // have only not reported to it yet.
     const bool boots = m.listed ? m.booting : m.rented_here;
-    if (!boots || m.reported || m.overdue || t == nullptr) continue;
+    if (!boots || m.heartbeat_received || m.overdue || t == nullptr) continue;
     if (now <= m.silence_allowed_until) continue;
     if (now - m.rented_at <= kOverdue * expected_boot(*t, m.kind.zone, now)) continue;
     m.overdue = true;
@@ -724,7 +725,7 @@
 std::vector<std::string> ClusterState::expire_leases(double now) {
   std::vector<std::string> out;
   for (auto& [id, m] : machines_) {
-    if (m.silent || (!m.reported && m.tasks.empty())) continue;
+    if (m.silent || (!m.heartbeat_received && m.tasks.empty())) continue;
     if (now <= maybe_answered(m, now) + lease_bound()) continue;
     m.silent = true;
     out.push_back(id);
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -48,11 +48,11 @@
   bool failed = false;
   bool overdue = false;                 ///< it has booted for so long that it may never come up
   bool rented_here = false;             ///< by this leader
-  bool reported = false;                ///< to this leader
+  bool heartbeat_received = false;      ///< to this leader
   bool token_acknowledged = false;      ///< in the session and since this leader's token
   std::uint64_t session = 0, tick = 0;  ///< newest message of any kind
   std::uint64_t own_session = 0, own_tick = 0;  ///< newest report of its own
-  double last_report = 0;
+  double last_heartbeat = 0;
   double last_answered = 0;  ///< when a report was last answered 200
   /// Until when a forwarder, by name, may answer its reports in our stead.
   std::map<std::string, double> kept_until;
@@ -117,7 +117,7 @@
   /// Takes such a stop back; one that was carried out meanwhile shows in the next report.
   static void take_back_drained_stop(Placement& placement);
   /// How long the evidence against a quarantined machine is waited for that would clear it.
-  double quarantine_trial() const { return 3 * settings_.report_s; }
+  double quarantine_trial() const { return 3 * settings_.heartbeat_interval_s; }
   /// Ends everything a machine holds; what it held of gangs is stopped elsewhere too.
   void end_all(Machine& machine, double now);
   /// Erases ended placements that a durable record no longer names.
@@ -132,11 +132,11 @@
 
   /// `overtaken`: a report that an answer to a direct command has passed on the way.
   enum class Freshness { fresh, overtaken, late_copy };
-  /// Takes a report in. `own_report` is false for the answers of direct commands, from which no
+  /// Takes a report in. `is_heartbeat` is false for the answers of direct commands, from which no
   /// absence is concluded. A late copy changes nothing.
-  Freshness apply_report(const wire::Report& report, bool own_report, double now);
+  Freshness reconcile_heartbeat(const wire::Heartbeat& heartbeat, bool is_heartbeat, double now);
   /// What to tell a worker in the answer to this report. Starts only while `may_start`.
-  std::vector<wire::Order> orders(const wire::Report& report, bool may_start, double now);
+  std::vector<wire::Order> orders(const wire::Heartbeat& heartbeat, bool may_start, double now);
   void note_answered(const std::string& machine, double now);
 
   /// What a forwarder's hello proves: that it answers no worker in our stead before `quiet_until`,
@@ -203,14 +203,14 @@
  private:
   /// Tasks with their attempts.
   using Attempts = std::set<std::pair<wire::TaskName, std::uint64_t>>;
-  void note_message(Machine& machine, const wire::Report& report, double now);
-  Attempts apply_tasks(Machine& machine, const wire::Report& report, double now);
-  void apply_task(Machine& machine, Job& job, Placement& placement, const wire::TaskReport& report,
-                  bool acknowledges_token, double now);
-  void end_absent(Machine& machine, const wire::Report& report, const Attempts& reported_attempts,
-                  double now);
-  void task_exited(Job& job, Placement& placement, const wire::TaskReport& report, Machine& machine,
-                   double now);
+  void note_message(Machine& machine, const wire::Heartbeat& heartbeat, double now);
+  Attempts apply_tasks(Machine& machine, const wire::Heartbeat& heartbeat, double now);
+  void apply_task(Machine& machine, Job& job, Placement& placement,
+                  const wire::TaskStatus& heartbeat, bool acknowledges_token, double now);
+  void end_absent(Machine& machine, const wire::Heartbeat& heartbeat,
+                  const Attempts& reported_attempts, double now);
+  void task_exited(Job& job, Placement& placement, const wire::TaskStatus& heartbeat,
+                   Machine& machine, double now);
   void task_failed(Job& job, Machine& machine, double now);
   void note_earlier_rounds(Job& job, double now) const;
   void space_out_retries(Job& job, double now);
@@ -236,11 +236,11 @@
   const TeamShares* team_shares_ = nullptr;
   Reservations reservations_;
   std::map<std::string, wire::MachineType> types_;
-  struct ReportForwarder {
+  struct HeartbeatForwarder {
     std::uint64_t run = 0;
     double quiet_until = 0, answered_alone_at = 0;
   };
-  std::map<std::string, ReportForwarder> forwarders_;
+  std::map<std::string, HeartbeatForwarder> forwarders_;
   std::map<std::string, double> unreachable_until_;
   BootTimes boot_times_;
   bool changed_ = true;
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -229,9 +229,9 @@
   return out;
 }
 
-std::optional<Report> parse_report(std::string_view body) {
-  return with_object(body, [](const Json& o) -> std::optional<Report> {
-    Report r;
+std::optional<Heartbeat> parse_heartbeat(std::string_view body) {
+  return with_object(body, [](const Json& o) -> std::optional<Heartbeat> {
+    Heartbeat r;
     const auto machine = read_text(o, "Rig"), address = read_text(o, "Address"),
                type = read_text(o, "Frame"), zone = read_text(o, "Yard");
     const auto session = read_count(o, "Shift"), tick = read_count(o, "Tick"),
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -82,7 +82,7 @@
 enum class TaskState { fetching, waiting, running, saving, exited };
 enum class Cause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
 
-struct TaskReport {
+struct TaskStatus {
   TaskName task;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
@@ -90,14 +90,14 @@
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
   std::uint64_t session = 0, tick = 0, fencing_token = 0;
   std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
-std::optional<Report> parse_report(std::string_view body);
+std::optional<Heartbeat> parse_heartbeat(std::string_view body);
 
 enum class Verb { start, stop, forget };
 struct Order {
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -88,7 +88,8 @@
   ASSERT_EQ(hosts.size(), 2U);
   EXPECT_DOUBLE_EQ(hosts[0].free.gpus, 4);
   ASSERT_EQ(hosts[0].residents.size(), 1U);
-  EXPECT_DOUBLE_EQ(*hosts[0].residents[0].move_cost_s, 3 + 2 * halves.fleet.settings.report_s);
+  EXPECT_DOUBLE_EQ(*hosts[0].residents[0].move_cost_s,
+                   3 + 2 * halves.fleet.settings.heartbeat_interval_s);
   EXPECT_FALSE(hosts[0].residents[0].zone_bound);
   halves.array.spec.spread = halves.second.spec.one_zone = true;
   for (const auto& host : view_fleet(halves.fleet.cluster, {}, 60)) {
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -88,8 +88,8 @@
   EXPECT_EQ(fleet.wanted(2.2 * fleet.ready_s()), 0);
   // The late one comes after all, and is used.
   const double late = 2.3 * fleet.ready_s();
-  fleet.cluster.apply_report(testing::report("n-9", 1, 1, {}, testing::kFencingToken, "a"), true,
-                             late);
+  fleet.cluster.reconcile_heartbeat(
+      testing::heartbeat("n-9", 1, 1, {}, testing::kFencingToken, "a"), true, late);
   EXPECT_EQ(fleet.pass(late).placed, 1);
   EXPECT_EQ(fleet.cluster.machine("n-9")->tasks.size(), 1U);
 }
@@ -113,8 +113,8 @@
   for (int i = 0; i < 3; ++i) {
     const auto id = "n-2" + std::to_string(i);
     fleet.rent(id, "a");
-    fleet.cluster.apply_report(testing::report(id, 1, 1, {}, testing::kFencingToken, "a"), true,
-                               slow);
+    fleet.cluster.reconcile_heartbeat(testing::heartbeat(id, 1, 1, {}, testing::kFencingToken, "a"),
+                                      true, slow);
     fleet.cluster.remove_machine(id, slow);
   }
   EXPECT_GT(fleet.cluster.expected_boot(*fleet.cluster.type("g8"), "a", slow), fleet.ready_s());
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 using testing::Fleet;
+using testing::heartbeat;
 using testing::kFencingToken;
 using testing::make_job;
-using testing::report;
 using testing::task;
 using wire::Cause;
 using wire::TaskState;
@@ -25,43 +25,43 @@
     written(job);
   }
   Placement& placement() { return job.placements.at(0); }
-  ClusterState::Freshness checkin(const wire::Report& r, double now = 2) {
-    return cluster.apply_report(r, true, now);
+  ClusterState::Freshness checkin(const wire::Heartbeat& r, double now = 2) {
+    return cluster.reconcile_heartbeat(r, true, now);
   }
 };
 
 TEST(ClusterState, NothingStartsBeforeItsPlaceIsDurable) {
   Placed s;
   s.placement().durable = false;
-  EXPECT_TRUE(s.cluster.orders(report("n-1", 1, 2), true, 2).empty());
+  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), true, 2).empty());
   s.placement().durable = true;
-  ASSERT_EQ(s.cluster.orders(report("n-1", 1, 2), true, 2).size(), 1u);
+  ASSERT_EQ(s.cluster.orders(heartbeat("n-1", 1, 2), true, 2).size(), 1u);
 }
 
 TEST(ClusterState, NothingStartsWithoutACertainLeaderLease) {
   Placed s;
-  EXPECT_TRUE(s.cluster.orders(report("n-1", 1, 2), false, 2).empty());
+  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), false, 2).empty());
 }
 
 TEST(ClusterState, AnAbsenceCountsOnlyInAReportNewerThanTheOneThatCarriedTheStart) {
   Placed s;
-  s.checkin(report("n-1", 1, 2));
-  s.cluster.orders(report("n-1", 1, 2), true, 2);
+  s.checkin(heartbeat("n-1", 1, 2));
+  s.cluster.orders(heartbeat("n-1", 1, 2), true, 2);
   ClusterState::request_stop(s.placement(), 0, 2);
   // A copy of the same report proves nothing, nor does a direct answer that crossed the start.
-  EXPECT_EQ(s.checkin(report("n-1", 1, 2)), ClusterState::Freshness::late_copy);
-  s.cluster.apply_report(report("n-1", 1, 3), false, 2);
+  EXPECT_EQ(s.checkin(heartbeat("n-1", 1, 2)), ClusterState::Freshness::late_copy);
+  s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 3), false, 2);
   EXPECT_FALSE(s.placement().ended);
-  s.checkin(report("n-1", 1, 4));
+  s.checkin(heartbeat("n-1", 1, 4));
   EXPECT_TRUE(s.placement().ended);
 }
 
 TEST(ClusterState, AReportThatDoesNotShowOurTokenProvesNothing) {
   Placed s;
   s.placement().seen = true;  // a former leader's command may still be under way
-  s.checkin(report("n-1", 1, 2, {}, kFencingToken - 1));
+  s.checkin(heartbeat("n-1", 1, 2, {}, kFencingToken - 1));
   EXPECT_FALSE(s.placement().ended);
-  s.checkin(report("n-1", 1, 3, {}, kFencingToken));
+  s.checkin(heartbeat("n-1", 1, 3, {}, kFencingToken));
   EXPECT_TRUE(s.placement().ended);
 }
 
@@ -69,16 +69,17 @@
   Placed s;
   s.placement().unconfirmed_session = 1;
   ClusterState::request_stop(s.placement(), 0, 2);
-  s.checkin(report("n-1", 1, 5));
+  s.checkin(heartbeat("n-1", 1, 5));
   EXPECT_FALSE(s.placement().ended);
-  s.checkin(report("n-1", 2, 6));
+  s.checkin(heartbeat("n-1", 2, 6));
   EXPECT_TRUE(s.placement().ended);
 }
 
 TEST(ClusterState, ATaskWhoseStartIsInDoubtIsNeverForgotten) {
   Placed s;
   s.cluster.machine("n-1")->unconfirmed_starts.insert({{"j-000001", 0}, 1});
-  const auto exited = report("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)});
+  const auto exited =
+      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)});
   s.checkin(exited);
   s.written(s.job);
   EXPECT_TRUE(s.cluster.orders(exited, true, 3).empty());
@@ -86,7 +87,8 @@
 
 TEST(ClusterState, DoneIsDurableBeforeForget) {
   Placed s;
-  const auto exited = report("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)});
+  const auto exited =
+      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)});
   s.checkin(exited);
   EXPECT_TRUE(s.job.complete());
   EXPECT_TRUE(s.cluster.orders(exited, true, 3).empty());
@@ -101,7 +103,7 @@
 TEST(ClusterState, AMachineThatHeedsNoAnswerHoldsNothingAndGetsNothing) {
   Placed s;
   const auto says_nothing_of_it = [&](std::uint64_t tick) {
-    const auto r = report("n-1", 1, tick);
+    const auto r = heartbeat("n-1", 1, tick);
     s.checkin(r, static_cast<double>(tick));
     s.cluster.orders(r, true, static_cast<double>(tick));
     s.cluster.note_answered("n-1", static_cast<double>(tick));
@@ -121,7 +123,7 @@
   Fleet s;
   s.add(make_job("j-000001", wire::Shape::service, 1, 4));
   for (std::uint64_t tick = 2; tick <= 4; ++tick) {
-    s.cluster.apply_report(report("n-1", 1, tick, {}, kFencingToken - 1), true, 2);
+    s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, tick, {}, kFencingToken - 1), true, 2);
     s.cluster.note_answered("n-1", 2);
   }
   EXPECT_EQ(s.pass(3).placed, 0);
@@ -132,7 +134,7 @@
   Placed s;
   s.placement().unconfirmed_session = 1;
   for (std::uint64_t tick = 2; tick < 9; ++tick) {
-    const auto r = report("n-1", 1, tick);
+    const auto r = heartbeat("n-1", 1, tick);
     s.checkin(r, 2);
     s.cluster.orders(r, true, 2);
   }
@@ -172,8 +174,8 @@
   EXPECT_EQ(s.cluster.expire_leases(over + 1).size(), 1u);
   EXPECT_TRUE(stored.placements[0].ended);
   // Should it come back, whatever it holds is a stranger's.
-  s.cluster.apply_report(report("n-1", 2, 1, {task("j-000001", 0, 1, wire::TaskState::running)}),
-                         true, over + 2);
+  s.cluster.reconcile_heartbeat(
+      heartbeat("n-1", 2, 1, {task("j-000001", 0, 1, wire::TaskState::running)}), true, over + 2);
   EXPECT_TRUE(stored.placements[0].ended);
 }
 
@@ -184,7 +186,7 @@
   Machine& m = *s.cluster.machine("n-1");
   m.token_acknowledged = false;
   m.last_answered = 0;
-  s.cluster.apply_report(report("n-1", 1, 9), false, 100);
+  s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 9), false, 100);
   EXPECT_TRUE(s.cluster.expire_leases(105).empty());
   EXPECT_EQ(s.cluster.expire_leases(111).size(), 1u);
 }
@@ -200,8 +202,8 @@
 TEST(ClusterState, ACancelledJobIsStoppedAndNeverStarted) {
   Placed s;
   s.job.withdrawn_ms = 99;
-  EXPECT_TRUE(s.cluster.orders(report("n-1", 1, 2), true, 2).empty());
-  const auto running = report("n-1", 1, 3, {task("j-000001", 0, 1, TaskState::running)});
+  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), true, 2).empty());
+  const auto running = heartbeat("n-1", 1, 3, {task("j-000001", 0, 1, TaskState::running)});
   s.checkin(running);
   const auto orders = s.cluster.orders(running, true, 3);
   ASSERT_EQ(orders.size(), 1u);
@@ -210,7 +212,7 @@
 
 TEST(ClusterState, AReloadedRecordDropsWhatWasNeverWrittenAndKeepsWhatWasLearnt) {
   Placed s;
-  s.checkin(report("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)}));
+  s.checkin(heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)}));
   // The write of `done` got lost; the stored record still names the placement.
   auto stored = make_job("j-000001", wire::Shape::service, 1, 4);
   stored.last_attempt = 1;
@@ -231,12 +233,12 @@
     s.add(make_job(id, wire::Shape::array, 1, 1));
   }
   s.pass();
-  std::vector<wire::TaskReport> failed;
+  std::vector<wire::TaskStatus> failed;
   for (const char* id : {"j-000001", "j-000002"}) {
     s.written(*s.cluster.job(id));
     failed.push_back(task(id, 0, 1, TaskState::exited, Cause::error));
   }
-  s.cluster.apply_report(report("n-1", 1, 2, failed), true, 2);
+  s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 2, failed), true, 2);
   EXPECT_TRUE(s.cluster.machine("n-1")->quarantined);
   EXPECT_EQ(s.cluster.job("j-000001")->failures, 0);
 }
@@ -247,9 +249,9 @@
   s.pass();
   s.written(job);
   for (auto& p : job.placements) {
-    s.cluster.apply_report(
-        report(p.machine, 1, 2,
-               {task("j-000001", p.task, p.attempt, TaskState::exited, Cause::error)}),
+    s.cluster.reconcile_heartbeat(
+        heartbeat(p.machine, 1, 2,
+                  {task("j-000001", p.task, p.attempt, TaskState::exited, Cause::error)}),
         true, 2);
   }
   EXPECT_GT(job.backoff_until, 2);
@@ -260,7 +262,7 @@
 /// Starts whatever may be started, and lets all that runs of these jobs fail; returns how many.
 int fail_all(Fleet& s, const std::set<std::string>& jobs, std::uint64_t tick, double now) {
   s.pass(now);
-  std::map<std::string, std::vector<wire::TaskReport>> reports;
+  std::map<std::string, std::vector<wire::TaskStatus>> reports;
   int failed = 0;
   for (auto& [id, job] : s.cluster.jobs()) {
     s.written(job);
@@ -273,7 +275,7 @@
     }
   }
   for (const auto& [machine, tasks] : reports) {
-    s.cluster.apply_report(report(machine, 1, tick, tasks), true, now + 0.1);
+    s.cluster.reconcile_heartbeat(heartbeat(machine, 1, tick, tasks), true, now + 0.1);
   }
   return failed;
 }
@@ -305,7 +307,7 @@
   s.add(make_job("j-000002", wire::Shape::array, 2, 2, "blue"));
   s.pass(2);
   for (auto& [id, job] : s.cluster.jobs()) s.written(job);
-  std::map<std::string, std::vector<wire::TaskReport>> reports;
+  std::map<std::string, std::vector<wire::TaskStatus>> reports;
   for (const auto& [id, job] : s.cluster.jobs()) {
     for (const auto& p : job.placements) {
       const bool works = id == "j-000001" && p.machine == "n-2";
@@ -314,9 +316,9 @@
     }
   }
   ASSERT_EQ(reports.size(), 2U);
-  s.cluster.apply_report(report("n-2", 1, 2, reports["n-2"]), true, 3);
+  s.cluster.reconcile_heartbeat(heartbeat("n-2", 1, 2, reports["n-2"]), true, 3);
   ASSERT_TRUE(sound.succeeded);
-  s.cluster.apply_report(report("n-1", 1, 2, reports["n-1"]), true, 3);
+  s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 2, reports["n-1"]), true, 3);
   ASSERT_TRUE(s.cluster.machine("n-1")->quarantined);
   // The other job turns out to be at fault, which clears nothing that was proven otherwise.
   for (std::uint64_t tick = 3; tick < 6; ++tick) {
@@ -345,9 +347,9 @@
   s.written(job);
   ASSERT_EQ(job.live(), 2U);
   const auto p = job.placements.front();
-  s.cluster.apply_report(
-      report(p.machine, 1, 3,
-             {task("j-000001", p.task, p.attempt, TaskState::exited, Cause::done)}),
+  s.cluster.reconcile_heartbeat(
+      heartbeat(p.machine, 1, 3,
+                {task("j-000001", p.task, p.attempt, TaskState::exited, Cause::done)}),
       true, 11);
   EXPECT_EQ(job.failures, 0);
   EXPECT_TRUE(job.failed_on.empty());
@@ -420,11 +422,11 @@
 TEST(ClusterState, AZoneIsDarkWhenAllItsWorkersGoQuietAndOthersDoNot) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}, {"n-4", "b"}});
   EXPECT_TRUE(s.cluster.watch_zones(5).empty());  // nobody is heard: it is us who are cut off
-  s.cluster.apply_report(report("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
+  s.cluster.reconcile_heartbeat(heartbeat("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
   EXPECT_EQ(s.cluster.watch_zones(5), std::vector<std::string>{"a"});
   EXPECT_FALSE(usable(s.cluster, *s.cluster.machine("n-1")));
   EXPECT_TRUE(usable(s.cluster, *s.cluster.machine("n-4")));
-  s.cluster.apply_report(report("n-2", 1, 2), true, 6);
+  s.cluster.reconcile_heartbeat(heartbeat("n-2", 1, 2), true, 6);
   EXPECT_TRUE(s.cluster.watch_zones(6).empty());
   EXPECT_TRUE(usable(s.cluster, *s.cluster.machine("n-1")));
 }
@@ -436,7 +438,7 @@
   s.add(make_job("j-000001", wire::Shape::service, 2, 8));
   ASSERT_EQ(s.pass().placed, 2);
   ASSERT_TRUE(s.pass().shortfall.wanted.empty());
-  s.cluster.apply_report(report("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
+  s.cluster.reconcile_heartbeat(heartbeat("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
   s.cluster.watch_zones(5);
   const auto wanted = s.pass(5).shortfall.wanted;  // one of the two finds room on n-4
   ASSERT_EQ(wanted.size(), 1u);
@@ -477,7 +479,7 @@
   EXPECT_TRUE(put.placements.front().ended);
   EXPECT_TRUE(put.dirty);  // and so is written without it
   EXPECT_EQ(s.cluster.team_use("red").gpus, 0);
-  EXPECT_TRUE(s.cluster.orders(report("n-1", 1, 2), true, 3).empty());
+  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), true, 3).empty());
 }
 
 // Guards against a stored placement being taken for a remembered one on another machine: the record
@@ -514,16 +516,16 @@
   }
   Job& job = s.add(std::move(stored));
   const auto exited = wire::TaskState::exited;
-  s.cluster.apply_report(report("n-7", 1, 9,
-                                {task("j-000001", 0, 1, exited, wire::Cause::stopped),
-                                 task("j-000001", 1, 2, exited, wire::Cause::done)},
-                                kFencingToken - 1),
-                         true, 1);
+  s.cluster.reconcile_heartbeat(heartbeat("n-7", 1, 9,
+                                          {task("j-000001", 0, 1, exited, wire::Cause::stopped),
+                                           task("j-000001", 1, 2, exited, wire::Cause::done)},
+                                          kFencingToken - 1),
+                                true, 1);
   EXPECT_EQ(job.live(), 2U);
   EXPECT_TRUE(job.done.contains(1));  // what is done stays done
   EXPECT_FALSE(usable(s.cluster, *s.cluster.machine("n-7")));
   EXPECT_TRUE(coming(s.cluster, *s.cluster.machine("n-7")));
-  s.cluster.apply_report(report("n-7", 2, 1), true, 2);
+  s.cluster.reconcile_heartbeat(heartbeat("n-7", 2, 1), true, 2);
   EXPECT_TRUE(usable(s.cluster, *s.cluster.machine("n-7")));
   EXPECT_EQ(job.live(), 2U);  // nothing was told to this session yet
 }
@@ -532,20 +534,20 @@
 // ever.
 TEST(ClusterState, AStopMeetsAStartInDoubt) {
   Placed s;
-  s.checkin(report("n-1", 1, 2));
+  s.checkin(heartbeat("n-1", 1, 2));
   s.placement().unconfirmed_session = 1;
   s.cluster.machine("n-1")->unconfirmed_starts.insert({{"j-000001", 0}, s.placement().attempt});
   ClusterState::request_stop(s.placement(), 5, 3);
-  s.checkin(report("n-1", 1, 3), 3);
+  s.checkin(heartbeat("n-1", 1, 3), 3);
   EXPECT_FALSE(s.placement().ended);  // it may still come
-  const auto orders = s.cluster.orders(report("n-1", 1, 3), true, 3);
+  const auto orders = s.cluster.orders(heartbeat("n-1", 1, 3), true, 3);
   ASSERT_EQ(orders.size(), 2U);
   EXPECT_EQ(orders[0].verb, Verb::start);
   EXPECT_EQ(orders[1].verb, Verb::stop);
-  EXPECT_TRUE(s.cluster.orders(report("n-1", 1, 3), false, 3).empty());
+  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 3), false, 3).empty());
   const auto attempt = s.placement().attempt;
   const auto ended =
-      report("n-1", 1, 4, {task("j-000001", 0, attempt, TaskState::exited, Cause::stopped)});
+      heartbeat("n-1", 1, 4, {task("j-000001", 0, attempt, TaskState::exited, Cause::stopped)});
   s.checkin(ended, 4);
   EXPECT_EQ(s.job.live(), 0U);
   s.written(s.job);
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -12,7 +12,7 @@
   s.nodes = 3;
   s.zones = {"a", "b"};
   s.teams = {{"red", 0, 0, 8, 16}, {"blue", 0, 0, 8, 16}};
-  s.report_s = 1;
+  s.heartbeat_interval_s = 1;
   s.lease_s = 10;
   s.gang_wait_s = 30;
   s.gang_peer_s = 5;
@@ -50,11 +50,11 @@
 
 inline constexpr std::uint64_t kFencingToken = 7;
 
-inline wire::Report report(const std::string& machine, std::uint64_t session, std::uint64_t tick,
-                           std::vector<wire::TaskReport> tasks = {},
-                           std::uint64_t fencing_token = kFencingToken,
-                           const std::string& zone = "a", const std::string& type = "g8") {
-  wire::Report r;
+inline wire::Heartbeat heartbeat(const std::string& machine, std::uint64_t session,
+                                 std::uint64_t tick, std::vector<wire::TaskStatus> tasks = {},
+                                 std::uint64_t fencing_token = kFencingToken,
+                                 const std::string& zone = "a", const std::string& type = "g8") {
+  wire::Heartbeat r;
   r.machine = machine;
   r.address = "10.1.0.1:9000";
   r.type = type;
@@ -66,7 +66,7 @@
   return r;
 }
 
-inline wire::TaskReport task(const std::string& job, std::uint32_t index, std::uint64_t attempt,
+inline wire::TaskStatus task(const std::string& job, std::uint32_t index, std::uint64_t attempt,
                              wire::TaskState state, wire::Cause cause = wire::Cause::none) {
   return {{job, index}, attempt, state, cause, false};
 }
@@ -84,7 +84,7 @@
   explicit Fleet(std::initializer_list<Where> machines) {
     cluster.set_types({machine_type()});
     for (const auto& [id, zone] : machines) {
-      cluster.apply_report(report(id, 1, 1, {}, kFencingToken, zone), true, 0);
+      cluster.reconcile_heartbeat(heartbeat(id, 1, 1, {}, kFencingToken, zone), true, 0);
       cluster.note_answered(id, 0);
     }
   }
--- a/tests/frame_compatibility_test.cpp
+++ b/tests/frame_compatibility_test.cpp
@@ -32,13 +32,14 @@
     "\x41\x42\x43\x44\x45\x46\x47\x48"
     "\x51\x52\x53\x54");
 
-const peer::ForwardedReport kReport{0x0102030405060708, R"({"Rig":"n-1"})"};
+const peer::ForwardedHeartbeat kReport{0x0102030405060708, R"({"Rig":"n-1"})"};
 const std::string kReportBytes = bytes(
     "\x00\x17\x02\x02"
     "\x01\x02\x03\x04\x05\x06\x07\x08"
     "\x00\x0d{\"Rig\":\"n-1\"}");
 
-const peer::ForwardedAnswer kAnswer{0x0102030405060708, 421, 0x1112131415161718, 0x21222324, "{}"};
+const peer::ForwardedResponse kAnswer{0x0102030405060708, 421, 0x1112131415161718, 0x21222324,
+                                      "{}"};
 const std::string kAnswerBytes = bytes(
     "\x00\x1a\x02\x03"
     "\x01\x02\x03\x04\x05\x06\x07\x08"
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -131,11 +131,12 @@
   Halves::store(former);
   MoveExecutor successor(halves.fleet.cluster, kFencingToken, false, halves.now);
   successor.load(former.wanted(), halves.wall_ms(), halves.now);
-  for (const char* id : {"n-1", "n-2"}) halves.fleet.cluster.machine(id)->reported = false;
+  for (const char* id : {"n-1", "n-2"})
+    halves.fleet.cluster.machine(id)->heartbeat_received = false;
   halves.advance(successor);
   EXPECT_TRUE(successor.has_plan());
   EXPECT_FALSE(successor.to_store());
-  halves.now += 4 * halves.fleet.settings.report_s;
+  halves.now += 4 * halves.fleet.settings.heartbeat_interval_s;
   halves.advance(successor);
   EXPECT_FALSE(successor.has_plan());
 }
@@ -270,10 +271,10 @@
   bool is_told_to_stop() {
     auto& cluster = halves.fleet.cluster;
     const auto& machine = *cluster.machine(move().source);
-    const auto report = testing::report(
+    const auto heartbeat = testing::heartbeat(
         machine.id, 1, machine.tick + 1,
         {testing::task(move().task.job, move().task.index, 1, wire::TaskState::running)});
-    const auto orders = cluster.orders(report, true, halves.now);
+    const auto orders = cluster.orders(heartbeat, true, halves.now);
     return std::any_of(orders.begin(), orders.end(),
                        [](const wire::Order& order) { return order.verb == wire::Verb::stop; });
   }
--- a/tests/moves_cluster_test.cpp
+++ b/tests/moves_cluster_test.cpp
@@ -295,8 +295,8 @@
     Fragments fragments;
     auto& w = fragments.w;
     w.random.seed(seed);
-    w.late_reports = 0.7;
-    w.keeps_reports = true;
+    w.late_heartbeats = 0.7;
+    w.keeps_heartbeats = true;
     fragments.ask_for_large();
     ASSERT_TRUE(fragments.reach_plan());
     fragments.run(0.1 * seed);
--- a/tests/moves_property_test.cpp
+++ b/tests/moves_property_test.cpp
@@ -27,7 +27,7 @@
   hang_machine,
   kill_machine,
   wake_machines,
-  late_reports,
+  late_heartbeats,
   submit_small,
   submit_large,
   cancel_job,
@@ -111,8 +111,8 @@
       case Action::wake_machines:
         for (auto& [id, worker] : w.workers) w.wake(*worker);
         break;
-      case Action::late_reports:
-        w.late_reports = 0.5;
+      case Action::late_heartbeats:
+        w.late_heartbeats = 0.5;
         break;
       case Action::submit_small:
         w.add_user(array_of(next_id(), 1 + step.detail % 2, 1 + step.detail % 5), habits(step));
@@ -140,7 +140,7 @@
                               Action::prompt_writes, Action::wake_machines}) {
       take({action, 0, 0});
     }
-    fragments_.w.late_reports = 0;
+    fragments_.w.late_heartbeats = 0;
     run(fragments_.longest());
     // A plan that stands now was begun since.
     const auto record = fragments_.record();
--- a/tests/ops_troubles_test.cpp
+++ b/tests/ops_troubles_test.cpp
@@ -153,7 +153,7 @@
   for (const double moment : {0.0, 0.3, 0.6, 0.9}) {
     TestCluster w(5, {"a", "b", "c", "a", "b"}, settings);
     w.run_s = 10'000;
-    w.report_spread = 0.25;
+    w.heartbeat_spread = 0.25;
     for (int i = 0; i < 4; ++i) w.add_worker("b");
     w.run(1);
     ASSERT_EQ(w.leader(), 0);
@@ -176,7 +176,7 @@
 // cancelled task there and not of its end, and not of the work that its successor put there since.
 TEST(OpsTroubles, ALeaderThatStoodStillDeletesNoMachineForWhatIsLongOver) {
   auto settings = small_settings();
-  settings.report_s = 3;
+  settings.heartbeat_interval_s = 3;
   settings.lease_s = 29;
   settings.cancel_s = 49;
   settings.cloud_rps = 20;  // a deletion waits for nothing
@@ -515,7 +515,7 @@
 
   explicit GreatArray(std::uint32_t tasks = 4'000) {
     w.run_s = 4;
-    w.report_spread = 0.25;
+    w.heartbeat_spread = 0.25;
     for (int i = 0; i < 4; ++i) w.add_worker("a");
     w.run(3);
     w.add_user(array_of("j-000001", tasks, "blue"));
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -20,8 +20,8 @@
     buffer += bytes[i];
     ASSERT_EQ(unpack(buffer, out), Unpacked::more);
   }
-  const Frame forwarded = ForwardedReport{9, "{}"},
-              answer = ForwardedAnswer{9, 200, 41, 1500, "{\"a\":1}"};
+  const Frame forwarded = ForwardedHeartbeat{9, "{}"},
+              answer = ForwardedResponse{9, 200, 41, 1500, "{\"a\":1}"};
   buffer += bytes.back() + pack(forwarded) + pack(answer);
   for (const Frame& expected : {Frame(hello), forwarded, answer}) {
     ASSERT_EQ(unpack(buffer, out), Unpacked::frame);
@@ -72,7 +72,7 @@
 
 TEST(Peer, TheSmallerTheShareTheFewerWritesAndNeverTooLateForAReport) {
   base::Settings settings;
-  settings.report_s = 1;
+  settings.heartbeat_interval_s = 1;
   settings.core_share = 0.04;
   EXPECT_NEAR(write_interval(settings), 0.0625, 1e-9);
   settings.core_share = 0.08;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 using testing::Fleet;
+using testing::heartbeat;
 using testing::make_job;
-using testing::report;
 using wire::Shape;
 
 TEST(Placement, ATeamNeverUsesMoreThanItsLimit) {
@@ -111,7 +111,7 @@
   s.settings.teams = {{"red", 0, 0, 100'000, 100'000}, {"blue", 0, 0, 0, 100'000}};
   constexpr std::size_t kMachines = 1300;
   for (std::size_t i = 0; i < kMachines; ++i) {
-    s.cluster.apply_report(report("n-" + std::to_string(i + 10), 1, 1), true, 0);
+    s.cluster.reconcile_heartbeat(heartbeat("n-" + std::to_string(i + 10), 1, 1), true, 0);
   }
   const auto add = [&](int from, int jobs, std::uint32_t tasks, wire::Rank rank, const char* team) {
     for (int i = 0; i < jobs; ++i) {
@@ -225,18 +225,18 @@
 TEST(Placement, ASpotMachineThatAloneGoesQuietIsTaken) {
   Fleet s({});
   for (const char* id : {"n-1", "n-2", "n-3"}) {
-    auto r = report(id, 1, 1);
+    auto r = heartbeat(id, 1, 1);
     r.spot = true;
-    s.cluster.apply_report(r, true, 0);
+    s.cluster.reconcile_heartbeat(r, true, 0);
   }
   const auto taken = [&](double now) {
     return surely_taken(s.cluster, *s.cluster.machine("n-1"), count_workers(s.cluster, now), now);
   };
   EXPECT_FALSE(taken(5));  // the others are quiet too
   for (const char* id : {"n-2", "n-3"}) {
-    auto r = report(id, 1, 2);
+    auto r = heartbeat(id, 1, 2);
     r.spot = true;
-    s.cluster.apply_report(r, true, 4);
+    s.cluster.reconcile_heartbeat(r, true, 4);
   }
   EXPECT_TRUE(taken(5));
   EXPECT_FALSE(taken(2.9));  // a report or two may be lost
@@ -246,13 +246,13 @@
 
 TEST(Placement, ASpotMachineQuietAfterItsNoticeIsTaken) {
   Fleet s({});
-  auto r = report("n-1", 1, 1);
+  auto r = heartbeat("n-1", 1, 1);
   r.spot = true;
   r.notice_s = 10;
-  s.cluster.apply_report(r, true, 0);
+  s.cluster.reconcile_heartbeat(r, true, 0);
   r.tick = 2;
   r.notice_s = 1;
-  s.cluster.apply_report(r, true, 9);
+  s.cluster.reconcile_heartbeat(r, true, 9);
   const auto taken = [&](double now) {
     return surely_taken(s.cluster, *s.cluster.machine("n-1"), count_workers(s.cluster, now), now);
   };
--- a/tests/report_forwarder_test.cpp
+++ b/tests/report_forwarder_test.cpp
@@ -8,13 +8,13 @@
 namespace cranklock::control {
 namespace {
 
-using testing::report;
+using testing::heartbeat;
 
 struct Carrier {
   testing::FakeReactor reactor;
   base::Settings settings = testing::small_settings();
-  ReportForwarder forwarder{reactor, settings};
-  std::vector<peer::ForwardedReport> sent;
+  HeartbeatForwarder forwarder{reactor, settings};
+  std::vector<peer::ForwardedHeartbeat> sent;
   double state_heard = 0;
 
   Carrier() {
@@ -22,7 +22,7 @@
     reactor.run_until(100);
     forwarder.set_send([this](const std::string& to, const peer::Frame& frame) {
       EXPECT_EQ(to, "n9");
-      sent.push_back(std::get<peer::ForwardedReport>(frame));
+      sent.push_back(std::get<peer::ForwardedHeartbeat>(frame));
     });
   }
   void hear(std::uint64_t fencing_token = 7) {
@@ -32,7 +32,7 @@
   }
   /// The status, once the worker's patience is nearly over at the latest.
   int forward(std::uint64_t fencing_token = 7, int answer_alone_ms = -1) {
-    auto task = forwarder.forward(report("n-1", 1, 1, {}, fencing_token), "{}",
+    auto task = forwarder.forward(heartbeat("n-1", 1, 1, {}, fencing_token), "{}",
                                   [this] { return state_heard; });
     task.start();
     if (answer_alone_ms >= 0 && !task.done()) {
@@ -50,13 +50,13 @@
   }
 };
 
-TEST(ReportForwarder, CarriesReportsAndLetsNobodyElseBeTimedByThem) {
+TEST(HeartbeatForwarder, CarriesReportsAndLetsNobodyElseBeTimedByThem) {
   Carrier c;
-  EXPECT_FALSE(c.forwarder.may_forward(report("n-1", 1, 1)));  // no leader is heard
+  EXPECT_FALSE(c.forwarder.may_forward(heartbeat("n-1", 1, 1)));  // no leader is heard
   c.hear();
-  EXPECT_TRUE(c.forwarder.may_forward(report("n-1", 1, 1)));
+  EXPECT_TRUE(c.forwarder.may_forward(heartbeat("n-1", 1, 1)));
   // Another zone's is answered once, and sent to the leader then.
-  const auto other_zone = report("n-2", 1, 1, {}, 7, "b");
+  const auto other_zone = heartbeat("n-2", 1, 1, {}, 7, "b");
   EXPECT_TRUE(c.forwarder.may_forward(other_zone));
   c.forwarder.note_forwarded(other_zone);
   EXPECT_FALSE(c.forwarder.may_forward(other_zone));
@@ -72,7 +72,7 @@
   EXPECT_FALSE(c.answered_alone());
 }
 
-TEST(ReportForwarder, AnswersAloneOnlyWhenCutOffAndOnlyAsLongAsItWasAllowed) {
+TEST(HeartbeatForwarder, AnswersAloneOnlyWhenCutOffAndOnlyAsLongAsItWasAllowed) {
   Carrier c;
   c.hear();
   ASSERT_EQ(c.forward(7, 20'000), 200);
@@ -85,9 +85,9 @@
   EXPECT_EQ(c.forward(), 421);
 }
 
-TEST(ReportForwarder, ForwardsForAZoneWithoutAControllerAndNeverAnswersItAlone) {
+TEST(HeartbeatForwarder, ForwardsForAZoneWithoutAControllerAndNeverAnswersItAlone) {
   Carrier c;
-  const auto exposed = report("n-2", 1, 1, {}, 7, "c");
+  const auto exposed = heartbeat("n-2", 1, 1, {}, 7, "c");
   EXPECT_FALSE(c.forwarder.may_forward(exposed));  // no leader is heard
   c.hear();
   EXPECT_TRUE(c.forwarder.may_forward(exposed));
@@ -96,40 +96,40 @@
 }
 
 // 4,200 workers at one node: what is remembered of each must not go with the 4,097th.
-TEST(ReportForwarder, RemembersEveryWorkerOfALargeFleet) {
+TEST(HeartbeatForwarder, RemembersEveryWorkerOfALargeFleet) {
   constexpr int kWorkers = 4200;
   Carrier c;
   const auto name = [](int i) { return "n-" + std::to_string(i); };
   c.hear();
   for (int i = 0; i < kWorkers; ++i) {
-    const auto own = report(name(i), 1, 1);
+    const auto own = heartbeat(name(i), 1, 1);
     auto task = c.forwarder.forward(own, "{}", [&c] { return c.state_heard; });
     task.start();
     c.forwarder.answered({c.sent.back().id, 200, 7, 20'000, "{}"});
     c.reactor.run_until(c.reactor.now() + 0.0001);
     ASSERT_TRUE(task.done());
-    c.forwarder.note_forwarded(report("b-" + name(i), 1, 1, {}, 7, "b"));
+    c.forwarder.note_forwarded(heartbeat("b-" + name(i), 1, 1, {}, 7, "b"));
   }
   for (int i = 0; i < kWorkers; ++i) {
-    const auto other_zone = report("b-" + name(i), 1, 2, {}, 7, "b");
+    const auto other_zone = heartbeat("b-" + name(i), 1, 2, {}, 7, "b");
     ASSERT_FALSE(c.forwarder.may_forward(other_zone)) << i;  // not taken for a first visit
     c.forwarder.note_sent_away(other_zone);
   }
   for (int i = 0; i < kWorkers; ++i) {
-    ASSERT_TRUE(c.forwarder.may_forward(report("b-" + name(i), 1, 2, {}, 7, "b"))) << i;
+    ASSERT_TRUE(c.forwarder.may_forward(heartbeat("b-" + name(i), 1, 2, {}, 7, "b"))) << i;
   }
   c.reactor.run_until(c.reactor.now() + 5);  // the leader is not heard any more
   for (int i = 0; i < kWorkers; ++i) {
-    ASSERT_TRUE(c.forwarder.may_forward(report(name(i), 1, 2))) << i;
+    ASSERT_TRUE(c.forwarder.may_forward(heartbeat(name(i), 1, 2))) << i;
   }
 }
 
 // Guards against a leader that counts on its forwarders' silence: while it is heard they keep it.
-TEST(ReportForwarder, NeverAnswersAloneWhileTheLeaderIsHeard) {
+TEST(HeartbeatForwarder, NeverAnswersAloneWhileTheLeaderIsHeard) {
   Carrier c;
   c.hear();
   ASSERT_EQ(c.forward(7, 20'000), 200);
-  auto task = c.forwarder.forward(report("n-1", 1, 2), "{}", [&] { return 0.0; });
+  auto task = c.forwarder.forward(heartbeat("n-1", 1, 2), "{}", [&] { return 0.0; });
   task.start();
   for (int i = 0; i < 40 && !task.done(); ++i) {
     c.hear();
@@ -141,7 +141,7 @@
 }
 
 // Guards against holding workers back from a leader's successor.
-TEST(ReportForwarder, SendsWorkersAwayWhenOnlyTheLeaderIsGone) {
+TEST(HeartbeatForwarder, SendsWorkersAwayWhenOnlyTheLeaderIsGone) {
   Carrier c;
   c.hear();
   ASSERT_EQ(c.forward(7, 20'000), 200);
@@ -155,11 +155,11 @@
 
 // A leader that is not heard any more, and its successor before the worker's patience is over: the
 // same report is answered by the successor, and what the former leader says late counts no more.
-TEST(ReportForwarder, AReportWaitsForTheLeadersSuccessor) {
+TEST(HeartbeatForwarder, AReportWaitsForTheLeadersSuccessor) {
   Carrier c;
   c.hear();
   c.state_heard = 200;  // this node is not cut off
-  auto task = c.forwarder.forward(report("n-1", 1, 1), "{}", [&] { return c.state_heard; });
+  auto task = c.forwarder.forward(heartbeat("n-1", 1, 1), "{}", [&] { return c.state_heard; });
   task.start();
   ASSERT_EQ(c.sent.size(), 1U);
   const auto first = c.sent[0].id;
@@ -181,7 +181,7 @@
 }
 
 // Guards against prolonging what is to be stopped: an answer that forwards a stop allows nothing.
-TEST(ReportForwarder, AnAnswerThatAllowsNothingEndsWhatAnEarlierOneAllowed) {
+TEST(HeartbeatForwarder, AnAnswerThatAllowsNothingEndsWhatAnEarlierOneAllowed) {
   Carrier c;
   c.hear();
   ASSERT_EQ(c.forward(7, 20'000), 200);
@@ -190,19 +190,19 @@
   EXPECT_EQ(c.forward(), 421);
 }
 
-TEST(ReportForwarder, AnswersToAFormerRunAreNotTakenForItsOwn) {
+TEST(HeartbeatForwarder, AnswersToAFormerRunAreNotTakenForItsOwn) {
   Carrier before;
   before.hear();
   before.forward(7, 20'000);
   Carrier c;  // the same node, restarted a little later
   c.reactor.run_until(100.2);
-  ReportForwarder restarted{c.reactor, c.settings};
+  HeartbeatForwarder restarted{c.reactor, c.settings};
   restarted.set_send([&](const std::string&, const peer::Frame& frame) {
-    c.sent.push_back(std::get<peer::ForwardedReport>(frame));
+    c.sent.push_back(std::get<peer::ForwardedHeartbeat>(frame));
   });
   peer::Hello hello{"n9", 7, true, true};
   restarted.heard(hello);
-  auto task = restarted.forward(report("n-1", 1, 2), "{}", [] { return 0.0; });
+  auto task = restarted.forward(heartbeat("n-1", 1, 2), "{}", [] { return 0.0; });
   task.start();
   ASSERT_EQ(c.sent.size(), 1u);
   EXPECT_GT(c.sent[0].id, before.sent[0].id + 10'000);
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -145,8 +145,8 @@
     Held held;
     held.waiting.done.add(0);
     held.moved.spec.one_zone = one_zone;
-    held.fleet.cluster.apply_report(testing::report("n-3", 1, 1, {}, testing::kFencingToken, "b"),
-                                    true, 0);
+    held.fleet.cluster.reconcile_heartbeat(
+        testing::heartbeat("n-3", 1, 1, {}, testing::kFencingToken, "b"), true, 0);
     held.fleet.cluster.add_placement(held.moved, 0, 1, "n-3", 0);
     held.hold({held.for_moved()});
     held.fleet.pass(1);
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -242,7 +242,7 @@
   TestCluster w;
   w.run(2);
   const int other = (w.leader() + 1) % 3;
-  wire::Report r = report("n-77", 1, 1);
+  wire::Heartbeat r = heartbeat("n-77", 1, 1);
   const std::string body =
       R"({"Rig":"n-77","Address":"x","Frame":"g8","Yard":"a","Loaners":false,"Shift":1,"Tick":1,"KeyTurn":0})";
   const auto answer = w.ask(other, "POST", "/checkin", body);
@@ -303,7 +303,7 @@
   w.run(180);
   bool in_a_row = false;  // four requests, of a hundred machines each
   for (std::size_t i = 3; i < w.deletions.size(); ++i) {
-    in_a_row = in_a_row || w.deletions[i] - w.deletions[i - 3] < settings.report_s;
+    in_a_row = in_a_row || w.deletions[i] - w.deletions[i - 3] < settings.heartbeat_interval_s;
   }
   EXPECT_TRUE(in_a_row);
   EXPECT_EQ(running(), kJobs * kTasks);
@@ -355,7 +355,7 @@
 TEST(Scenario, FourThousandWorkersComeToANewLeaderWithFewerSocketsThanWorkers) {
   constexpr int kWorkers = 4200, kNodes = 5;
   auto settings = small_settings();
-  settings.report_s = 4;
+  settings.heartbeat_interval_s = 4;
   settings.lease_s = 22;
   settings.cancel_s = 52;
   settings.fd_limit = 1100;
@@ -363,7 +363,7 @@
   settings.operators.scaler.least_machines = kWorkers;
   const auto limit = base::public_connections(settings);
   TestCluster w(kNodes, std::vector<std::string>(kNodes, "a"), settings);
-  w.report_spread = 0.25;
+  w.heartbeat_spread = 0.25;
   w.run(1);
   for (int i = 0; i < kWorkers; ++i) {
     w.add_worker(i % 2 == 0 ? "a" : "b");
--- a/tests/settings_compatibility_test.cpp
+++ b/tests/settings_compatibility_test.cpp
@@ -151,7 +151,7 @@
 
 TEST(SettingsToml, TimesOfWorkersAndLimitsOfServicesAndOfTheProcessAreRead) {
   const auto settings = read_toml(kToml);
-  EXPECT_EQ(settings.report_s, 1.5);
+  EXPECT_EQ(settings.heartbeat_interval_s, 1.5);
   EXPECT_EQ(settings.lease_s, 10.5);
   EXPECT_EQ(settings.gang_wait_s, 31);
   EXPECT_EQ(settings.gang_peer_s, 5.5);
--- a/tests/sweep_test.cpp
+++ b/tests/sweep_test.cpp
@@ -18,7 +18,7 @@
     w.random.seed(seed);
     w.run_s = 4 + static_cast<double>(seed % 3) * 8;
     if (seed % 4 == 1) w.unlisted_s = 6;
-    if (seed % 5 == 2) w.keeps_reports = true;
+    if (seed % 5 == 2) w.keeps_heartbeats = true;
     if (seed % 3 == 2) w.kept_s = 2;
   }
 
@@ -29,8 +29,8 @@
   static base::Settings figures(unsigned seed) {
     auto s = small_settings();
     s.teams = {{"red", 0, 0, 8, 16}, {"blue", 0, 0, 8, 12}};
-    if (seed % 3 == 1) s.report_s = 2, s.lease_s = 15, s.cancel_s = 30;
-    if (seed % 3 == 2) s.report_s = 2, s.lease_s = 29, s.cancel_s = 40;
+    if (seed % 3 == 1) s.heartbeat_interval_s = 2, s.lease_s = 15, s.cancel_s = 30;
+    if (seed % 3 == 2) s.heartbeat_interval_s = 2, s.lease_s = 29, s.cancel_s = 40;
     s.state_rps = 200;
     if (seed > 1000) s.value_kb = 2, s.txn_ops = 4, s.state_write_rps = 21;
     return s;
@@ -101,8 +101,8 @@
         w.lost_txns = 0.4;
         return begin(span, [this] { w.lost_txns = 0; });
       case 9:
-        w.late_reports = 0.4;
-        return begin(span, [this] { w.late_reports = 0; });
+        w.late_heartbeats = 0.4;
+        return begin(span, [this] { w.late_heartbeats = 0; });
       case 10:
         if (worker == nullptr) return;
         worker->hangs = true;
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -747,7 +747,7 @@
   state_service.handle(request);
 }
 
-net::Task<void> TestCluster::report_late(int node, std::string body, double after) {
+net::Task<void> TestCluster::heartbeat_late(int node, std::string body, double after) {
   Sleep pause(reactor, after);
   co_await pause;
   auto sending = exchange(node, {"POST", "/checkin", "", std::move(body), true}, 4);
@@ -770,10 +770,10 @@
     if (leader() == last_leader_) continue;
     last_leader_ = leader();
     if (last_leader_ < 0) continue;
-    for (const auto& [id, body] : kept_reports_) {
-      for (int node = 0; node < nodes(); ++node) scope_.spawn(report_late(node, body, kept_s));
+    for (const auto& [id, body] : kept_heartbeats_) {
+      for (int node = 0; node < nodes(); ++node) scope_.spawn(heartbeat_late(node, body, kept_s));
     }
-    kept_reports_.clear();
+    kept_heartbeats_.clear();
   }
 }
 
@@ -831,13 +831,13 @@
 }
 
 net::Task<void> TestCluster::work(Worker& w) {
-  if (report_spread > 0) {
-    Sleep begin(reactor, base_settings.report_s * chance());
+  if (heartbeat_spread > 0) {
+    Sleep begin(reactor, base_settings.heartbeat_interval_s * chance());
     co_await begin;
   }
   for (;;) {
-    const double spread = report_spread > 0 ? report_spread * (2 * chance() - 1) : 0;
-    const double interval = base_settings.report_s * (1 + spread);
+    const double spread = heartbeat_spread > 0 ? heartbeat_spread * (2 * chance() - 1) : 0;
+    const double interval = base_settings.heartbeat_interval_s * (1 + spread);
     Sleep pause(reactor, w.turned_away ? std::min(interval, 1.0) : interval);
     co_await pause;
     w.turned_away = true;  // until it is answered
@@ -861,12 +861,12 @@
       w.target = next;
       continue;
     }
-    const std::string body = w.report();
-    if (chance() < late_reports) {
+    const std::string body = w.heartbeat();
+    if (chance() < late_heartbeats) {
       const double after = 2 + chance() * (1.5 * base_settings.lease_s - 2);
-      scope_.spawn(report_late(any_node(), body, after));
+      scope_.spawn(heartbeat_late(any_node(), body, after));
     }
-    if (keeps_reports) kept_reports_.emplace(w.id, body);
+    if (keeps_heartbeats) kept_heartbeats_.emplace(w.id, body);
     const auto session = w.session;
     auto asking = exchange(target, {"POST", "/checkin", "", body, true}, 4);
     const auto response = co_await asking;
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -212,7 +212,7 @@
   /// A machine that hangs goes on.
   void wake(Worker& w);
   /// Reports come so much of their interval sooner or later, and not all at the same moment.
-  double report_spread = 0;
+  double heartbeat_spread = 0;
   /// Connections that workers could not open, or that were closed under them unannounced.
   int refused_connections = 0, broken_connections = 0;
   /// Of workers to this node.
@@ -222,9 +222,9 @@
   std::set<std::string> broken_jobs;       ///< their tasks fail on every machine
   std::set<std::string> faulty_machines;   ///< every task fails there
   /// Of reports, this share comes once more from 2 s to one and a half leases later.
-  double late_reports = 0;
-  bool keeps_reports = false;  ///< copies of reports come to all nodes when a new leader begins
-  double kept_s = 0;           ///< or so long after
+  double late_heartbeats = 0;
+  bool keeps_heartbeats = false;  ///< copies of reports come to all nodes when a new leader begins
+  double kept_s = 0;              ///< or so long after
   int ran_twice = 0;
   int calls_under_way = 0, most_calls_under_way = 0;  ///< to workers, from all nodes
   std::map<std::string, int> starts;                  ///< by task
@@ -266,7 +266,7 @@
                                    std::shared_ptr<Exchange> exchange);
   net::Task<void> arrive_late(Worker& w, net::Request request, double after);
   net::Task<void> apply_late(net::Request request, double after);
-  net::Task<void> report_late(int node, std::string body, double after);
+  net::Task<void> heartbeat_late(int node, std::string body, double after);
   net::Task<void> watch_over();
   net::Task<void> use(wire::JobSpec spec, UserHabits habits);
   net::Task<void> look_closely(wire::JobSpec spec);
@@ -284,7 +284,7 @@
   std::unique_ptr<Surroundings> surroundings_;
   std::vector<std::string> zones_;
   std::vector<std::unique_ptr<Host>> hosts_;
-  std::map<std::string, std::string> kept_reports_;  ///< by machine
+  std::map<std::string, std::string> kept_heartbeats_;  ///< by machine
   int last_leader_ = -1;
   int last_run_ = 0;  ///< of any node
   net::Scope scope_;
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -74,7 +74,7 @@
 /// takes, and in all that a scenario leaves to chance.
 void vary(TestCluster& cluster, unsigned seed) {
   cluster.random.seed(seed);
-  cluster.report_spread = 0.2;
+  cluster.heartbeat_spread = 0.2;
   cluster.state_slow_s = 0.02;
 }
 
@@ -186,11 +186,11 @@
 void play_late_messages(unsigned seed) {
   TestCluster cluster;
   vary(cluster, seed);
-  cluster.keeps_reports = true;
+  cluster.keeps_heartbeats = true;
   cluster.kept_s = 1;
   cluster.state_service.limits_writes = true;
   cluster.run(1);
-  cluster.late_reports = 0.4;
+  cluster.late_heartbeats = 0.4;
   cluster.late_txns = 0.3;
   cluster.lost_txns = 0.2;
   for (int i = 0; i < 8; ++i) {
@@ -203,7 +203,7 @@
   cluster.run(20);
   crash_leader(cluster);
   cluster.run(20);
-  cluster.late_reports = cluster.late_txns = cluster.lost_txns = 0;
+  cluster.late_heartbeats = cluster.late_txns = cluster.lost_txns = 0;
   for (int node = 0; node < cluster.nodes(); ++node) {
     if (!cluster.is_up(node)) cluster.start_node(node);
   }
--- a/tests/two_troubles_test.cpp
+++ b/tests/two_troubles_test.cpp
@@ -18,9 +18,9 @@
 
 /// Figures of a deployment, by ratio: reports, leases and cancellations are what the bounds hang
 /// on.
-base::Settings figures(double report_s, double lease_s, double cancel_s) {
+base::Settings figures(double heartbeat_interval_s, double lease_s, double cancel_s) {
   auto s = small_settings();
-  s.report_s = report_s;
+  s.heartbeat_interval_s = heartbeat_interval_s;
   s.lease_s = lease_s;
   s.cancel_s = cancel_s;
   s.state_rps = 250;
@@ -510,7 +510,7 @@
   for (const double kept_s : {0.0, 3.0}) {
     TestCluster w(3, {"a", "a", "a"});
     w.run_s = 1000;
-    w.keeps_reports = true;
+    w.keeps_heartbeats = true;
     w.kept_s = kept_s;
     w.run(1);
     w.submit(0, spec("j-000001"));
@@ -535,7 +535,7 @@
   TestCluster w(3, {"a", "a", "a"});
   w.run_s = 1000;
   w.add_worker("a");
-  w.keeps_reports = true;
+  w.keeps_heartbeats = true;
   w.run(3);
   w.workers.at("n-1")->hangs = w.workers.at("n-1")->gone = true;  // given back by the former leader
   change_leader(w, 5);
@@ -547,7 +547,7 @@
   for (unsigned seed = 1; seed <= 5; ++seed) {
     TestCluster w(3, {"a", "a", "a"});
     w.random.seed(seed);
-    w.late_reports = 0.5;
+    w.late_heartbeats = 0.5;
     w.run_s = 12;
     w.run(1);
     for (int i = 0; i < 4; ++i) w.add_user(spec(name(i), 2, Shape::array, 4), {-1, i == 0, false});
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -184,11 +184,11 @@
   expected += std::string("\0\0\0\0\0\0\0\x03", 8) + std::string(16, '\0');
   expected += std::string("\0\0\0\x07", 4);
   EXPECT_EQ(peer::pack(hello), expected);
-  std::string forwarded = peer::pack(peer::ForwardedReport{9, "ab"});
+  std::string forwarded = peer::pack(peer::ForwardedHeartbeat{9, "ab"});
   EXPECT_EQ(forwarded, std::string("\x00\x0c\x02\x02\0\0\0\0\0\0\0\x09\x00\x02"
                                    "ab",
                                    16));
-  peer::ForwardedAnswer answer{9, 200, 5, 1, "c"};
+  peer::ForwardedResponse answer{9, 200, 5, 1, "c"};
   EXPECT_EQ(peer::pack(answer), std::string("\x00\x19\x02\x03\0\0\0\0\0\0\0\x09\x00\xc8"
                                             "\0\0\0\0\0\0\0\x05\0\0\0\x01\x00\x01"
                                             "c",
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -153,56 +153,57 @@
 // Workers.
 
 TEST(WorkerProtocol, EveryFieldOfAReportIsRead) {
-  const auto report = wire::parse_report(
+  const auto heartbeat = wire::parse_heartbeat(
       R"({"Rig":"n-000007","Address":"10.1.0.7:9000","Frame":"g8","Yard":"b","Loaners":true,)"
       R"("Shift":11,"Tick":12,"KeyTurn":13,"WarningS":29.5,"Teeth":[)"
       R"({"Tooth":"j-000412/3","Crank":14,"Stance":"exited","Cause":"halted","Kept":true}]})");
-  ASSERT_TRUE(report);
-  EXPECT_EQ(report->machine, "n-000007");
-  EXPECT_EQ(report->address, "10.1.0.7:9000");
-  EXPECT_EQ(report->type, "g8");
-  EXPECT_EQ(report->zone, "b");
-  EXPECT_TRUE(report->spot);
-  EXPECT_EQ(report->session, 11U);
-  EXPECT_EQ(report->tick, 12U);
-  EXPECT_EQ(report->fencing_token, 13U);
-  EXPECT_EQ(report->notice_s, 29.5);
-  ASSERT_EQ(report->tasks.size(), 1U);
-  EXPECT_EQ(report->tasks[0].task, (wire::TaskName{"j-000412", 3}));
-  EXPECT_EQ(report->tasks[0].attempt, 14U);
-  EXPECT_EQ(report->tasks[0].state, wire::TaskState::exited);
-  EXPECT_EQ(report->tasks[0].cause, wire::Cause::stopped);
-  EXPECT_TRUE(report->tasks[0].saved);
+  ASSERT_TRUE(heartbeat);
+  EXPECT_EQ(heartbeat->machine, "n-000007");
+  EXPECT_EQ(heartbeat->address, "10.1.0.7:9000");
+  EXPECT_EQ(heartbeat->type, "g8");
+  EXPECT_EQ(heartbeat->zone, "b");
+  EXPECT_TRUE(heartbeat->spot);
+  EXPECT_EQ(heartbeat->session, 11U);
+  EXPECT_EQ(heartbeat->tick, 12U);
+  EXPECT_EQ(heartbeat->fencing_token, 13U);
+  EXPECT_EQ(heartbeat->notice_s, 29.5);
+  ASSERT_EQ(heartbeat->tasks.size(), 1U);
+  EXPECT_EQ(heartbeat->tasks[0].task, (wire::TaskName{"j-000412", 3}));
+  EXPECT_EQ(heartbeat->tasks[0].attempt, 14U);
+  EXPECT_EQ(heartbeat->tasks[0].state, wire::TaskState::exited);
+  EXPECT_EQ(heartbeat->tasks[0].cause, wire::Cause::stopped);
+  EXPECT_TRUE(heartbeat->tasks[0].saved);
 }
 
 TEST(WorkerProtocol, AReportMayLeaveOutItsNoticeAndItsTasks) {
-  const auto report = wire::parse_report(
+  const auto heartbeat = wire::parse_heartbeat(
       R"({"Rig":"n-1","Address":"","Frame":"g8","Yard":"b","Loaners":false,"Shift":1,"Tick":2,)"
       R"("KeyTurn":0})");
-  ASSERT_TRUE(report);
-  EXPECT_FALSE(report->spot);
-  EXPECT_FALSE(report->notice_s);
-  EXPECT_TRUE(report->tasks.empty());
+  ASSERT_TRUE(heartbeat);
+  EXPECT_FALSE(heartbeat->spot);
+  EXPECT_FALSE(heartbeat->notice_s);
+  EXPECT_TRUE(heartbeat->tasks.empty());
 }
 
 /// The only task of a report that says this of its state.
-wire::TaskReport reported(const std::string& state) {
-  const auto report = wire::parse_report(
+wire::TaskStatus heartbeat_received(const std::string& state) {
+  const auto heartbeat = wire::parse_heartbeat(
       R"({"Rig":"n-1","Address":"a","Frame":"g","Yard":"z","Loaners":false,"Shift":1,"Tick":1,)"
       R"("KeyTurn":1,"Teeth":[{"Tooth":"j-1/0","Crank":1,)" +
       state + "}]}");
-  EXPECT_TRUE(report) << state;
-  return report ? report->tasks.at(0) : wire::TaskReport{};
+  EXPECT_TRUE(heartbeat) << state;
+  return heartbeat ? heartbeat->tasks.at(0) : wire::TaskStatus{};
 }
 
 TEST(WorkerProtocol, EveryStateOfATaskIsRead) {
-  EXPECT_EQ(reported(R"("Stance":"fetching")").state, wire::TaskState::fetching);
-  EXPECT_EQ(reported(R"("Stance":"waiting")").state, wire::TaskState::waiting);
-  EXPECT_EQ(reported(R"("Stance":"running")").state, wire::TaskState::running);
-  EXPECT_EQ(reported(R"("Stance":"flushing")").state, wire::TaskState::saving);
-  EXPECT_EQ(reported(R"("Stance":"exited","Cause":"done")").state, wire::TaskState::exited);
-  EXPECT_EQ(reported(R"("Stance":"running")").cause, wire::Cause::none);
-  EXPECT_FALSE(reported(R"("Stance":"running")").saved);
+  EXPECT_EQ(heartbeat_received(R"("Stance":"fetching")").state, wire::TaskState::fetching);
+  EXPECT_EQ(heartbeat_received(R"("Stance":"waiting")").state, wire::TaskState::waiting);
+  EXPECT_EQ(heartbeat_received(R"("Stance":"running")").state, wire::TaskState::running);
+  EXPECT_EQ(heartbeat_received(R"("Stance":"flushing")").state, wire::TaskState::saving);
+  EXPECT_EQ(heartbeat_received(R"("Stance":"exited","Cause":"done")").state,
+            wire::TaskState::exited);
+  EXPECT_EQ(heartbeat_received(R"("Stance":"running")").cause, wire::Cause::none);
+  EXPECT_FALSE(heartbeat_received(R"("Stance":"running")").saved);
 }
 
 TEST(WorkerProtocol, EveryCauseOfAnExitIsRead) {
@@ -211,7 +212,8 @@
         std::pair{"peers", wire::Cause::peers}, std::pair{"incomplete", wire::Cause::alone},
         std::pair{"error", wire::Cause::error}, std::pair{"no_room", wire::Cause::no_room},
         std::pair{"busy", wire::Cause::busy}, std::pair{"no_such", wire::Cause::unknown}}) {
-    EXPECT_EQ(reported(R"("Stance":"exited","Cause":")" + std::string(name) + '"').cause, cause)
+    EXPECT_EQ(heartbeat_received(R"("Stance":"exited","Cause":")" + std::string(name) + '"').cause,
+              cause)
         << name;
   }
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -129,9 +129,9 @@
 }
 
 TEST(Wire, MalformedReportsAndAnswersAreNothing) {
-  EXPECT_FALSE(parse_report("[]"));
-  EXPECT_FALSE(parse_report(R"({"Rig":"n-1"})"));
-  EXPECT_FALSE(parse_report(
+  EXPECT_FALSE(parse_heartbeat("[]"));
+  EXPECT_FALSE(parse_heartbeat(R"({"Rig":"n-1"})"));
+  EXPECT_FALSE(parse_heartbeat(
       R"({"Rig":"n-1","Address":"a","Frame":"g","Yard":"a","Loaners":true,"Shift":1,"Tick":1,
           "KeyTurn":0,"Teeth":[{"Tooth":"j-1","Crank":1,"Stance":"running"}]})"));
   EXPECT_FALSE(parse_txn_answer("{}"));
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -86,7 +86,7 @@
   }
 }
 
-std::string WorkerStandIn::report() {
+std::string WorkerStandIn::heartbeat() {
   JsonWriter j;
   j.begin().key("Rig").text(id).key("Address").text(address).key("Frame").text(kind.type);
   j.key("Yard").text(kind.zone).key("Loaners").flag(kind.spot).key("Shift").count(session);
@@ -112,11 +112,11 @@
   const JsonDocument document(request.body);
   const auto told = document.root()["KeyTurn"].GetUint64();
   if (told < fencing_token || document.root()["Shift"].GetUint64() != session) {
-    return control::plain_answer(409, report());
+    return control::plain_answer(409, heartbeat());
   }
   fencing_token = told;
   execute(document.root()["Orders"], surroundings, now);
-  return control::plain_answer(200, report());
+  return control::plain_answer(200, heartbeat());
 }
 
 }  // namespace cranklock::testing
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -58,7 +58,7 @@
   void end_lease(double lease_s, double now);
   void execute(const wire::Json& orders, Surroundings& surroundings, double now);
   /// The next report's body.
-  std::string report();
+  std::string heartbeat();
   /// Answers POST /commands.
   net::Response commands(const net::Request& request, Surroundings& surroundings, double now);
 };
