--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -263,9 +263,9 @@
   stand_in.answered_sent = reactor_.now();
   while (!worker.gone) {
     worker.changed = stand_in.progress(surroundings_, reactor_.now()) || worker.changed;
-    const auto session = stand_in.session;
+    const auto agent_epoch = stand_in.agent_epoch;
     stand_in.end_lease(plan_.lease_s, reactor_.now());
-    ended_leases_ += stand_in.session == session ? 0 : 1;
+    ended_leases_ += stand_in.agent_epoch == agent_epoch ? 0 : 1;
     if (worker.changed || reactor_.now() >= worker.next_heartbeat) {
       auto reporting = heartbeat(worker);
       co_await reporting;
@@ -279,7 +279,7 @@
   worker.changed = false;
   worker.next_heartbeat = reactor_.now() + plan_.heartbeat_interval_s * (0.75 + 0.5 * chance());
   const double sent = reactor_.now();
-  const auto session = worker.stand_in.session;
+  const auto agent_epoch = worker.stand_in.agent_epoch;
   Request request{"POST", "/checkin", "", worker.stand_in.heartbeat(), true};
   auto calling =
       worker.client.call(controller_address(worker.target, 0), std::move(request), kAnswerTimeout);
@@ -289,7 +289,7 @@
   } else {
     ++failed_heartbeats_;
   }
-  if (worker.gone || session != worker.stand_in.session) co_return;
+  if (worker.gone || agent_epoch != worker.stand_in.agent_epoch) co_return;
   if (reply.answered()) {
     take_answer(worker, reply.response, sent);
   } else {
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -31,7 +31,7 @@
 
 bool start_due(const Job& job, const sched::Placement& p, Allowed allowed) {
   return allowed.start && !job.withdrawn() && job.needs_met && p.durable && !p.ended && !p.stop &&
-         !p.seen && p.start_session == 0 && p.unconfirmed_session == 0;
+         !p.seen && p.start_epoch == 0 && p.unconfirmed_start_epoch == 0;
 }
 
 bool stop_due(const Job& job, const sched::Placement& p, Allowed allowed) {
@@ -71,7 +71,7 @@
     const wire::TaskName task{job.spec.id, placement.task};
     if (start_due(job, placement, allowed)) {
       orders.push_back({wire::Verb::start, task, placement.attempt, 0});
-      placement.unconfirmed_session = machine.session;
+      placement.unconfirmed_start_epoch = machine.agent_epoch;
       machine.unconfirmed_starts.insert({task, placement.attempt});
     } else if (stop_due(job, placement, allowed)) {
       const double grace_s = job.withdrawn() ? 0 : placement.grace_s;
@@ -84,34 +84,35 @@
 
 // `heartbeat` is the worker's where it executed the orders; otherwise they were certainly not
 // executed.
-void CommandSender::confirm_starts(Machine& machine, std::uint64_t session,
+void CommandSender::confirm_starts(Machine& machine, std::uint64_t agent_epoch,
                                    const std::vector<wire::Order>& orders,
                                    const std::optional<wire::Heartbeat>& heartbeat) {
   for (const auto& order : orders) {
     if (order.verb != wire::Verb::start) continue;
-    if (machine.session == session) {
+    if (machine.agent_epoch == agent_epoch) {
       machine.unconfirmed_starts.erase({order.task, order.attempt});
     }
     Job* job = cluster_.job(order.task.job);
     auto* placement = job != nullptr ? job->find(order.task.index, order.attempt) : nullptr;
     if (placement == nullptr) continue;
-    placement->unconfirmed_session = 0;
+    placement->unconfirmed_start_epoch = 0;
     if (!heartbeat) continue;
-    placement->start_session = std::max(placement->start_session, heartbeat->session);
-    placement->start_tick = std::max(placement->start_tick, heartbeat->tick);
+    placement->start_epoch = std::max(placement->start_epoch, heartbeat->agent_epoch);
+    placement->start_sequence = std::max(placement->start_sequence, heartbeat->sequence);
   }
 }
 
 Task<void> CommandSender::send_to(std::string id) {
   Machine* machine = cluster_.machine(id);
-  const std::uint64_t session = machine->session;
+  const std::uint64_t agent_epoch = machine->agent_epoch;
   const auto orders = take_due_orders(*machine);
   if (orders.empty()) {
     calling_.erase(id);
     co_return;
   }
   net::Request request{"POST", "/commands", "",
-                       wire::orders_command(leader_lease_.fencing_token(), session, orders), true};
+                       wire::orders_command(leader_lease_.fencing_token(), agent_epoch, orders),
+                       true};
   auto calling = services_.transport.call(machine->address, std::move(request),
                                           services_.settings.heartbeat_interval_s);
   const auto reply = co_await calling;
@@ -125,7 +126,7 @@
   if (reply.answered() && (!heartbeat || heartbeat->machine != id)) co_return;  // tells nothing
   machine = cluster_.machine(id);
   if (machine == nullptr) co_return;
-  confirm_starts(*machine, session, orders, reply.status() == 200 ? heartbeat : std::nullopt);
+  confirm_starts(*machine, agent_epoch, orders, reply.status() == 200 ? heartbeat : std::nullopt);
   if (!heartbeat) co_return;
   if (heartbeat->fencing_token > leader_lease_.fencing_token()) {
     term_.lose("a worker has seen a higher token");
@@ -164,13 +165,14 @@
 }
 
 Task<void> CommandSender::send_fencing_token(std::string id) {
-  std::uint64_t session = 1;
+  std::uint64_t agent_epoch = 1;
   for (int tries = 0; tries < 2; ++tries) {
     const Machine* m = cluster_.machine(id);
     if (m == nullptr || !leader_lease_.valid(now())) break;
-    if (m->session != 0) session = m->session;
+    if (m->agent_epoch != 0) agent_epoch = m->agent_epoch;
     net::Request request{"POST", "/commands", "",
-                         wire::orders_command(leader_lease_.fencing_token(), session, {}), true};
+                         wire::orders_command(leader_lease_.fencing_token(), agent_epoch, {}),
+                         true};
     auto calling = services_.transport.call(m->address, std::move(request),
                                             services_.settings.heartbeat_interval_s);
     const auto reply = co_await calling;
@@ -184,8 +186,8 @@
     term_.heard_worker();
     cluster_.reconcile_heartbeat(*heartbeat, false, now());
     work_.set();
-    if (reply.status() == 200 || heartbeat->session == session) break;
-    session = heartbeat->session;  // it was told under the wrong session: once more
+    if (reply.status() == 200 || heartbeat->agent_epoch == agent_epoch) break;
+    agent_epoch = heartbeat->agent_epoch;  // it was told under the wrong session: once more
   }
   calling_.erase(id);
 }
--- a/src/control/command_sender.hpp
+++ b/src/control/command_sender.hpp
@@ -43,7 +43,7 @@
  private:
   net::Task<void> send_to(std::string machine);
   std::vector<wire::Order> take_due_orders(sched::Machine& machine);
-  void confirm_starts(sched::Machine& machine, std::uint64_t session,
+  void confirm_starts(sched::Machine& machine, std::uint64_t agent_epoch,
                       const std::vector<wire::Order>& orders,
                       const std::optional<wire::Heartbeat>& heartbeat);
   net::Task<void> send_fencing_token(std::string machine);
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -434,13 +434,14 @@
 ClusterState::Freshness ClusterState::reconcile_heartbeat(const wire::Heartbeat& r,
                                                           bool is_heartbeat, double now) {
   Machine& m = put_machine(r.machine, {r.type, r.zone, r.spot}, now);
-  const std::pair when(r.session, r.tick);
+  const std::pair when(r.agent_epoch, r.sequence);
   if (is_heartbeat) {
-    if (when <= std::pair(m.own_session, m.own_tick)) return Freshness::late_copy;
-    m.own_session = r.session;
-    m.own_tick = r.tick;
+    if (when <= std::pair(m.heartbeat_epoch, m.heartbeat_sequence)) return Freshness::late_copy;
+    m.heartbeat_epoch = r.agent_epoch;
+    m.heartbeat_sequence = r.sequence;
   }
-  if (m.heartbeat_received && when <= std::pair(m.session, m.tick)) return Freshness::overtaken;
+  if (m.heartbeat_received && when <= std::pair(m.agent_epoch, m.sequence))
+    return Freshness::overtaken;
   note_message(m, r, now);
   const auto reported_attempts = apply_tasks(m, r, now);
   // Absences. Only a report of the worker's own that shows our token counts, and only one newer
@@ -459,7 +460,7 @@
 // What a message says of the machine itself.
 void ClusterState::note_message(Machine& m, const wire::Heartbeat& r, double now) {
   const bool was_usable = m.heartbeat_received && !m.silent;
-  if (r.session != m.session) {
+  if (r.agent_epoch != m.agent_epoch) {
     // What an earlier session was told can't be executed in this one.
     m.unconfirmed_starts.clear();
     if (m.heartbeat_received) m.images.clear(), m.token_acknowledged = false;
@@ -470,8 +471,8 @@
   }
   m.overdue = false;
   m.address = r.address;
-  m.session = r.session;
-  m.tick = r.tick;
+  m.agent_epoch = r.agent_epoch;
+  m.sequence = r.sequence;
   m.heartbeat_received = true;
   m.silent = false;
   m.last_heartbeat = now;
@@ -546,13 +547,15 @@
     Job& j = *held.job;
     Placement& p = held.placement();
     if (reported_attempts.contains({{j.spec.id, p.task}, p.attempt})) continue;
-    if (p.unconfirmed_session == r.session) continue;  // may still be executed
-    const bool told = p.start_session != 0;
-    if (told && std::pair(r.session, r.tick) <= std::pair(p.start_session, p.start_tick)) {
+    if (p.unconfirmed_start_epoch == r.agent_epoch) continue;  // may still be executed
+    const bool told = p.start_epoch != 0;
+    if (told &&
+        std::pair(r.agent_epoch, r.sequence) <= std::pair(p.start_epoch, p.start_sequence)) {
       continue;
     }
-    const bool lost = p.seen || (told && p.start_session != r.session) ||
-                      (p.unconfirmed_session != 0 && p.unconfirmed_session != r.session);
+    const bool lost =
+        p.seen || (told && p.start_epoch != r.agent_epoch) ||
+        (p.unconfirmed_start_epoch != 0 && p.unconfirmed_start_epoch != r.agent_epoch);
     if (!lost && !p.stop && !j.withdrawn()) {
       // Guards against a machine whose reports arrive and whom no answer reaches: idle for ever, it
       // would hold whatever is put on it. What it was not told it does not run.
@@ -609,12 +612,12 @@
     // Guards against a placement that is stopped while its start is in doubt: nobody would ever see
     // it end. Told here of both, the worker knows the attempt, and the start in doubt has no effect
     // any more.
-    if (p.stop && p.unconfirmed_session != r.session) continue;
+    if (p.stop && p.unconfirmed_start_epoch != r.agent_epoch) continue;
     if (reported_attempts.contains({{j.spec.id, p.task}, p.attempt})) continue;
     out.push_back({wire::Verb::start, {j.spec.id, p.task}, p.attempt, 0});
     if (p.stop) out.push_back({wire::Verb::stop, {j.spec.id, p.task}, p.attempt, 0});
-    p.start_session = r.session;
-    p.start_tick = r.tick;
+    p.start_epoch = r.agent_epoch;
+    p.start_sequence = r.sequence;
   }
   return out;
 }
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -46,12 +46,12 @@
   bool booting = false;  ///< as last listed
   double last_listed = 0;
   bool failed = false;
-  bool overdue = false;                 ///< it has booted for so long that it may never come up
-  bool rented_here = false;             ///< by this leader
-  bool heartbeat_received = false;      ///< to this leader
-  bool token_acknowledged = false;      ///< in the session and since this leader's token
-  std::uint64_t session = 0, tick = 0;  ///< newest message of any kind
-  std::uint64_t own_session = 0, own_tick = 0;  ///< newest report of its own
+  bool overdue = false;             ///< it has booted for so long that it may never come up
+  bool rented_here = false;         ///< by this leader
+  bool heartbeat_received = false;  ///< to this leader
+  bool token_acknowledged = false;  ///< in the session and since this leader's token
+  std::uint64_t agent_epoch = 0, sequence = 0;                ///< newest message of any kind
+  std::uint64_t heartbeat_epoch = 0, heartbeat_sequence = 0;  ///< newest report of its own
   double last_heartbeat = 0;
   double last_answered = 0;  ///< when a report was last answered 200
   /// Until when a forwarder, by name, may answer its reports in our stead.
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -52,11 +52,11 @@
   double running_since = 0;
   double decided_at = 0;
   /// The newest report whose answer carried the start; an absence counts only in a newer report.
-  std::uint64_t start_session = 0, start_tick = 0;
+  std::uint64_t start_epoch = 0, start_sequence = 0;
   int unacknowledged = 0;  ///< reports that came after such an answer and did not show it
   /// A start sent straight to the worker in this session that was never answered: it may still be
   /// executed there. 0: none.
-  std::uint64_t unconfirmed_session = 0;
+  std::uint64_t unconfirmed_start_epoch = 0;
 };
 
 inline constexpr std::int64_t kNoDeadline = INT64_MAX;
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -234,16 +234,16 @@
     Heartbeat r;
     const auto machine = read_text(o, "Rig"), address = read_text(o, "Address"),
                type = read_text(o, "Frame"), zone = read_text(o, "Yard");
-    const auto session = read_count(o, "Shift"), tick = read_count(o, "Tick"),
+    const auto agent_epoch = read_count(o, "Shift"), sequence = read_count(o, "Tick"),
                fencing_token = read_count(o, "KeyTurn");
     const auto spot = read_flag(o, "Loaners");
     const Json* tasks = find(o, "Teeth");
-    if (!machine || machine->empty() || !address || !type || !zone || !session || !tick ||
+    if (!machine || machine->empty() || !address || !type || !zone || !agent_epoch || !sequence ||
         !fencing_token || !spot || (tasks != nullptr && !tasks->IsArray())) {
       return std::nullopt;
     }
     r.machine = *machine, r.address = *address, r.type = *type, r.zone = *zone, r.spot = *spot;
-    r.session = *session, r.tick = *tick, r.fencing_token = *fencing_token;
+    r.agent_epoch = *agent_epoch, r.sequence = *sequence, r.fencing_token = *fencing_token;
     if (const Json* notice = find(o, "WarningS")) {
       if (!notice->IsNumber()) return std::nullopt;
       r.notice_s = notice->GetDouble();
@@ -285,10 +285,10 @@
   return w.take();
 }
 
-std::string orders_command(std::uint64_t fencing_token, std::uint64_t session,
+std::string orders_command(std::uint64_t fencing_token, std::uint64_t agent_epoch,
                            const std::vector<Order>& orders) {
   JsonWriter w;
-  w.begin().key("KeyTurn").count(fencing_token).key("Shift").count(session);
+  w.begin().key("KeyTurn").count(fencing_token).key("Shift").count(agent_epoch);
   write_orders(w, orders);
   w.end();
   return w.take();
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -93,7 +93,7 @@
 struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, tick = 0, fencing_token = 0;
+  std::uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
   std::optional<double> notice_s;
   std::vector<TaskStatus> tasks;
 };
@@ -107,7 +107,7 @@
   double grace_s = 0;
 };
 std::string orders_answer(std::uint64_t fencing_token, const std::vector<Order>& orders);
-std::string orders_command(std::uint64_t fencing_token, std::uint64_t session,
+std::string orders_command(std::uint64_t fencing_token, std::uint64_t agent_epoch,
                            const std::vector<Order>& orders);
 /// For a node that is not entitled; `leader` may be empty.
 std::string misdirected_answer(std::string_view leader);
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -67,7 +67,7 @@
 
 TEST(ClusterState, AStartInDoubtKeepsItsPlaceWhileTheSessionLasts) {
   Placed s;
-  s.placement().unconfirmed_session = 1;
+  s.placement().unconfirmed_start_epoch = 1;
   ClusterState::request_stop(s.placement(), 0, 2);
   s.checkin(heartbeat("n-1", 1, 5));
   EXPECT_FALSE(s.placement().ended);
@@ -102,11 +102,11 @@
 // is put on them.
 TEST(ClusterState, AMachineThatHeedsNoAnswerHoldsNothingAndGetsNothing) {
   Placed s;
-  const auto says_nothing_of_it = [&](std::uint64_t tick) {
-    const auto r = heartbeat("n-1", 1, tick);
-    s.checkin(r, static_cast<double>(tick));
-    s.cluster.orders(r, true, static_cast<double>(tick));
-    s.cluster.note_answered("n-1", static_cast<double>(tick));
+  const auto says_nothing_of_it = [&](std::uint64_t sequence) {
+    const auto r = heartbeat("n-1", 1, sequence);
+    s.checkin(r, static_cast<double>(sequence));
+    s.cluster.orders(r, true, static_cast<double>(sequence));
+    s.cluster.note_answered("n-1", static_cast<double>(sequence));
   };
   says_nothing_of_it(2);
   says_nothing_of_it(3);  // one answer may be lost
@@ -122,8 +122,8 @@
 TEST(ClusterState, AMachineThatNeverShowsOurTokenGetsNothingMore) {
   Fleet s;
   s.add(make_job("j-000001", wire::Shape::service, 1, 4));
-  for (std::uint64_t tick = 2; tick <= 4; ++tick) {
-    s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, tick, {}, kFencingToken - 1), true, 2);
+  for (std::uint64_t sequence = 2; sequence <= 4; ++sequence) {
+    s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, sequence, {}, kFencingToken - 1), true, 2);
     s.cluster.note_answered("n-1", 2);
   }
   EXPECT_EQ(s.pass(3).placed, 0);
@@ -132,9 +132,9 @@
 // A start sent straight to the worker and never answered may be carried out yet.
 TEST(ClusterState, WhatAMachineMayHaveBeenToldDirectlyIsNotGivenUp) {
   Placed s;
-  s.placement().unconfirmed_session = 1;
-  for (std::uint64_t tick = 2; tick < 9; ++tick) {
-    const auto r = heartbeat("n-1", 1, tick);
+  s.placement().unconfirmed_start_epoch = 1;
+  for (std::uint64_t sequence = 2; sequence < 9; ++sequence) {
+    const auto r = heartbeat("n-1", 1, sequence);
     s.checkin(r, 2);
     s.cluster.orders(r, true, 2);
   }
@@ -260,7 +260,7 @@
 }
 
 /// Starts whatever may be started, and lets all that runs of these jobs fail; returns how many.
-int fail_all(Fleet& s, const std::set<std::string>& jobs, std::uint64_t tick, double now) {
+int fail_all(Fleet& s, const std::set<std::string>& jobs, std::uint64_t sequence, double now) {
   s.pass(now);
   std::map<std::string, std::vector<wire::TaskStatus>> reports;
   int failed = 0;
@@ -275,7 +275,7 @@
     }
   }
   for (const auto& [machine, tasks] : reports) {
-    s.cluster.reconcile_heartbeat(heartbeat(machine, 1, tick, tasks), true, now + 0.1);
+    s.cluster.reconcile_heartbeat(heartbeat(machine, 1, sequence, tasks), true, now + 0.1);
   }
   return failed;
 }
@@ -321,8 +321,8 @@
   s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 2, reports["n-1"]), true, 3);
   ASSERT_TRUE(s.cluster.machine("n-1")->quarantined);
   // The other job turns out to be at fault, which clears nothing that was proven otherwise.
-  for (std::uint64_t tick = 3; tick < 6; ++tick) {
-    fail_all(s, {"j-000002"}, tick, 10 * static_cast<double>(tick));
+  for (std::uint64_t sequence = 3; sequence < 6; ++sequence) {
+    fail_all(s, {"j-000002"}, sequence, 10 * static_cast<double>(sequence));
   }
   EXPECT_TRUE(s.cluster.job("j-000002")->at_fault());
   EXPECT_TRUE(s.cluster.machine("n-1")->quarantined);
@@ -535,7 +535,7 @@
 TEST(ClusterState, AStopMeetsAStartInDoubt) {
   Placed s;
   s.checkin(heartbeat("n-1", 1, 2));
-  s.placement().unconfirmed_session = 1;
+  s.placement().unconfirmed_start_epoch = 1;
   s.cluster.machine("n-1")->unconfirmed_starts.insert({{"j-000001", 0}, s.placement().attempt});
   ClusterState::request_stop(s.placement(), 5, 3);
   s.checkin(heartbeat("n-1", 1, 3), 3);
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -50,8 +50,8 @@
 
 inline constexpr std::uint64_t kFencingToken = 7;
 
-inline wire::Heartbeat heartbeat(const std::string& machine, std::uint64_t session,
-                                 std::uint64_t tick, std::vector<wire::TaskStatus> tasks = {},
+inline wire::Heartbeat heartbeat(const std::string& machine, std::uint64_t agent_epoch,
+                                 std::uint64_t sequence, std::vector<wire::TaskStatus> tasks = {},
                                  std::uint64_t fencing_token = kFencingToken,
                                  const std::string& zone = "a", const std::string& type = "g8") {
   wire::Heartbeat r;
@@ -59,8 +59,8 @@
   r.address = "10.1.0.1:9000";
   r.type = type;
   r.zone = zone;
-  r.session = session;
-  r.tick = tick;
+  r.agent_epoch = agent_epoch;
+  r.sequence = sequence;
   r.fencing_token = fencing_token;
   r.tasks = std::move(tasks);
   return r;
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -166,10 +166,10 @@
   halves.look(executor);
   Halves::store(executor);
   auto& source = halves.source(executor.wanted().plan->moves.at(0));
-  source.unconfirmed_session = 1;
+  source.unconfirmed_start_epoch = 1;
   halves.advance(executor);
   EXPECT_EQ(executor.wanted().plan->moves.at(0).step, MoveStep::reserved);
-  source.unconfirmed_session = 0;
+  source.unconfirmed_start_epoch = 0;
   halves.advance(executor);
   EXPECT_EQ(executor.wanted().plan->moves.at(0).step, MoveStep::stopping);
 }
@@ -272,7 +272,7 @@
     auto& cluster = halves.fleet.cluster;
     const auto& machine = *cluster.machine(move().source);
     const auto heartbeat = testing::heartbeat(
-        machine.id, 1, machine.tick + 1,
+        machine.id, 1, machine.sequence + 1,
         {testing::task(move().task.job, move().task.index, 1, wire::TaskState::running)});
     const auto orders = cluster.orders(heartbeat, true, halves.now);
     return std::any_of(orders.begin(), orders.end(),
--- a/tests/ops_troubles_test.cpp
+++ b/tests/ops_troubles_test.cpp
@@ -20,7 +20,7 @@
 
 std::uint64_t most_sessions(const TestCluster& w) {
   std::uint64_t most = 0;
-  for (const auto& [id, worker] : w.workers) most = std::max(most, worker->session);
+  for (const auto& [id, worker] : w.workers) most = std::max(most, worker->agent_epoch);
   return most;
 }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -250,7 +250,7 @@
   r.spot = true;
   r.notice_s = 10;
   s.cluster.reconcile_heartbeat(r, true, 0);
-  r.tick = 2;
+  r.sequence = 2;
   r.notice_s = 1;
   s.cluster.reconcile_heartbeat(r, true, 9);
   const auto taken = [&](double now) {
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -388,7 +388,7 @@
   EXPECT_EQ(w.refused_connections, 0);
   EXPECT_EQ(w.broken_connections, 0);
   EXPECT_LT(at_leader(), came / 2);
-  for (const auto& [id, worker] : w.workers) EXPECT_EQ(worker->session, 1U) << id;
+  for (const auto& [id, worker] : w.workers) EXPECT_EQ(worker->agent_epoch, 1U) << id;
 }
 
 // A zone that is cut off works on inside: what runs there outlives its workers' lease, is started
@@ -455,7 +455,7 @@
   w.run(20);
   EXPECT_LE(at_leader(), kWorkers / 3);
   EXPECT_GE(at_leader(), 1);
-  for (const auto& [id, worker] : w.workers) EXPECT_EQ(worker->session, 1U) << id;
+  for (const auto& [id, worker] : w.workers) EXPECT_EQ(worker->agent_epoch, 1U) << id;
 }
 
 // A parsed body of 60 KB may take half a megabyte: were it kept while the state service is waited
--- a/tests/sharing_rule_test.cpp
+++ b/tests/sharing_rule_test.cpp
@@ -179,21 +179,21 @@
 
 TEST(RegionSession, TakesFramesInTheirOrderFromTheRegionThatSaidHello) {
   const auto settings = east_and_west();
-  Session session(settings);
+  Session agent_epoch(settings);
   const RegionHello hello{"west", "winch-1", "west", 7};
   const std::string bytes = pack(hello) + pack(kFrames[2]);
-  EXPECT_TRUE(session.feed(bytes.substr(0, 9)).frames.empty());
-  const auto arrived = session.feed(bytes.substr(9));
+  EXPECT_TRUE(agent_epoch.feed(bytes.substr(0, 9)).frames.empty());
+  const auto arrived = agent_epoch.feed(bytes.substr(9));
   EXPECT_EQ(arrived.error, "");
   EXPECT_EQ(arrived.frames, (std::vector<RegionFrame>{hello, kFrames[2]}));
-  EXPECT_EQ(session.region(), "west");
+  EXPECT_EQ(agent_epoch.region(), "west");
 }
 
 TEST(RegionSession, SaysWhyAConnectionIsClosed) {
   const auto settings = east_and_west();
   const auto error_of = [&](const std::string& bytes) {
-    Session session(settings);
-    return session.feed(bytes).error;
+    Session agent_epoch(settings);
+    return agent_epoch.feed(bytes).error;
   };
   const std::string hello = pack(RegionHello{"west", "m", "west", 7});
   EXPECT_EQ(error_of(pack(kFrames[2])), "it did not begin with a hello");
@@ -204,8 +204,8 @@
   std::string other_version = hello;
   other_version[2] = 2;
   EXPECT_EQ(error_of(other_version), "a frame of another version");
-  Session session(settings);
-  const auto arrived = session.feed(hello + pack(kFrames[2]) + std::string("\x7f\xff\x01\x02"));
+  Session agent_epoch(settings);
+  const auto arrived = agent_epoch.feed(hello + pack(kFrames[2]) + std::string("\x7f\xff\x01\x02"));
   EXPECT_EQ(arrived.frames.size(), 2U) << "what came before is used";
   EXPECT_EQ(arrived.error, "a frame that is too long");
 }
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -867,7 +867,7 @@
       scope_.spawn(heartbeat_late(any_node(), body, after));
     }
     if (keeps_heartbeats) kept_heartbeats_.emplace(w.id, body);
-    const auto session = w.session;
+    const auto agent_epoch = w.agent_epoch;
     auto asking = exchange(target, {"POST", "/checkin", "", body, true}, 4);
     const auto response = co_await asking;
     keep_or_close(w, target, response && response->status == 200);
@@ -881,7 +881,8 @@
       w.target = next;
       continue;
     }
-    if (apart(zone_of(target), w.kind.zone) || w.hangs || w.gone || session != w.session) continue;
+    if (apart(zone_of(target), w.kind.zone) || w.hangs || w.gone || agent_epoch != w.agent_epoch)
+      continue;
     const JsonDocument document(response->body.empty() ? "{}" : response->body);
     if (response->status == 421) {
       const auto to = wire::read_text(document.root(), "Foreman").value_or("");
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -163,8 +163,8 @@
   EXPECT_EQ(heartbeat->type, "g8");
   EXPECT_EQ(heartbeat->zone, "b");
   EXPECT_TRUE(heartbeat->spot);
-  EXPECT_EQ(heartbeat->session, 11U);
-  EXPECT_EQ(heartbeat->tick, 12U);
+  EXPECT_EQ(heartbeat->agent_epoch, 11U);
+  EXPECT_EQ(heartbeat->sequence, 12U);
   EXPECT_EQ(heartbeat->fencing_token, 13U);
   EXPECT_EQ(heartbeat->notice_s, 29.5);
   ASSERT_EQ(heartbeat->tasks.size(), 1U);
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -32,7 +32,7 @@
 
 void WorkerStandIn::end_lease(double lease_s, double now) {
   if (!lease_over(lease_s, now)) return;
-  ++session;
+  ++agent_epoch;
   tasks.clear();
   answered_sent = now;
 }
@@ -89,8 +89,8 @@
 std::string WorkerStandIn::heartbeat() {
   JsonWriter j;
   j.begin().key("Rig").text(id).key("Address").text(address).key("Frame").text(kind.type);
-  j.key("Yard").text(kind.zone).key("Loaners").flag(kind.spot).key("Shift").count(session);
-  j.key("Tick").count(++tick).key("KeyTurn").count(fencing_token);
+  j.key("Yard").text(kind.zone).key("Loaners").flag(kind.spot).key("Shift").count(agent_epoch);
+  j.key("Tick").count(++sequence).key("KeyTurn").count(fencing_token);
   if (notice_s) j.key("WarningS").amount(*notice_s);
   j.key("Teeth").list();
   for (const auto& [name, t] : tasks) {
@@ -111,7 +111,7 @@
   progress(surroundings, now);
   const JsonDocument document(request.body);
   const auto told = document.root()["KeyTurn"].GetUint64();
-  if (told < fencing_token || document.root()["Shift"].GetUint64() != session) {
+  if (told < fencing_token || document.root()["Shift"].GetUint64() != agent_epoch) {
     return control::plain_answer(409, heartbeat());
   }
   fencing_token = told;
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -45,7 +45,7 @@
 
   std::string id, address;
   sched::MachineKind kind{"g8", "a", false};
-  std::uint64_t session = 1, tick = 0, fencing_token = 0;
+  std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
   double answered_sent = 0;  ///< sending of the last report that was answered
   double began = 0;
   std::map<std::string, Task> tasks;
