--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -30,12 +30,12 @@
 };
 
 bool start_due(const Job& job, const sched::Placement& p, Allowed allowed) {
-  return allowed.start && !job.withdrawn() && job.needs_met && p.durable && !p.ended && !p.stop &&
+  return allowed.start && !job.cancelled() && job.needs_met && p.durable && !p.ended && !p.stop &&
          !p.seen && p.start_epoch == 0 && p.unconfirmed_start_epoch == 0;
 }
 
 bool stop_due(const Job& job, const sched::Placement& p, Allowed allowed) {
-  return ((p.stop && !p.stop_before && allowed.stop) || job.withdrawn()) && p.seen && !p.ended &&
+  return ((p.stop && !p.stop_before && allowed.stop) || job.cancelled()) && p.seen && !p.ended &&
          !p.stop_sent;
 }
 }  // namespace
@@ -74,7 +74,7 @@
       placement.unconfirmed_start_epoch = machine.agent_epoch;
       machine.unconfirmed_starts.insert({task, placement.attempt});
     } else if (stop_due(job, placement, allowed)) {
-      const double grace_s = job.withdrawn() ? 0 : placement.grace_s;
+      const double grace_s = job.cancelled() ? 0 : placement.grace_s;
       orders.push_back({wire::Verb::stop, task, placement.attempt, grace_s});
       placement.stop_sent = true;
     }
--- a/src/control/job_follower.cpp
+++ b/src/control/job_follower.cpp
@@ -71,7 +71,7 @@
 }
 
 void JobFollower::put(Job job) {
-  if (job.withdrawn()) job.withdrawn_since = cancelled_since(job.withdrawn_ms);
+  if (job.cancelled()) job.cancelled_since = cancelled_since(job.cancelled_at_ms);
   cluster_.put_job(std::move(job), now());
 }
 
@@ -120,9 +120,9 @@
   bool stops = false;
   for (auto& item : items) {
     Job* known = cluster_.job(job_of_key(item.key));
-    if (known != nullptr && item.revision > known->revision && !known->withdrawn()) {
-      if (const auto at_ms = read_withdrawn(item.data); at_ms != 0) {
-        cluster_.withdraw(*known, at_ms, cancelled_since(at_ms));
+    if (known != nullptr && item.revision > known->revision && !known->cancelled()) {
+      if (const auto at_ms = read_cancelled_at_ms(item.data); at_ms != 0) {
+        cluster_.cancel(*known, at_ms, cancelled_since(at_ms));
         stops = true;
       }
     }
@@ -165,7 +165,7 @@
     term_.job_accepted();
     spdlog::info("job {} accepted: {} of team {}, {} tasks", id, job->spec.job_class,
                  job->spec.team, job->spec.tasks);
-  } else if (job->withdrawn()) {
+  } else if (job->cancelled()) {
     spdlog::info("job {} cancelled by its user", id);
   }
   put(std::move(*job));
--- a/src/control/job_lookup.hpp
+++ b/src/control/job_lookup.hpp
@@ -28,8 +28,8 @@
     return !job.placements.empty() || job.done.size() > 0 || job.stored_parts > 0;
   }
   bool cancelled() const {
-    return kind == Kind::live ? job.withdrawn()
-                              : kind == Kind::ended && ending.state == wire::JobState::withdrawn;
+    return kind == Kind::live ? job.cancelled()
+                              : kind == Kind::ended && ending.state == wire::JobState::cancelled;
   }
 };
 
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -72,7 +72,7 @@
 namespace {
 bool holds_cancelled(const Machine& m) {
   return std::any_of(m.tasks.begin(), m.tasks.end(),
-                     [](const sched::PlacementRef& held) { return held.job->withdrawn(); });
+                     [](const sched::PlacementRef& held) { return held.job->cancelled(); });
 }
 }  // namespace
 
@@ -80,9 +80,9 @@
 // those that report, as long as there is time for it.
 double MachineLifecycle::cancel_due(const Job& job) const {
   const auto& s = services_.settings;
-  const double due = job.withdrawn_since + (s.cancel_s - s.heartbeat_interval_s) / 2;
+  const double due = job.cancelled_since + (s.cancel_s - s.heartbeat_interval_s) / 2;
   const double heard =
-      std::min(term_began_ + 2.5 * s.heartbeat_interval_s, job.withdrawn_since + s.cancel_s * 0.75);
+      std::min(term_began_ + 2.5 * s.heartbeat_interval_s, job.cancelled_since + s.cancel_s * 0.75);
   return std::max(due, heard);
 }
 
@@ -230,7 +230,7 @@
   const bool all_known = at - term_began_ > 2 * s.list_lag_s + s.lease_s;
   std::vector<std::string> unknown;
   for (const auto& [id, job] : cluster_.jobs()) {
-    const bool overdue = job.withdrawn() && at > cancel_due(job);
+    const bool overdue = job.cancelled() && at > cancel_due(job);
     for (const auto& p : job.placements) {
       if (p.ended) continue;
       Machine* m = cluster_.machine(p.machine);
--- a/src/control/record.cpp
+++ b/src/control/record.cpp
@@ -67,7 +67,7 @@
   JsonWriter head;
   head.begin().key(job.spec.needs.empty() ? kJobName : kDependentJobName);
   wire::write_job(head, job.spec);
-  head.key("at").integer(job.created_ms).key("w").integer(job.withdrawn_ms);
+  head.key("at").integer(job.created_ms).key("w").integer(job.cancelled_at_ms);
   // A write succeeds once for each revision that it is conditional on.
   head.key("n").count(job.last_attempt).key("g").count(job.revision).end();
   std::string main = head.take();
@@ -108,9 +108,9 @@
   const Json& o = document.root();
   const Json* spec = wire::find(o, kJobName);
   if (spec == nullptr) spec = wire::find(o, kDependentJobName);
-  const auto at = wire::read_amount(o, "at"), withdrawn = wire::read_amount(o, "w");
+  const auto at = wire::read_amount(o, "at"), cancelled = wire::read_amount(o, "w");
   const auto attempt = wire::read_count(o, "n"), count = wire::read_count(o, "parts");
-  if (spec == nullptr || !at || !withdrawn || !attempt || !count || *count > 64) {
+  if (spec == nullptr || !at || !cancelled || !attempt || !count || *count > 64) {
     return std::nullopt;
   }
   auto parsed = wire::parse_job(*spec);
@@ -118,7 +118,7 @@
   sched::Job job;
   job.spec = std::move(std::get<wire::JobSpec>(parsed));
   job.created_ms = static_cast<std::int64_t>(*at);
-  job.withdrawn_ms = static_cast<std::int64_t>(*withdrawn);
+  job.cancelled_at_ms = static_cast<std::int64_t>(*cancelled);
   job.last_attempt = *attempt;
   job.generation = wire::read_count(o, "g").value_or(0);
   job.stored_parts = parts = static_cast<int>(*count);
@@ -135,7 +135,7 @@
   return same && read_lists(document.root(), job);
 }
 
-std::int64_t read_withdrawn(const std::string& text) {
+std::int64_t read_cancelled_at_ms(const std::string& text) {
   // By its text, as it is looked for in every change; quotes inside of strings are escaped.
   constexpr std::string_view kName = "\"w\":";
   const auto at = text.rfind(kName);
@@ -158,7 +158,7 @@
   const auto state = wire::read_text(document.root(), "s");
   const auto tasks = wire::read_count(document.root(), "n");
   if (!state || !tasks || (*state != "done" && *state != "withdrawn")) return std::nullopt;
-  return Ending{*state == "done" ? wire::JobState::done : wire::JobState::withdrawn,
+  return Ending{*state == "done" ? wire::JobState::done : wire::JobState::cancelled,
                 static_cast<std::uint32_t>(*tasks),
                 static_cast<std::int64_t>(wire::read_amount(document.root(), "t").value_or(0))};
 }
--- a/src/control/record.hpp
+++ b/src/control/record.hpp
@@ -39,7 +39,7 @@
 /// `same_revision` decides where neither tells its generation.
 bool read_part(const std::string& text, bool same_revision, sched::Job& job);
 /// When the job of a stored record was cancelled; 0: it was not.
-std::int64_t read_withdrawn(const std::string& text);
+std::int64_t read_cancelled_at_ms(const std::string& text);
 
 struct Ending {
   wire::JobState state = wire::JobState::done;
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -73,10 +73,10 @@
   const auto& id = job.spec.id;
   Batch::Entry entry{id, job.revision, false, 0, {}, {}, {}, {}, {}};
   std::vector<wire::Change> changes;
-  const bool over = job.withdrawn() ? job.live() == 0 : job.complete();
+  const bool over = job.cancelled() ? job.live() == 0 : job.complete();
   if (over) {
     entry.retire = true;
-    entry.ending.state = job.withdrawn() ? wire::JobState::withdrawn : wire::JobState::done;
+    entry.ending.state = job.cancelled() ? wire::JobState::cancelled : wire::JobState::done;
     entry.ending.tasks = job.done.size();
     // Kept only for those that wait for it, whose own times count from here.
     const bool needed = cluster_.dependencies().is_needed(id);
@@ -158,7 +158,7 @@
   const double at = now();
   std::map<WriteClass, std::vector<Job*>> classes;
   for (auto& [id, job] : cluster_.jobs()) {
-    const bool gone = job.withdrawn() && job.live() == 0;
+    const bool gone = job.cancelled() && job.live() == 0;
     if (gone) job.dirty = true;
     if (!job.dirty || reloader_.is_requested(id)) continue;
     if (job.dirty_since == 0) job.dirty_since = at;
@@ -275,8 +275,8 @@
     needed_job_done_ = needed_job_done_ || cluster_.dependencies().is_needed(id);
   } else {
     known.outcome = sched::Dependencies::Outcome::cancelled;
-    known.at_ms = job.withdrawn_ms;
-    known.since = job.withdrawn_since;
+    known.at_ms = job.cancelled_at_ms;
+    known.since = job.cancelled_since;
   }
   cluster_.drop_job(id);
   cluster_.note_ending(id, known);
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -20,8 +20,8 @@
 
 JobStatus status_of(const sched::Job& job) {
   JobStatus status{JobState::queued, job.done.size(), job.placements.size()};
-  if (job.withdrawn()) {
-    status.state = JobState::withdrawn;
+  if (job.cancelled()) {
+    status.state = JobState::cancelled;
   } else if (!job.placements.empty()) {
     status.state = JobState::running;
   }
--- a/src/control/users.cpp
+++ b/src/control/users.cpp
@@ -58,7 +58,7 @@
 }
 
 Task<Response> Users::route(Request request) {
-  constexpr std::string_view kJobs = "/v1/jobs", kWithdraw = "/withdraw";
+  constexpr std::string_view kJobs = "/v1/jobs", kCancelSuffix = "/withdraw";
   const auto refuse_method = [](const char* allowed) {
     Response r = plain_answer(405, wire::error_answer("method not allowed"));
     r.allow = allowed;
@@ -72,12 +72,12 @@
     co_return response;
   }
   rest.erase(0, 1);
-  if (rest.ends_with(kWithdraw)) {
-    rest.resize(rest.size() - kWithdraw.size());
+  if (rest.ends_with(kCancelSuffix)) {
+    rest.resize(rest.size() - kCancelSuffix.size());
     if (rest.find('/') != std::string::npos)
       co_return plain_answer(404, wire::error_answer("no such path"));
     if (request.method != "POST") co_return refuse_method("POST");
-    auto work = withdraw(std::move(rest));
+    auto work = cancel(std::move(rest));
     auto response = co_await work;
     co_return response;
   }
@@ -148,7 +148,7 @@
     if (verdict != NeedsCheck::Verdict::cancelled) co_return JobState::queued;
     auto writing = write_cancellation(id, found);
     const auto written = co_await writing;
-    if (written == Outcome::ok) co_return JobState::withdrawn;
+    if (written == Outcome::ok) co_return JobState::cancelled;
     auto looking = lookup_.find(id);
     found = co_await looking;
   }
@@ -211,7 +211,7 @@
   sched::Job job;
   job.spec = std::move(spec);
   job.created_ms = services_.reactor.wall_ms();
-  if (cancelled) job.withdrawn_ms = job.created_ms;
+  if (cancelled) job.cancelled_at_ms = job.created_ms;
   const auto texts = write_record(job, services_.store.value_bytes());
   if (texts[0].size() > services_.store.value_bytes()) {
     co_return plain_answer(400, wire::error_answer("the description is too long"));
@@ -222,7 +222,7 @@
                                            store::Client::Priority::user);
   const auto created = co_await creating;
   if (created.outcome == Outcome::ok) {
-    const auto state = cancelled ? JobState::withdrawn : JobState::queued;
+    const auto state = cancelled ? JobState::cancelled : JobState::queued;
     co_return plain_answer(201, wire::job_answer(id, state));
   }
   if (created.outcome == Outcome::refused)
@@ -278,7 +278,7 @@
   co_return written.outcome;
 }
 
-Task<Response> Users::withdraw(std::string id) {
+Task<Response> Users::cancel(std::string id) {
   if (!wire::valid_job_id(id)) co_return plain_answer(404, wire::error_answer("no such job"));
   const double until = services_.reactor.now() + 2 * kUserTimeout;
   while (services_.reactor.now() < until) {
@@ -291,13 +291,13 @@
     if (found.kind == StoredJob::Kind::ended) {
       co_return plain_answer(200, wire::job_answer(id, found.ending.state));
     }
-    if (found.job.withdrawn()) {
-      co_return plain_answer(200, wire::job_answer(id, JobState::withdrawn));
+    if (found.job.cancelled()) {
+      co_return plain_answer(200, wire::job_answer(id, JobState::cancelled));
     }
     auto writing = write_cancellation(id, found);
     const auto written = co_await writing;
     if (written == Outcome::ok) {
-      co_return plain_answer(200, wire::job_answer(id, JobState::withdrawn));
+      co_return plain_answer(200, wire::job_answer(id, JobState::cancelled));
     }
     if (written == Outcome::refused) break;
     // The record changed meanwhile, or no answer came: look again.
--- a/src/control/users.hpp
+++ b/src/control/users.hpp
@@ -32,7 +32,7 @@
   static bool is_question(const net::Request& request) { return request.method == "GET"; }
   net::Task<net::Response> submit(std::string body);
   net::Task<net::Response> status(std::string id);
-  net::Task<net::Response> withdraw(std::string id);
+  net::Task<net::Response> cancel(std::string id);
 
   /// The job's state as a user may be told it, or nothing if that can't be told now. A job that is
   /// cancelled with one that it needs is marked so in its record first.
--- a/src/defrag/fleet_view.cpp
+++ b/src/defrag/fleet_view.cpp
@@ -12,7 +12,7 @@
 bool is_settled(const sched::Job& job, const sched::Placement& placement) {
   const bool in_doubt = !placement.durable || placement.outcome_unknown || !placement.seen ||
                         placement.unconfirmed_start_epoch != 0;
-  const bool leaving = placement.ended || placement.stop || job.withdrawn();
+  const bool leaving = placement.ended || placement.stop || job.cancelled();
   return !in_doubt && !leaving;
 }
 
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -165,7 +165,7 @@
 MoveStep MoveExecutor::step_of(const PlannedMove& move) {
   if (defrag::is_over(move.step) || is_on_source(cluster_, move)) return move.step;
   const sched::Job* job = cluster_.job(move.task.job);
-  if (job == nullptr || job->withdrawn() || job->done.contains(move.task.index)) {
+  if (job == nullptr || job->cancelled() || job->done.contains(move.task.index)) {
     return MoveStep::done;
   }
   const auto* placement = job->live_placement(move.task.index);
--- a/src/defrag/plan_check.cpp
+++ b/src/defrag/plan_check.cpp
@@ -131,7 +131,7 @@
   if (age_s > longest_plan_s(cluster.settings())) return DropReason::too_slow;
   if (placed) return std::nullopt;
   const sched::Job* waiting = cluster.job(plan.job);
-  if (waiting == nullptr || waiting->withdrawn()) return DropReason::job_over;
+  if (waiting == nullptr || waiting->cancelled()) return DropReason::job_over;
   if (!waits_for_room(cluster, *waiting, now)) return DropReason::gain_gone;
   return std::nullopt;
 }
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -69,7 +69,7 @@
   const auto found = jobs_.find(reservation.job);
   if (found == jobs_.end()) return false;
   const Job& job = found->second;
-  if (job.withdrawn()) return false;
+  if (job.cancelled()) return false;
   if (reservation.task && job.done.contains(*reservation.task)) return false;
   return std::none_of(job.placements.begin(), job.placements.end(), [&](const Placement& p) {
     return !p.ended && p.machine == reservation.machine &&
@@ -135,9 +135,9 @@
     job.failed_on = old->failed_on;
     job.succeeded = old->succeeded;
     // Cancelled is cancelled, be the record that is put here from before.
-    if (old->withdrawn()) {
-      job.withdrawn_ms = old->withdrawn_ms;
-      job.withdrawn_since = old->withdrawn_since;
+    if (old->cancelled()) {
+      job.cancelled_at_ms = old->cancelled_at_ms;
+      job.cancelled_since = old->cancelled_since;
     }
     // Guards against a number given once to one machine and, after an unanswered write, to another:
     // carried out late, that write would make the two look like one placement.
@@ -164,7 +164,7 @@
     job.known_since = now;
     note_earlier_rounds(job, now);
   }
-  if (job.withdrawn() && job.withdrawn_since == 0) job.withdrawn_since = now;
+  if (job.cancelled() && job.cancelled_since == 0) job.cancelled_since = now;
   job.sort_placements();
   Job& put = jobs_.emplace(id, std::move(job)).first->second;
   for (auto& p : put.placements) {
@@ -173,7 +173,7 @@
   }
   dependencies_.add(id, put.spec.needs);
   update_needs(put);
-  if (put.withdrawn()) withdraw_dependents(put);
+  if (put.cancelled()) cancel_dependents(put);
   return put;
 }
 
@@ -182,31 +182,31 @@
   const auto& id = job.spec.id;
   job.needs_met = dependencies_.met(id);
   job.ready_ms = std::max(job.created_ms, dependencies_.met_ms(id));
-  if (job.withdrawn()) return;
+  if (job.cancelled()) return;
   if (const auto cancellation = dependencies_.cancellation(id)) {
-    withdraw(job, cancellation->at_ms, cancellation->since);
+    cancel(job, cancellation->at_ms, cancellation->since);
     return;
   }
   // Guards against a job that arrives when one that it needs is cancelled and not yet over.
   for (const auto& needed : dependencies_.needs(id)) {
     const Job* live = this->job(needed);
-    if (live == nullptr || !live->withdrawn()) continue;
-    return withdraw(job, live->withdrawn_ms, live->withdrawn_since);
+    if (live == nullptr || !live->cancelled()) continue;
+    return cancel(job, live->cancelled_at_ms, live->cancelled_since);
   }
 }
 
 // None of them has a task, as they were never allowed to start: only their records have to follow.
 // Goes from one to the next without recursion, since chains may be long.
-void ClusterState::withdraw_dependents(const Job& cancelled) {
+void ClusterState::cancel_dependents(const Job& cancelled) {
   std::vector<const Job*> next{&cancelled};
   while (!next.empty()) {
     const Job* needed = next.back();
     next.pop_back();
     for (const auto& id : dependencies_.dependents(needed->spec.id)) {
       Job* dependent = job(id);
-      if (dependent == nullptr || dependent->withdrawn()) continue;
-      dependent->withdrawn_ms = needed->withdrawn_ms;
-      dependent->withdrawn_since = needed->withdrawn_since;
+      if (dependent == nullptr || dependent->cancelled()) continue;
+      dependent->cancelled_at_ms = needed->cancelled_at_ms;
+      dependent->cancelled_since = needed->cancelled_since;
       changed_ = true;
       next.push_back(dependent);
     }
@@ -229,12 +229,12 @@
   return unknown;
 }
 
-void ClusterState::withdraw(Job& job, std::int64_t at_ms, double since) {
-  if (job.withdrawn()) return;
-  job.withdrawn_ms = at_ms;
-  job.withdrawn_since = since;
+void ClusterState::cancel(Job& job, std::int64_t at_ms, double since) {
+  if (job.cancelled()) return;
+  job.cancelled_at_ms = at_ms;
+  job.cancelled_since = since;
   changed_ = true;
-  withdraw_dependents(job);
+  cancel_dependents(job);
 }
 
 void ClusterState::drop_job(const std::string& id) {
@@ -417,7 +417,7 @@
       m.failed_jobs.clear();
       break;
     case Cause::error:
-      if (!job.withdrawn()) task_failed(job, m, now);
+      if (!job.cancelled()) task_failed(job, m, now);
       break;
     case Cause::no_room:
     case Cause::busy:
@@ -556,7 +556,7 @@
     const bool lost =
         p.seen || (told && p.start_epoch != r.agent_epoch) ||
         (p.unconfirmed_start_epoch != 0 && p.unconfirmed_start_epoch != r.agent_epoch);
-    if (!lost && !p.stop && !j.withdrawn()) {
+    if (!lost && !p.stop && !j.cancelled()) {
       // Guards against a machine whose reports arrive and whom no answer reaches: idle for ever, it
       // would hold whatever is put on it. What it was not told it does not run.
       if (!told || ++p.unacknowledged < kUnacknowledged) continue;  // its start is sent (again)
@@ -594,7 +594,7 @@
       if (!ours && !m->unconfirmed_starts.contains({t.task, t.attempt})) {
         out.push_back({wire::Verb::forget, t.task, t.attempt, 0});
       }
-    } else if (!ours || p->ended || j->withdrawn()) {
+    } else if (!ours || p->ended || j->cancelled()) {
       out.push_back({wire::Verb::stop, t.task, t.attempt, 0});
     } else if (p->stop && may_send_stop(*p, now)) {
       // Past its grace it is ended for good.
@@ -608,7 +608,7 @@
   for (const auto& held : m->tasks) {
     const Job& j = *held.job;
     Placement& p = held.placement();
-    if (j.withdrawn() || !p.durable || !j.needs_met) continue;
+    if (j.cancelled() || !p.durable || !j.needs_met) continue;
     // Guards against a placement that is stopped while its start is in doubt: nobody would ever see
     // it end. Told here of both, the worker knows the attempt, and the start in doubt has no effect
     // any more.
@@ -645,7 +645,7 @@
 bool ClusterState::stopping(const Machine& m) {
   return m.unknown_tasks > 0 ||
          std::any_of(m.tasks.begin(), m.tasks.end(), [](const PlacementRef& held) {
-           return held.job->withdrawn() || held.placement().stop;
+           return held.job->cancelled() || held.placement().stop;
          });
 }
 
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -94,7 +94,7 @@
   void drop_job(const std::string& id);
   /// Its user has cancelled it, at `since` or later; the stored record may come after this. All
   /// jobs that need it, directly or through others, are cancelled with it.
-  void withdraw(Job& job, std::int64_t at_ms, double since);
+  void cancel(Job& job, std::int64_t at_ms, double since);
   /// The ending of a job that others may need is known to be stored: they may start, or are
   /// cancelled.
   void note_ending(const std::string& id, const Dependencies::Ending& ending);
@@ -220,7 +220,7 @@
   void break_gang(Job& job, std::uint64_t attempt, double now);
   void used_image(Machine& machine, const wire::JobSpec& spec);
   void update_needs(Job& job);
-  void withdraw_dependents(const Job& cancelled);
+  void cancel_dependents(const Job& cancelled);
   void attach(Job& job, Placement& placement);
   void detach(Job& job, const Placement& placement, double now);
 
--- a/src/sched/inheritance.cpp
+++ b/src/sched/inheritance.cpp
@@ -56,7 +56,7 @@
     for (const auto& needed : dependencies.needs(id)) {
       const auto entry = waiting_for.find(needed);
       if (entry == waiting_for.end()) continue;  // over
-      if (!dependent.withdrawn()) raise(*cluster.job(needed), dependent.urgency);
+      if (!dependent.cancelled()) raise(*cluster.job(needed), dependent.urgency);
       if (--entry->second == 0) ready.push_back(needed);
     }
   }
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -72,7 +72,7 @@
 struct Job {
   wire::JobSpec spec;
   std::int64_t created_ms = 0;
-  std::int64_t withdrawn_ms = 0;  ///< 0: not cancelled
+  std::int64_t cancelled_at_ms = 0;  ///< 0: not cancelled
   std::uint64_t last_attempt = 0;
   TaskSet done;
   std::vector<Placement> placements;  ///< by task and attempt, once ClusterState holds the job
@@ -91,7 +91,7 @@
   int earlier_rounds = 0;           ///< under former leaders, by its attempts
   std::set<std::string> failed_on;  ///< machines where a task of it failed, since it last worked
   bool succeeded = false;           ///< a task of it completed somewhere
-  double withdrawn_since = 0;
+  double cancelled_since = 0;
   bool guaranteed = false;  ///< as of the last placement pass
   /// All jobs that it needs are known to have been done; until then none of its tasks is placed or
   /// started (invariant 14). Kept by ClusterState.
@@ -103,7 +103,7 @@
 
   /// It fails wherever it is started: no machine is to blame for that.
   bool at_fault() const { return failed_on.size() >= 2 && !succeeded; }
-  bool withdrawn() const { return withdrawn_ms != 0; }
+  bool cancelled() const { return cancelled_at_ms != 0; }
   bool complete() const { return done.size() == spec.tasks; }
   std::size_t live() const;
   /// The place of a task's attempt among the placements, or where it would be.
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -64,7 +64,7 @@
     std::map<std::string, Room> leaving;  // by machine; few are being stopped
     for (const auto& [id, job] : cluster.jobs()) {
       for (const auto& p : job.placements) {
-        if (!p.ended && (p.stop || job.withdrawn())) leaving[p.machine] += job.spec.room;
+        if (!p.ended && (p.stop || job.cancelled())) leaving[p.machine] += job.spec.room;
       }
     }
     for (auto& [id, m] : cluster.machines()) {
@@ -176,7 +176,7 @@
   std::vector<Job*> by_age;
   for (auto& [id, job] : cluster_.jobs()) {
     // A job that waits for others holds no part of its team's guarantee.
-    if (!job.withdrawn() && !job.complete() && job.needs_met) by_age.push_back(&job);
+    if (!job.cancelled() && !job.complete() && job.needs_met) by_age.push_back(&job);
   }
   std::sort(by_age.begin(), by_age.end(), [](const Job* a, const Job* b) {
     return std::pair(a->ready_ms, a->spec.id) < std::pair(b->ready_ms, b->spec.id);
@@ -212,7 +212,7 @@
 }
 
 bool Pass::may_reschedule(const Job& job, std::uint32_t task, const Slot& slot) const {
-  if (job.withdrawn() || !job.needs_met || job.backoff_until > now_ || !job.is_pending(task)) {
+  if (job.cancelled() || !job.needs_met || job.backoff_until > now_ || !job.is_pending(task)) {
     return false;
   }
   return job.live() < most_live_tasks(cluster_.settings()) &&
@@ -538,7 +538,7 @@
   std::vector<Victim> victims;
   for (const auto& held : slot.machine->tasks) {
     Job* victim = held.job;
-    if (victim->withdrawn() || !may_preempt(job, *victim)) continue;
+    if (victim->cancelled() || !may_preempt(job, *victim)) continue;
     if (victim->spec.shape == Shape::gang && victim->spec.tasks > 1) continue;
     Placement& p = held.placement();
     if (p.stop || !p.durable) continue;
@@ -599,7 +599,7 @@
   // machines take their time to boot.
   if (!cluster_.any_unreachable()) return;
   for (auto& [id, job] : cluster_.jobs()) {
-    if (job.withdrawn()) continue;
+    if (job.cancelled()) continue;
     ZoneCount elsewhere;
     std::uint32_t doomed = 0;
     for (const auto& p : job.placements) {
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -20,7 +20,7 @@
 constexpr Names<JobState, 4> kJobStates{{{JobState::queued, "queued"},
                                          {JobState::running, "running"},
                                          {JobState::done, "done"},
-                                         {JobState::withdrawn, "withdrawn"}}};
+                                         {JobState::cancelled, "withdrawn"}}};
 constexpr Names<TaskState, 5> kTaskStates{{{TaskState::fetching, "fetching"},
                                            {TaskState::waiting, "waiting"},
                                            {TaskState::running, "running"},
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -65,7 +65,7 @@
 std::variant<JobSpec, std::string> parse_job(const Json& object);
 void write_job(JsonWriter& w, const JobSpec& job);
 
-enum class JobState { queued, running, done, withdrawn };
+enum class JobState { queued, running, done, cancelled };
 std::string job_answer(std::string_view id, JobState state);
 std::string job_status(std::string_view id, JobState state, std::uint64_t done,
                        std::uint64_t running);
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -61,7 +61,7 @@
   limited.fleet.settings.teams = {{"red", 0, 0, 64, 12}};
   EXPECT_FALSE(limited.advisor.look(60));
   Halves cancelled;
-  cancelled.fleet.cluster.withdraw(cancelled.large, 1, 1);
+  cancelled.fleet.cluster.cancel(cancelled.large, 1, 1);
   EXPECT_FALSE(cancelled.advisor.look(60));
 }
 
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -201,7 +201,7 @@
 
 TEST(ClusterState, ACancelledJobIsStoppedAndNeverStarted) {
   Placed s;
-  s.job.withdrawn_ms = 99;
+  s.job.cancelled_at_ms = 99;
   EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), true, 2).empty());
   const auto running = heartbeat("n-1", 1, 3, {task("j-000001", 0, 1, TaskState::running)});
   s.checkin(running);
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -69,7 +69,7 @@
   s.add(dependent("j-000002", {"j-000001"}));
   s.cluster.note_ending("j-000001", done_at(0));
   s.cluster.note_ending("j-000001", cancelled_at(100));
-  EXPECT_FALSE(s.cluster.job("j-000002")->withdrawn());
+  EXPECT_FALSE(s.cluster.job("j-000002")->cancelled());
 }
 
 TEST(Dependencies, ACancellationReachesAllThatNeedIt) {
@@ -78,17 +78,17 @@
   s.add(dependent("j-000002", {"j-000001"}));
   s.add(dependent("j-000003", {"j-000002", "j-000009"}));
   s.add(dependent("j-000004", {"j-000009"}));
-  s.cluster.withdraw(first, 777, 7);
-  EXPECT_EQ(s.cluster.job("j-000003")->withdrawn_ms, 777);
-  EXPECT_FALSE(s.cluster.job("j-000004")->withdrawn());
+  s.cluster.cancel(first, 777, 7);
+  EXPECT_EQ(s.cluster.job("j-000003")->cancelled_at_ms, 777);
+  EXPECT_FALSE(s.cluster.job("j-000004")->cancelled());
   // Generations that come later.
   s.add(dependent("j-000005", {"j-000003"}));
-  EXPECT_EQ(s.cluster.job("j-000005")->withdrawn_ms, 777);
+  EXPECT_EQ(s.cluster.job("j-000005")->cancelled_at_ms, 777);
   // And by an ending that is read.
   s.cluster.note_ending("j-000009", cancelled_at(888));
-  EXPECT_EQ(s.cluster.job("j-000004")->withdrawn_ms, 888);
+  EXPECT_EQ(s.cluster.job("j-000004")->cancelled_at_ms, 888);
   s.add(dependent("j-000006", {"j-000009"}));
-  EXPECT_TRUE(s.cluster.job("j-000006")->withdrawn());
+  EXPECT_TRUE(s.cluster.job("j-000006")->cancelled());
 }
 
 // A recursion would end the process of a small node; so would a stored cycle.
@@ -102,10 +102,10 @@
   s.add(dependent("j-1", {"j-2"}));
   s.add(dependent("j-2", {"j-1"}));
   EXPECT_EQ(s.pass().placed, 1);
-  s.cluster.withdraw(*s.cluster.job(id(0)), 5, 5);
-  EXPECT_TRUE(s.cluster.job(id(kLength - 1))->withdrawn());
-  s.cluster.withdraw(*s.cluster.job("j-1"), 5, 5);
-  EXPECT_TRUE(s.cluster.job("j-2")->withdrawn());
+  s.cluster.cancel(*s.cluster.job(id(0)), 5, 5);
+  EXPECT_TRUE(s.cluster.job(id(kLength - 1))->cancelled());
+  s.cluster.cancel(*s.cluster.job("j-1"), 5, 5);
+  EXPECT_TRUE(s.cluster.job("j-2")->cancelled());
   EXPECT_EQ(s.pass(2).placed, 0);
 }
 
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -373,7 +373,7 @@
   drains.drain();
   ASSERT_TRUE(drains.source().stop);
   auto& source = drains.source();
-  drains.halves.fleet.cluster.withdraw(drains.halves.job(kLarge), 1, 1);
+  drains.halves.fleet.cluster.cancel(drains.halves.job(kLarge), 1, 1);
   drains.halves.advance(drains.executor);
   EXPECT_FALSE(drains.executor.has_plan());
   EXPECT_FALSE(source.stop);
--- a/tests/sharing_rule_test.cpp
+++ b/tests/sharing_rule_test.cpp
@@ -77,7 +77,7 @@
   fleet.add(testing::make_job("j-1", wire::Shape::array, 3, 2));
   fleet.add(testing::make_job("j-2", wire::Shape::gang, 4, 1));
   auto cancelled = testing::make_job("j-3", wire::Shape::array, 5, 1);
-  cancelled.withdrawn_ms = 9;
+  cancelled.cancelled_at_ms = 9;
   fleet.add(cancelled);
   auto dependent = testing::make_job("j-4", wire::Shape::array, 5, 1);
   dependent.spec.needs = {"j-1"};
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -42,9 +42,9 @@
   StatusCache cache{reactor, settings, store};
 
   Stored() { reactor.run_until(100); }
-  void put(const std::string& id, bool withdrawn = false) {
+  void put(const std::string& id, bool cancelled = false) {
     auto job = testing::make_job(id, wire::Shape::service, 2, 1, "red");
-    job.withdrawn_ms = withdrawn ? 1 : 0;
+    job.cancelled_at_ms = cancelled ? 1 : 0;
     write({{job_key(id), write_record(job, 8192)[0], 0}});
   }
   void write(const std::vector<wire::Change>& changes) {
@@ -86,7 +86,7 @@
   s.put("j-000001");
   ASSERT_EQ(s.ask("j-000001").status.state, wire::JobState::queued);
   s.put("j-000001", true);
-  EXPECT_EQ(s.ask("j-000001").status.state, wire::JobState::withdrawn);
+  EXPECT_EQ(s.ask("j-000001").status.state, wire::JobState::cancelled);
   s.write({{job_key("j-000001"), "", 0}, {ended_key("j-000001"), "{}", 0}});
   EXPECT_EQ(s.ask("j-000001").kind, StatusCache::Kind::unknown);
 }
@@ -108,7 +108,7 @@
   }
   ASSERT_FALSE(first.done());
   s.put("j-000001", true);
-  EXPECT_EQ(s.ask("j-000001").status.state, wire::JobState::withdrawn);
+  EXPECT_EQ(s.ask("j-000001").status.state, wire::JobState::cancelled);
   ASSERT_TRUE(first.done());
   EXPECT_EQ(first.take().status.state, wire::JobState::queued);
 }
@@ -153,7 +153,7 @@
   s.put(last, true);
   for (int i = 0; i < 10'500; ++i) s.write({{"other", std::to_string(i), 0}});
   for (int i = 0; i < 4; ++i) s.ask(last);
-  EXPECT_EQ(s.ask(last).status.state, wire::JobState::withdrawn);
+  EXPECT_EQ(s.ask(last).status.state, wire::JobState::cancelled);
 }
 
 // A job that waits for others may be cancelled with them before its own record says so.
--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -27,7 +27,7 @@
   sched::Job job;
   job.spec = complete_job();
   job.created_ms = 1700000000001;
-  job.withdrawn_ms = 1700000000002;
+  job.cancelled_at_ms = 1700000000002;
   job.last_attempt = 9;
   job.revision = 17;
   job.done.add_range({0, 2});
@@ -83,7 +83,7 @@
 TEST(StoredJob, AJobThatNeedsNoOtherStandsUnderAnotherName) {
   sched::Job job = stored_job();
   job.spec.needs.clear();
-  job.withdrawn_ms = 0;
+  job.cancelled_at_ms = 0;
   const auto texts = control::write_record(job, 8192);
   ASSERT_EQ(texts.size(), 1U);
   EXPECT_EQ(texts[0].substr(0, 23), R"({"job":{"Id":"j-000412")");
@@ -107,7 +107,7 @@
   ASSERT_TRUE(control::read_part(R"({"g":17,"d":[[4,5]],"p":[[3,8,"n-000008"]]})", false, *job));
   expect_complete_job(job->spec);
   EXPECT_EQ(job->created_ms, 1700000000001);
-  EXPECT_EQ(job->withdrawn_ms, 1700000000002);
+  EXPECT_EQ(job->cancelled_at_ms, 1700000000002);
   EXPECT_EQ(job->last_attempt, 9U);
   EXPECT_EQ(job->generation, 17U);
   EXPECT_EQ(job->stored_parts, 1);
@@ -130,7 +130,7 @@
 }
 
 TEST(StoredJob, TheTimeOfItsCancellationIsFoundInItsText) {
-  EXPECT_EQ(control::read_withdrawn(kDependentRecordHead + R"("parts":0})"), 1700000000002);
+  EXPECT_EQ(control::read_cancelled_at_ms(kDependentRecordHead + R"("parts":0})"), 1700000000002);
 }
 
 TEST(StoredEnding, EveryFieldAndStateIsWrittenAndRead) {
@@ -141,11 +141,11 @@
   EXPECT_EQ(done_ending->state, wire::JobState::done);
   EXPECT_EQ(done_ending->tasks, 16U);
   EXPECT_EQ(done_ending->ended_ms, 1700000000003);
-  const std::string withdrawn = R"({"s":"withdrawn","n":2})";
-  EXPECT_EQ(control::write_ending({wire::JobState::withdrawn, 2, 0}), withdrawn);
-  const auto withdrawn_ending = control::read_ending(withdrawn);
+  const std::string cancelled = R"({"s":"withdrawn","n":2})";
+  EXPECT_EQ(control::write_ending({wire::JobState::cancelled, 2, 0}), cancelled);
+  const auto withdrawn_ending = control::read_ending(cancelled);
   ASSERT_TRUE(withdrawn_ending);
-  EXPECT_EQ(withdrawn_ending->state, wire::JobState::withdrawn);
+  EXPECT_EQ(withdrawn_ending->state, wire::JobState::cancelled);
   EXPECT_EQ(withdrawn_ending->tasks, 2U);
   EXPECT_EQ(withdrawn_ending->ended_ms, 0);
 }
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -140,7 +140,7 @@
   EXPECT_EQ(wire::job_answer("j-1", wire::JobState::queued), R"({"Id":"j-1","Stance":"queued"})");
   EXPECT_EQ(wire::job_answer("j-1", wire::JobState::running), R"({"Id":"j-1","Stance":"running"})");
   EXPECT_EQ(wire::job_answer("j-1", wire::JobState::done), R"({"Id":"j-1","Stance":"done"})");
-  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::withdrawn),
+  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::cancelled),
             R"({"Id":"j-1","Stance":"withdrawn"})");
   EXPECT_EQ(wire::job_status("j-1", wire::JobState::running, 3, 5),
             R"({"Id":"j-1","Stance":"running","done":3,"running":5})");
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -109,9 +109,9 @@
   // Parts from before there were generations go by their revision.
   EXPECT_TRUE(control::read_part(R"({"d":[],"p":[]})", true, *read));
   EXPECT_FALSE(control::read_part(R"({"d":[],"p":[]})", false, *read));
-  EXPECT_EQ(control::read_withdrawn(texts[0]), 0);
+  EXPECT_EQ(control::read_cancelled_at_ms(texts[0]), 0);
   texts[0].replace(texts[0].rfind("\"w\":0"), 5, "\"w\":1700000000123");
-  EXPECT_EQ(control::read_withdrawn(texts[0]), 1700000000123);
+  EXPECT_EQ(control::read_cancelled_at_ms(texts[0]), 1700000000123);
 }
 
 TEST(Wire, AMalformedJobIsRefusedWithItsField) {
