--- a/lab/fragments.cpp
+++ b/lab/fragments.cpp
@@ -37,7 +37,7 @@
 ClassPlan Fragments::filler(int tasks) const {
   ClassPlan plan;
   plan.spec.job_class = "filler";
-  plan.spec.shape = wire::Shape::array;
+  plan.spec.kind = wire::JobKind::job_array;
   plan.spec.tasks = static_cast<std::uint32_t>(tasks);
   const double gpus = plan_.worker_gpus - fragments_.piece_gpus;
   plan.spec.room = {gpus, gpus, 8 * gpus};
@@ -50,8 +50,8 @@
 ClassPlan Fragments::replicas(int tasks) const {
   ClassPlan plan = filler(tasks);
   plan.spec.job_class = "replica";
-  plan.spec.shape = wire::Shape::service;
-  plan.spec.rank = wire::Rank::high;
+  plan.spec.kind = wire::JobKind::service;
+  plan.spec.priority = wire::Priority::high;
   plan.spec.room = {fragments_.piece_gpus, fragments_.piece_gpus, 8 * fragments_.piece_gpus};
   plan.spec.image = "img-replica";
   return plan;
@@ -60,8 +60,8 @@
 ClassPlan Fragments::demand() const {
   ClassPlan plan = filler(fragments_.demand_tasks);
   plan.spec.job_class = "demand";
-  plan.spec.shape = wire::Shape::gang;
-  plan.spec.rank = wire::Rank::high;
+  plan.spec.kind = wire::JobKind::gang;
+  plan.spec.priority = wire::Priority::high;
   plan.spec.room = {plan_.worker_gpus, plan_.worker_gpus, 8 * plan_.worker_gpus};
   plan.spec.estimate_s = 3600;
   plan.spec.image = "img-demand";
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -211,7 +211,7 @@
 double Run::run_s(const wire::TaskName& task) const {
   const auto& plan = *jobs_.at(task.job).plan;
   constexpr double kForEver = 1e9;
-  return plan.spec.shape == wire::Shape::service ? kForEver : plan.spec.estimate_s;
+  return plan.spec.kind == wire::JobKind::service ? kForEver : plan.spec.estimate_s;
 }
 
 bool Run::starts(const testing::WorkerStandIn& worker, const wire::TaskName& task) {
@@ -232,7 +232,7 @@
   ++counts.task_starts;
   counts.start_s.push_back(now() - job.submitted_at);
   ++starts_by_second_[static_cast<int>(now())];
-  if (job.plan->spec.shape != wire::Shape::gang) return true;
+  if (job.plan->spec.kind != wire::JobKind::gang) return true;
   const auto attempt = worker.tasks.at(wire::to_string(task)).attempt;
   job.gathered[attempt].insert(task.index);
   return false;
--- a/lab/settings.cpp
+++ b/lab/settings.cpp
@@ -47,16 +47,18 @@
 }
 
 ClassPlan read_class(const TomlReader& in) {
-  using wire::Rank;
-  using wire::Shape;
+  using wire::JobKind;
+  using wire::Priority;
   ClassPlan plan;
   auto& spec = plan.spec;
   spec.job_class = in.text("name");
-  spec.shape = read_word<Shape>(
-      in, "shape", {{"array", Shape::array}, {"gang", Shape::gang}, {"service", Shape::service}});
-  spec.rank = read_word<Rank>(
-      in, "rank",
-      {{"production", Rank::production}, {"high", Rank::high}, {"standard", Rank::standard}});
+  spec.kind = read_word<JobKind>(
+      in, "shape",
+      {{"array", JobKind::job_array}, {"gang", JobKind::gang}, {"service", JobKind::service}});
+  spec.priority = read_word<Priority>(in, "rank",
+                                      {{"production", Priority::production},
+                                       {"high", Priority::high},
+                                       {"standard", Priority::standard}});
   spec.tasks = static_cast<std::uint32_t>(in.count("tasks", 1));
   const double gpus = in.number("gpus", 0, true);
   spec.room = {gpus, gpus, 8 * gpus};
--- a/src/control/users.cpp
+++ b/src/control/users.cpp
@@ -103,8 +103,9 @@
     return named && in_zone && spec.room.fits_in(t.room);
   });
   if (!fits) return "no allowed machine type has room for a task";
-  const wire::Room all =
-      spec.shape == wire::Shape::array ? spec.room : spec.room * static_cast<double>(spec.tasks);
+  const wire::Room all = spec.kind == wire::JobKind::job_array
+                             ? spec.room
+                             : spec.room * static_cast<double>(spec.tasks);
   if ((team->cpus_max > 0 && all.cpus > team->cpus_max) ||
       (team->gpus_max > 0 && all.gpus > team->gpus_max)) {
     return "more than the team's limit";
--- a/src/defrag/fleet_view.cpp
+++ b/src/defrag/fleet_view.cpp
@@ -27,12 +27,12 @@
     return std::nullopt;
   }
   const double restart_s = kHeartbeatsUntilRestart * cluster.settings().heartbeat_interval_s;
-  if (job.spec.shape == wire::Shape::service) {
+  if (job.spec.kind == wire::JobKind::service) {
     // A single replica has no other to serve in its place.
     if (!rules.services || job.live() < 2) return std::nullopt;
     return cluster.settings().lease_s / 2 + restart_s;
   }
-  if (job.spec.shape != wire::Shape::array) return std::nullopt;
+  if (job.spec.kind != wire::JobKind::job_array) return std::nullopt;
   if (job.spec.checkpoint_s > 0) return job.spec.save_s + restart_s;
   return std::max(now - placement.running_since, 0.0) + restart_s;
 }
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -8,7 +8,7 @@
 namespace cranklock::defrag {
 
 using sched::ClusterState;
-using wire::Shape;
+using wire::JobKind;
 
 namespace {
 
@@ -157,7 +157,7 @@
 
 bool MoveExecutor::moves_replica(const PlannedMove& move) const {
   const sched::Job* job = cluster_.job(move.task.job);
-  return job != nullptr && job->spec.shape == Shape::service;
+  return job != nullptr && job->spec.kind == JobKind::service;
 }
 
 // How far a move is, by where its task is. A plan's own account decides only whether the task left
@@ -250,7 +250,7 @@
     }
     const bool was_stopping = placement->stop;
     const auto& spec = cluster_.job(moves[i].task.job)->spec;
-    if (spec.shape == Shape::service) {
+    if (spec.kind == JobKind::service) {
       // A new leader has to hear of the drain itself.
       if (now < progress_[i].drained_until) {
         ClusterState::request_drained_stop(*placement, progress_[i].drained_until, now);
--- a/src/defrag/plan_check.cpp
+++ b/src/defrag/plan_check.cpp
@@ -114,7 +114,7 @@
 }
 
 bool is_placed(const sched::Job& job, const MovePlan& plan) {
-  if (job.spec.shape == wire::Shape::gang) return job.live() > 0;
+  if (job.spec.kind == wire::JobKind::gang) return job.live() > 0;
   if (job.pending_count() == 0) return true;
   return std::any_of(job.placements.begin(), job.placements.end(), [&](const auto& placement) {
     if (placement.ended) return false;
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -14,7 +14,7 @@
 
 /// The most entitled first, as placement orders waiting jobs.
 auto entitlement(const sched::Job& job) {
-  return std::tuple(!job.guaranteed, job.urgency.rank, job.ready_ms);
+  return std::tuple(!job.guaranteed, job.urgency.priority, job.ready_ms);
 }
 
 const sched::Job* most_entitled(sched::ClusterState& cluster,
@@ -62,7 +62,7 @@
 }  // namespace
 
 std::size_t tasks_at_once(const sched::Job& job) {
-  return job.spec.shape == wire::Shape::gang ? job.spec.tasks : 1;
+  return job.spec.kind == wire::JobKind::gang ? job.spec.tasks : 1;
 }
 
 double shortest_boot_s(const sched::ClusterState& cluster, const sched::Job& job) {
@@ -80,7 +80,7 @@
   if (job.cancelled() || job.complete() || !job.needs_met || job.backoff_until > now) return false;
   if (job.pending_count() == 0) return false;
   // The old attempt of a gang must be gone entirely before the next begins.
-  if (job.spec.shape == wire::Shape::gang && job.live() > 0) return false;
+  if (job.spec.kind == wire::JobKind::gang && job.live() > 0) return false;
   const auto tasks = static_cast<double>(tasks_at_once(job));
   return sched::within_limit(cluster, job.spec.team, job.spec.room * tasks);
 }
--- a/src/defrag/planner.cpp
+++ b/src/defrag/planner.cpp
@@ -64,7 +64,7 @@
   bool move_away(std::size_t host, const Eviction& eviction);
   std::optional<std::size_t> target_for(const Resident& resident, std::size_t from);
   void place_on(std::size_t host);
-  double rank(const Eviction& eviction, std::size_t host, Preference preference) const;
+  double priority(const Eviction& eviction, std::size_t host, Preference preference) const;
 
   const std::vector<Host>& hosts_;
   const Demand& demand_;
@@ -162,7 +162,7 @@
   return eviction;
 }
 
-double Search::rank(const Eviction& eviction, std::size_t host, Preference preference) const {
+double Search::priority(const Eviction& eviction, std::size_t host, Preference preference) const {
   switch (preference) {
     case Preference::least_cost:
       return eviction.cost_s;
@@ -229,19 +229,19 @@
   struct Option {
     std::size_t host;
     Eviction eviction;
-    double rank;
+    double priority;
   };
   std::vector<Option> options;
   looks_ += hosts_.size();
   for (std::size_t i = 0; i < hosts_.size(); ++i) {
     if (use_[i].takes || use_[i].hopeless || !may_hold(i, zone)) continue;
     if (auto eviction = cheapest_eviction(i)) {
-      const double value = rank(*eviction, i, preference);
+      const double value = priority(*eviction, i, preference);
       options.push_back({i, std::move(*eviction), value});
     }
   }
   std::stable_sort(options.begin(), options.end(),
-                   [](const Option& a, const Option& b) { return a.rank < b.rank; });
+                   [](const Option& a, const Option& b) { return a.priority < b.priority; });
   for (const auto& option : options) {
     if (looked_long()) return false;
     if (move_away(option.host, option.eviction)) {
--- a/src/regions/demand.cpp
+++ b/src/regions/demand.cpp
@@ -11,7 +11,7 @@
 std::size_t placeable_tasks(const sched::Job& job, std::size_t most_live) {
   const std::size_t live = job.live();
   const std::size_t waiting = job.pending_count();
-  if (job.spec.shape != wire::Shape::gang) {
+  if (job.spec.kind != wire::JobKind::gang) {
     return live < most_live ? std::min(waiting, most_live - live) : 0;
   }
   // A gang is placed whole, when nothing is left of its last attempt.
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -116,8 +116,8 @@
 // record tells how often its tasks were started, and that none of them has come to anything.
 void ClusterState::note_earlier_rounds(Job& job, double now) const {
   constexpr std::uint64_t kMostRounds = 5;
-  const bool shares_attempts = job.spec.shape == wire::Shape::gang;
-  const auto rounds = shares_attempts ? job.last_attempt : job.last_attempt / job.spec.tasks;
+  const bool shares_attempt = job.spec.kind == wire::JobKind::gang;
+  const auto rounds = shares_attempt ? job.last_attempt : job.last_attempt / job.spec.tasks;
   if (rounds < 2 || job.done.size() > 0 || job.live() > 0) return;
   job.earlier_rounds = static_cast<int>(std::min(rounds - 1, kMostRounds));
   job.backoff_until = now + settings_.heartbeat_interval_s * job.earlier_rounds;
@@ -342,7 +342,7 @@
 }
 
 void ClusterState::break_gang(Job& job, std::uint64_t attempt, double now) {
-  if (job.spec.shape != wire::Shape::gang) return;
+  if (job.spec.kind != wire::JobKind::gang) return;
   for (auto& p : job.placements) {
     if (p.attempt == attempt && !p.ended) request_stop(p, 0, now);
   }
@@ -531,7 +531,7 @@
   }
   // A replica never completes: one that has run for so long works.
   const bool runs = t.state == TaskState::running && placement.running_since > 0;
-  if (runs && job.spec.shape == wire::Shape::service && !job.failed_on.empty() &&
+  if (runs && job.spec.kind == wire::JobKind::service && !job.failed_on.empty() &&
       now - placement.running_since > settings_.lease_s) {
     note_works(job);
   }
--- a/src/sched/inheritance.cpp
+++ b/src/sched/inheritance.cpp
@@ -15,7 +15,7 @@
 
 Urgency own_urgency(const Job& job) {
   Urgency own;
-  own.rank = job.spec.rank;
+  own.priority = job.spec.priority;
   if (job.spec.due_s) {
     own.start_by_ms = job.created_ms + to_ms(*job.spec.due_s - job.spec.estimate_s);
   }
@@ -24,7 +24,7 @@
 
 void raise(Job& needed, const Urgency& needed_by) {
   Urgency& urgency = needed.urgency;
-  urgency.rank = std::min(urgency.rank, needed_by.rank);
+  urgency.priority = std::min(urgency.priority, needed_by.priority);
   if (needed_by.start_by_ms == kNoDeadline) return;
   urgency.start_by_ms =
       std::min(urgency.start_by_ms, needed_by.start_by_ms - to_ms(needed.spec.estimate_s));
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -63,7 +63,7 @@
 
 /// How urgent a job is, by itself and by the jobs that need it, as of the last placement pass.
 struct Urgency {
-  wire::Rank rank = wire::Rank::standard;  ///< the highest of all
+  wire::Priority priority = wire::Priority::standard;  ///< the highest of all
   /// Time of day by which it has to start, so that each of them meets its deadline if all take as
   /// long as their owners estimate.
   std::int64_t start_by_ms = kNoDeadline;
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -14,8 +14,8 @@
 namespace cranklock::sched {
 namespace {
 
+using wire::JobKind;
 using wire::Room;
-using wire::Shape;
 
 /// The largest share of a machine's room that an amount takes.
 double share_of(const Room& part, const Room& whole) {
@@ -144,7 +144,7 @@
   bool may_preempt(const Job& for_job, const Job& victim) const;
   /// Replicas in a zone where no controller stands: nobody keeps them running through a cut.
   bool exposed(const Job& job, const std::string& zone) const {
-    return job.spec.shape == Shape::service && !cluster_.settings().has_node(zone);
+    return job.spec.kind == JobKind::service && !cluster_.settings().has_node(zone);
   }
   void reserve(const Job& job);
   bool is_hopeless(const Job& job, const std::vector<const Job*>& failed) const;
@@ -163,10 +163,10 @@
   mutable bool held_back_ = false;
   std::vector<const Job*> no_room_for_;  ///< see is_hopeless()
   /// The same for making room, by team, rank and guarantee.
-  std::map<std::tuple<std::string, wire::Rank, bool>, std::vector<const Job*>> no_victims_for_;
+  std::map<std::tuple<std::string, wire::Priority, bool>, std::vector<const Job*>> no_victims_for_;
   std::size_t most_looks_ = 0;
   /// Whether anything runs of a rank, and whether some of it is not (0), or is (1), guaranteed.
-  std::map<wire::Rank, std::array<bool, 2>> running_;
+  std::map<wire::Priority, std::array<bool, 2>> running_;
   std::map<std::string, Room> planned_;  ///< by team, of shortfall already counted
   PassResult result_;
 };
@@ -188,7 +188,7 @@
     sum += job->spec.room * job->spec.tasks;
     const auto* team = cluster_.settings().team(job->spec.team);
     job->guaranteed = team != nullptr && within_guarantee(cluster_, *team, sum);
-    if (job->live() > 0) running_[job->urgency.rank][job->guaranteed ? 1 : 0] = true;
+    if (job->live() > 0) running_[job->urgency.priority][job->guaranteed ? 1 : 0] = true;
     if (job->backoff_until > now_ || job->pending_count() == 0) continue;
     waiting.push_back(job);
   }
@@ -197,8 +197,8 @@
     const auto when = [](const Job* job) {
       return std::min(job->ready_ms, job->urgency.start_by_ms);
     };
-    return std::tuple(!a->guaranteed, a->urgency.rank, when(a)) <
-           std::tuple(!b->guaranteed, b->urgency.rank, when(b));
+    return std::tuple(!a->guaranteed, a->urgency.priority, when(a)) <
+           std::tuple(!b->guaranteed, b->urgency.priority, when(b));
   });
   return waiting;
 }
@@ -386,7 +386,7 @@
   const auto room_left = live < most ? most - live : 0;
   const auto tasks = job.pending(room_left);
   if (tasks.empty()) return;
-  if (job.spec.shape == Shape::gang) {
+  if (job.spec.kind == JobKind::gang) {
     // The old attempt must be gone entirely before the next begins.
     if (live > 0 || tasks.size() != job.spec.tasks) return;
     if (!within_limit(cluster_, job.spec.team, job.spec.room * job.spec.tasks)) return;
@@ -473,16 +473,17 @@
 }
 
 bool Pass::may_preempt(const Job& for_job, const Job& victim) const {
-  if (for_job.urgency.rank < victim.urgency.rank) return !victim.guaranteed || for_job.guaranteed;
+  if (for_job.urgency.priority < victim.urgency.priority)
+    return !victim.guaranteed || for_job.guaranteed;
   // Work that another team runs beyond its guarantee, so that a team gets its own.
   return for_job.guaranteed && !victim.guaranteed && for_job.spec.team != victim.spec.team;
 }
 
 void Pass::make_room(Job& job) {
-  if (job.spec.shape == Shape::gang) return make_room_for_gang(job);
+  if (job.spec.kind == JobKind::gang) return make_room_for_gang(job);
   auto zones = zones_of(job);
   Room planned;
-  auto& failed = no_victims_for_[{job.spec.team, job.urgency.rank, job.guaranteed}];
+  auto& failed = no_victims_for_[{job.spec.team, job.urgency.priority, job.guaranteed}];
   held_back_ = false;
   if (is_hopeless(job, failed)) return;
   for (auto missing = job.pending_count(); missing > 0 && result_.looked_at < most_looks_;
@@ -527,9 +528,9 @@
 
 bool Pass::may_preempt_any(const Job& job) const {
   return std::any_of(running_.begin(), running_.end(), [&](const auto& entry) {
-    const auto& [rank, guaranteed] = entry;
-    return (guaranteed[0] && (job.guaranteed || job.urgency.rank < rank)) ||
-           (guaranteed[1] && job.guaranteed && job.urgency.rank < rank);
+    const auto& [priority, guaranteed] = entry;
+    return (guaranteed[0] && (job.guaranteed || job.urgency.priority < priority)) ||
+           (guaranteed[1] && job.guaranteed && job.urgency.priority < priority);
   });
 }
 
@@ -539,20 +540,20 @@
   for (const auto& held : slot.machine->tasks) {
     Job* victim = held.job;
     if (victim->cancelled() || !may_preempt(job, *victim)) continue;
-    if (victim->spec.shape == Shape::gang && victim->spec.tasks > 1) continue;
+    if (victim->spec.kind == JobKind::gang && victim->spec.tasks > 1) continue;
     Placement& p = held.placement();
     if (p.stop || !p.durable) continue;
     victims.push_back({loss_of(*victim, p), victim, &p});
   }
   std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
-    return std::pair(b.job->urgency.rank, a.loss) < std::pair(a.job->urgency.rank, b.loss);
+    return std::pair(b.job->urgency.priority, a.loss) < std::pair(a.job->urgency.priority, b.loss);
   });
   return victims;
 }
 
 // Seconds of work. A replica's absence is noticed at once; other work loses what it did not save.
 double Pass::loss_of(const Job& victim, const Placement& placement) const {
-  if (victim.spec.shape == Shape::service) return cluster_.settings().cancel_s;
+  if (victim.spec.kind == JobKind::service) return cluster_.settings().cancel_s;
   const double ran = placement.running_since > 0 ? now_ - placement.running_since : 0;
   return victim.spec.checkpoint_s > 0 ? std::min(ran, victim.spec.save_s) : ran;
 }
@@ -675,7 +676,7 @@
       if (!within_limit(cluster_, job.spec.team, planned + job.spec.room)) return;
       planned += job.spec.room;
     }
-    if (replaces || job.spec.shape == Shape::gang) {
+    if (replaces || job.spec.kind == JobKind::gang) {
       // Part of a gang, or of what will be lost, may find room; only the rest is missing.
       ready = std::find_if(ready, slots_.end(), fits);
       if (ready != slots_.end()) {
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -11,12 +11,12 @@
 template <typename E, std::size_t N>
 using Names = std::array<std::pair<E, std::string_view>, N>;
 
-constexpr Names<Shape, 3> kShapes{
-    {{Shape::array, "batch"}, {Shape::gang, "ensemble"}, {Shape::service, "standing"}}};
-constexpr Names<Rank, 4> kRanks{{{Rank::production, "production"},
-                                 {Rank::high, "high"},
-                                 {Rank::standard, "standard"},
-                                 {Rank::best_effort, "best_effort"}}};
+constexpr Names<JobKind, 3> kJobKinds{
+    {{JobKind::job_array, "batch"}, {JobKind::gang, "ensemble"}, {JobKind::service, "standing"}}};
+constexpr Names<Priority, 4> kPriorities{{{Priority::production, "production"},
+                                          {Priority::high, "high"},
+                                          {Priority::standard, "standard"},
+                                          {Priority::best_effort, "best_effort"}}};
 constexpr Names<JobState, 4> kJobStates{{{JobState::queued, "queued"},
                                          {JobState::running, "running"},
                                          {JobState::done, "done"},
@@ -106,12 +106,12 @@
   const auto team = read_text(o, "Crew");
   if (!team || team->empty() || team->size() > 200) return "Crew: expected a team";
   job.team = *team;
-  const auto shape = named(kShapes, o, "Shape");
-  if (!shape) return "Shape: expected batch, ensemble or standing";
-  job.shape = *shape;
-  const auto rank = named(kRanks, o, "Rank");
-  if (!rank) return "Rank: expected production, high, standard or best_effort";
-  job.rank = *rank;
+  const auto kind = named(kJobKinds, o, "Shape");
+  if (!kind) return "Shape: expected batch, ensemble or standing";
+  job.kind = *kind;
+  const auto priority = named(kPriorities, o, "Rank");
+  if (!priority) return "Rank: expected production, high, standard or best_effort";
+  job.priority = *priority;
   const auto tasks = read_count(o, "Teeth");
   if (!tasks || *tasks < 1 || *tasks > kMostTasks) return "Teeth: expected 1 to 100000";
   job.tasks = static_cast<std::uint32_t>(*tasks);
@@ -173,7 +173,10 @@
 
 void write_job(JsonWriter& w, const JobSpec& job) {
   w.begin().key("Id").text(job.id).key("Gear").text(job.job_class).key("Crew").text(job.team);
-  w.key("Shape").text(name_of(kShapes, job.shape)).key("Rank").text(name_of(kRanks, job.rank));
+  w.key("Shape")
+      .text(name_of(kJobKinds, job.kind))
+      .key("Rank")
+      .text(name_of(kPriorities, job.priority));
   w.key("Teeth").count(job.tasks).key("Cpus").amount(job.room.cpus);
   w.key("Accelerators").amount(job.room.gpus).key("MemGb").amount(job.room.memory_gb);
   w.key("Cast").text(job.image).key("SizeGb").amount(job.image_gb);
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -13,9 +13,9 @@
 
 namespace cranklock::wire {
 
-enum class Shape { array, gang, service };
+enum class JobKind { job_array, gang, service };
 /// In order of priority, highest first.
-enum class Rank { production, high, standard, best_effort };
+enum class Priority { production, high, standard, best_effort };
 
 struct Room {
   double cpus = 0, gpus = 0, memory_gb = 0;
@@ -40,8 +40,8 @@
 
 struct JobSpec {
   std::string id, job_class, team;
-  Shape shape = Shape::array;
-  Rank rank = Rank::standard;
+  JobKind kind = JobKind::job_array;
+  Priority priority = Priority::standard;
   std::uint32_t tasks = 1;
   Room room;  ///< of each task
   std::string image;
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -16,14 +16,14 @@
 /// team and rank that wants a whole machine.
 struct Halves {
   testing::Fleet fleet{{"n-1", "a"}, {"n-2", "a"}};
-  sched::Job& array = put("j-000001", wire::Shape::array, 4);
-  sched::Job& second = put("j-000002", wire::Shape::array, 4);
-  sched::Job& large = put("j-000003", wire::Shape::service, 8);
+  sched::Job& array = put("j-000001", wire::JobKind::job_array, 4);
+  sched::Job& second = put("j-000002", wire::JobKind::job_array, 4);
+  sched::Job& large = put("j-000003", wire::JobKind::service, 8);
   Advisor advisor{fleet.cluster, 30};
 
-  sched::Job& put(const std::string& id, wire::Shape shape, double gpus) {
-    auto job = make_job(id, shape, 1, gpus);
-    job.spec.checkpoint_s = shape == wire::Shape::array ? 10 : 0;
+  sched::Job& put(const std::string& id, wire::JobKind kind, double gpus) {
+    auto job = make_job(id, kind, 1, gpus);
+    job.spec.checkpoint_s = kind == wire::JobKind::job_array ? 10 : 0;
     job.spec.save_s = 3;
     return fleet.add(std::move(job));
   }
@@ -70,7 +70,7 @@
   dear.array.spec.checkpoint_s = dear.second.spec.checkpoint_s = 0;
   EXPECT_FALSE(dear.advisor.look(60));  // a minute's work each
   Halves services;
-  services.array.spec.shape = services.second.spec.shape = wire::Shape::service;
+  services.array.spec.kind = services.second.spec.kind = wire::JobKind::service;
   EXPECT_FALSE(services.advisor.look(60));
   Halves leaving;
   for (auto* job : {&leaving.array, &leaving.second}) {
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -62,7 +62,7 @@
 /// A fleet without room, and a machine that was rented for it.
 struct Rented : testing::Fleet {
   Rented() : Fleet({}) {
-    add(testing::make_job("j-000001", wire::Shape::service, 1, 8, "red"));
+    add(testing::make_job("j-000001", wire::JobKind::service, 1, 8, "red"));
     rent("n-9", "a");
   }
   void rent(const std::string& id, const std::string& zone) {
@@ -119,7 +119,7 @@
   }
   EXPECT_GT(fleet.cluster.expected_boot(*fleet.cluster.type("g8"), "a", slow), fleet.ready_s());
   EXPECT_EQ(fleet.wanted(slow + 1), 0);  // n-9 has the time that the others took
-  fleet.add(testing::make_job("j-000002", wire::Shape::service, 1, 8, "red"));
+  fleet.add(testing::make_job("j-000002", wire::JobKind::service, 1, 8, "red"));
   const auto result = fleet.pass(slow + 2);
   ASSERT_EQ(result.shortfall.wanted.size(), 1U);
   EXPECT_EQ(result.shortfall.wanted.begin()->first.zone, "b");
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -20,7 +20,7 @@
 /// One service task placed on n-1 and written.
 struct Placed : Fleet {
   Job& job;
-  Placed() : job(add(make_job("j-000001", wire::Shape::service, 1, 4))) {
+  Placed() : job(add(make_job("j-000001", wire::JobKind::service, 1, 4))) {
     pass();
     written(job);
   }
@@ -121,7 +121,7 @@
 
 TEST(ClusterState, AMachineThatNeverShowsOurTokenGetsNothingMore) {
   Fleet s;
-  s.add(make_job("j-000001", wire::Shape::service, 1, 4));
+  s.add(make_job("j-000001", wire::JobKind::service, 1, 4));
   for (std::uint64_t sequence = 2; sequence <= 4; ++sequence) {
     s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, sequence, {}, kFencingToken - 1), true, 2);
     s.cluster.note_answered("n-1", 2);
@@ -163,7 +163,7 @@
 // Guards against the work of a zone that is cut off during a take-over waiting for its return.
 TEST(ClusterState, AMachineThatNeverReportedToUsIsGivenUpWithTheSameCare) {
   Fleet s({});
-  auto job = make_job("j-000001", wire::Shape::service, 1, 1);
+  auto job = make_job("j-000001", wire::JobKind::service, 1, 1);
   Placement p;
   p.attempt = 1, p.machine = "n-1", p.durable = true;
   job.placements.push_back(p);
@@ -214,7 +214,7 @@
   Placed s;
   s.checkin(heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)}));
   // The write of `done` got lost; the stored record still names the placement.
-  auto stored = make_job("j-000001", wire::Shape::service, 1, 4);
+  auto stored = make_job("j-000001", wire::JobKind::service, 1, 4);
   stored.last_attempt = 1;
   stored.placements.emplace_back();
   stored.placements[0].attempt = 1;
@@ -230,7 +230,7 @@
 TEST(ClusterState, AMachineThatFailsSeveralJobsIsAtFault) {
   Fleet s;
   for (const char* id : {"j-000001", "j-000002"}) {
-    s.add(make_job(id, wire::Shape::array, 1, 1));
+    s.add(make_job(id, wire::JobKind::job_array, 1, 1));
   }
   s.pass();
   std::vector<wire::TaskStatus> failed;
@@ -245,7 +245,7 @@
 
 TEST(ClusterState, AJobThatFailsOnSeveralMachinesIsAtFault) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
-  Job& job = s.add(make_job("j-000001", wire::Shape::array, 2, 8));
+  Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 2, 8));
   s.pass();
   s.written(job);
   for (auto& p : job.placements) {
@@ -284,7 +284,7 @@
 TEST(ClusterState, JobsThatFailEverywhereCostNoMachine) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   for (const char* id : {"j-000001", "j-000002", "j-000003"}) {
-    s.add(make_job(id, wire::Shape::array, 4, 1));
+    s.add(make_job(id, wire::JobKind::job_array, 4, 1));
   }
   int failed = 0;
   for (int i = 0; i < 400; ++i) {
@@ -303,8 +303,8 @@
 // The opposite beside it: a machine that fails a job which works elsewhere is found all the same.
 TEST(ClusterState, AFaultyMachineIsFoundAmongJobsThatFailEverywhere) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
-  Job& sound = s.add(make_job("j-000001", wire::Shape::array, 6, 2));
-  s.add(make_job("j-000002", wire::Shape::array, 2, 2, "blue"));
+  Job& sound = s.add(make_job("j-000001", wire::JobKind::job_array, 6, 2));
+  s.add(make_job("j-000002", wire::JobKind::job_array, 2, 2, "blue"));
   s.pass(2);
   for (auto& [id, job] : s.cluster.jobs()) s.written(job);
   std::map<std::string, std::vector<wire::TaskStatus>> reports;
@@ -332,7 +332,7 @@
 // Hundreds of tasks that were started together fail within a report or two: that is one round.
 TEST(ClusterState, TasksThatFailTogetherAreOneRound) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
-  Job& job = s.add(make_job("j-000001", wire::Shape::array, 16, 1));
+  Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 16, 1));
   EXPECT_EQ(fail_all(s, {"j-000001"}, 2, 2), 16);
   EXPECT_EQ(job.failures, 1);
 }
@@ -340,7 +340,7 @@
 // Guards against a job that lacks machines for ever because it once met two faulty ones.
 TEST(ClusterState, AJobThatWorksAgainMayRentAgain) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
-  Job& job = s.add(make_job("j-000001", wire::Shape::array, 2, 8));
+  Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 2, 8));
   ASSERT_EQ(fail_all(s, {"j-000001"}, 2, 2), 2);
   ASSERT_GT(job.failures, 0);
   s.pass(10);
@@ -358,9 +358,9 @@
 // A new leader finds in the record that its tasks were started again and again for nothing.
 TEST(ClusterState, RetriesStaySpacedOutAfterAChangeOfLeader) {
   Fleet s;
-  auto failing = make_job("j-000001", wire::Shape::array, 4, 1);
+  auto failing = make_job("j-000001", wire::JobKind::job_array, 4, 1);
   failing.last_attempt = 16;
-  auto fresh = make_job("j-000002", wire::Shape::array, 4, 1);
+  auto fresh = make_job("j-000002", wire::JobKind::job_array, 4, 1);
   fresh.last_attempt = 4;
   Job& spaced = s.add(failing);
   s.add(fresh);
@@ -372,7 +372,7 @@
 
 TEST(ClusterState, AGangThatLosesATaskIsStoppedWhole) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
-  Job& job = s.add(make_job("j-000001", wire::Shape::gang, 2, 8));
+  Job& job = s.add(make_job("j-000001", wire::JobKind::gang, 2, 8));
   s.pass();
   s.written(job);
   ASSERT_EQ(job.placements.size(), 2u);
@@ -387,7 +387,7 @@
 // prolong its worker's lease.
 TEST(ClusterState, ALeaseIsNotOverWhileADeputyMayProlongIt) {
   Fleet s;
-  s.add(make_job("j-000001", wire::Shape::service, 1, 8));
+  s.add(make_job("j-000001", wire::JobKind::service, 1, 8));
   ASSERT_EQ(s.pass().placed, 1);
   Machine& m = *s.cluster.machine("n-1");
   m.kept_until["n1"] = 25;
@@ -435,7 +435,7 @@
 // reached.
 TEST(ClusterState, RoomForWhatACutZoneMayLoseIsRentedElsewhere) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}, {"n-4", "b"}});
-  s.add(make_job("j-000001", wire::Shape::service, 2, 8));
+  s.add(make_job("j-000001", wire::JobKind::service, 2, 8));
   ASSERT_EQ(s.pass().placed, 2);
   ASSERT_TRUE(s.pass().shortfall.wanted.empty());
   s.cluster.reconcile_heartbeat(heartbeat("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
@@ -450,7 +450,7 @@
 // carried out: on a machine that is gone, and on one whose job then finds its record changed.
 TEST(ClusterState, AnUndecidedPlaceKeepsItsRoomUntilAWriteWithoutItSucceeds) {
   Fleet s;
-  Job& job = s.add(make_job("j-000001", wire::Shape::array, 1, 4));
+  Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 1, 4));
   Placement& placement = s.cluster.add_placement(job, 0, 1, "n-1", 1);
   placement.outcome_unknown = true;
   s.cluster.remove_machine("n-1", 2);
@@ -466,11 +466,11 @@
 
 TEST(ClusterState, ADroppedPlaceThatWasStoredAfterAllIsNeverStarted) {
   Fleet s;
-  Job& job = s.add(make_job("j-000001", wire::Shape::array, 1, 4));
+  Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 1, 4));
   s.cluster.add_placement(job, 0, 1, "n-1", 1).outcome_unknown = true;
   s.cluster.end_placement(job, job.placements.front(), 2);
   EXPECT_EQ(s.cluster.team_use("red").gpus, 4);
-  auto stored = make_job("j-000001", wire::Shape::array, 1, 4);
+  auto stored = make_job("j-000001", wire::JobKind::job_array, 1, 4);
   stored.revision = 9;
   stored.last_attempt = 1;
   stored.placements = job.placements;
@@ -486,10 +486,10 @@
 // would name the one and the cluster state the other.
 TEST(ClusterState, APlaceIsTheSameOnlyOnTheSameMachineAndNumbersNeverGoBack) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
-  Job& job = s.add(make_job("j-000001", wire::Shape::array, 1, 4));
+  Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 1, 4));
   Placement& remembered = s.cluster.add_placement(job, 0, 5, "n-2", 1);
   remembered.seen = true;
-  auto stored = make_job("j-000001", wire::Shape::array, 1, 4);
+  auto stored = make_job("j-000001", wire::JobKind::job_array, 1, 4);
   stored.last_attempt = 4;
   stored.placements.emplace_back();
   stored.placements.front().attempt = 5;
@@ -506,7 +506,7 @@
 // session: the same attempt may have been started again since.
 TEST(ClusterState, AnEndIsBelievedOnlyOfWhoeverHasShownOurToken) {
   Fleet s;
-  auto stored = make_job("j-000001", wire::Shape::array, 2, 4);
+  auto stored = make_job("j-000001", wire::JobKind::job_array, 2, 4);
   for (std::uint32_t i = 0; i < 2; ++i) {
     stored.placements.emplace_back();
     stored.placements.back().task = i;
--- a/tests/complete_job.hpp
+++ b/tests/complete_job.hpp
@@ -20,8 +20,8 @@
   job.id = "j-000412";
   job.job_class = "train";
   job.team = "red";
-  job.shape = wire::Shape::gang;
-  job.rank = wire::Rank::high;
+  job.kind = wire::JobKind::gang;
+  job.priority = wire::Priority::high;
   job.tasks = 16;
   job.room = {8.5, 2, 64.25};
   job.image = "img-07";
@@ -42,8 +42,8 @@
   EXPECT_EQ(job.id, "j-000412");
   EXPECT_EQ(job.job_class, "train");
   EXPECT_EQ(job.team, "red");
-  EXPECT_EQ(job.shape, wire::Shape::gang);
-  EXPECT_EQ(job.rank, wire::Rank::high);
+  EXPECT_EQ(job.kind, wire::JobKind::gang);
+  EXPECT_EQ(job.priority, wire::Priority::high);
   EXPECT_EQ(job.tasks, 16U);
   EXPECT_EQ(job.room, (wire::Room{8.5, 2, 64.25}));
   EXPECT_EQ(job.image, "img-07");
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -9,11 +9,11 @@
 
 using testing::Fleet;
 using testing::make_job;
-using wire::Rank;
-using wire::Shape;
+using wire::JobKind;
+using wire::Priority;
 
 Job dependent(const std::string& id, std::vector<std::string> needs, double gpus = 1) {
-  Job job = make_job(id, Shape::array, 1, gpus);
+  Job job = make_job(id, JobKind::job_array, 1, gpus);
   job.spec.needs = std::move(needs);
   return job;
 }
@@ -42,7 +42,7 @@
 // A job that is complete in memory may still be cancelled by a write that comes first.
 TEST(Dependencies, ACompleteJobWhoseEndingIsNotStoredLetsNothingStart) {
   Fleet s;
-  Job& first = s.add(make_job("j-000001", Shape::array, 1, 1));
+  Job& first = s.add(make_job("j-000001", JobKind::job_array, 1, 1));
   s.add(dependent("j-000002", {"j-000001"}));
   first.done.add(0);
   EXPECT_EQ(s.pass().placed, 0);
@@ -74,7 +74,7 @@
 
 TEST(Dependencies, ACancellationReachesAllThatNeedIt) {
   Fleet s;
-  Job& first = s.add(make_job("j-000001", Shape::array, 1, 1));
+  Job& first = s.add(make_job("j-000001", JobKind::job_array, 1, 1));
   s.add(dependent("j-000002", {"j-000001"}));
   s.add(dependent("j-000003", {"j-000002", "j-000009"}));
   s.add(dependent("j-000004", {"j-000009"}));
@@ -97,7 +97,7 @@
   constexpr int kLength = 20'000;
   const auto id = [](int i) { return "j-" + std::to_string(100'000 + i); };
   for (int i = 0; i < kLength; ++i) {
-    s.add(i == 0 ? make_job(id(0), Shape::array, 1, 1) : dependent(id(i), {id(i - 1)}));
+    s.add(i == 0 ? make_job(id(0), JobKind::job_array, 1, 1) : dependent(id(i), {id(i - 1)}));
   }
   s.add(dependent("j-1", {"j-2"}));
   s.add(dependent("j-2", {"j-1"}));
@@ -112,36 +112,36 @@
 TEST(Dependencies, AWaitingJobIsNeitherInLimitsNorInLoadNorAReasonToPreempt) {
   Fleet s;
   s.settings.teams = {{"red", 0, 0, 8, 16}, {"blue", 0, 0, 8, 16}};
-  Job& runs = s.add(make_job("j-000001", Shape::service, 8, 1, "blue"));
+  Job& runs = s.add(make_job("j-000001", JobKind::service, 8, 1, "blue"));
   EXPECT_EQ(s.pass().placed, 8);
   s.written(runs);
-  Job waits = make_job("j-000002", Shape::service, 8, 1);
-  waits.spec.rank = Rank::production;
+  Job waits = make_job("j-000002", JobKind::service, 8, 1);
+  waits.spec.priority = Priority::production;
   waits.spec.needs = {"j-000009"};
   s.add(std::move(waits));
   const auto result = s.pass(2);
   EXPECT_EQ(result.stopped, 0);
   EXPECT_TRUE(result.shortfall.waiting.empty());
   // It takes all of the guarantee, were it counted: this one would have none.
-  Job& later = s.add(make_job("j-000003", Shape::service, 1, 1));
+  Job& later = s.add(make_job("j-000003", JobKind::service, 1, 1));
   s.pass(3);
   EXPECT_TRUE(later.guaranteed);
 }
 
 TEST(Dependencies, AJobHasTheHighestRankOfAllThatNeedIt) {
   Fleet s;
-  auto first = make_job("j-000001", Shape::array, 1, 8);
-  first.spec.rank = Rank::best_effort;
+  auto first = make_job("j-000001", JobKind::job_array, 1, 8);
+  first.spec.priority = Priority::best_effort;
   first.created_ms = 2000;
   s.add(std::move(first));
-  auto other = make_job("j-000005", Shape::array, 1, 8, "blue");
-  other.spec.rank = Rank::standard;
+  auto other = make_job("j-000005", JobKind::job_array, 1, 8, "blue");
+  other.spec.priority = Priority::standard;
   s.add(std::move(other));
   auto middle = dependent("j-000002", {"j-000001"});
-  middle.spec.rank = Rank::best_effort;
+  middle.spec.priority = Priority::best_effort;
   s.add(std::move(middle));
   auto last = dependent("j-000003", {"j-000002"});
-  last.spec.rank = Rank::high;
+  last.spec.priority = Priority::high;
   s.add(std::move(last));
   EXPECT_EQ(s.pass().placed, 1);  // there is room for one
   EXPECT_EQ(s.cluster.job("j-000001")->placements.size(), 1U);
@@ -149,7 +149,7 @@
 
 TEST(Dependencies, UrgencyIsTheLastDeadlineLessWhatTheStagesTake) {
   Fleet s;
-  auto first = make_job("j-000001", Shape::array, 1, 1);
+  auto first = make_job("j-000001", JobKind::job_array, 1, 1);
   first.spec.estimate_s = 10;
   s.add(std::move(first));
   auto middle = dependent("j-000002", {"j-000001"});
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -33,13 +33,13 @@
   return t;
 }
 
-inline sched::Job make_job(const std::string& id, wire::Shape shape, std::uint32_t tasks,
+inline sched::Job make_job(const std::string& id, wire::JobKind kind, std::uint32_t tasks,
                            double gpus, const std::string& team = "red") {
   sched::Job job;
   job.spec.id = id;
   job.spec.job_class = "c";
   job.spec.team = team;
-  job.spec.shape = shape;
+  job.spec.kind = kind;
   job.spec.tasks = tasks;
   job.spec.room = {gpus, gpus, 8 * gpus};
   job.spec.image = "img";
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -25,7 +25,7 @@
 }
 
 inline wire::JobSpec array_of(const std::string& id, std::uint32_t tasks, double gpus) {
-  auto spec = make_job(id, wire::Shape::array, tasks, gpus).spec;
+  auto spec = make_job(id, wire::JobKind::job_array, tasks, gpus).spec;
   spec.checkpoint_s = 1;
   spec.save_s = 1;
   return spec;
@@ -55,7 +55,7 @@
   }
   static wire::JobSpec small_spec() { return array_of(kSmall, 4, 3); }
   static wire::JobSpec large_spec(const std::string& id = kLarge) {
-    return make_job(id, wire::Shape::gang, 2, 8).spec;
+    return make_job(id, wire::JobKind::gang, 2, 8).spec;
   }
 
   void ask_for_large() {
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -26,27 +26,27 @@
   testing::Fleet fleet{{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}};
   double now = 60;
 
-  explicit Halves(wire::Shape shape = wire::Shape::array) {
+  explicit Halves(wire::JobKind kind = wire::JobKind::job_array) {
     fleet.settings.teams = {{"red", 0, 0, 64, 64}};
-    place(add(kFirst, shape, 2, 4), 0, "n-1");
-    place(add(kSecond, shape, 2, 4), 0, "n-2");
-    auto& rest = add("j-000004", wire::Shape::gang, 1, 8);
+    place(add(kFirst, kind, 2, 4), 0, "n-1");
+    place(add(kSecond, kind, 2, 4), 0, "n-2");
+    auto& rest = add("j-000004", wire::JobKind::gang, 1, 8);
     place(rest, 0, "n-3");
     // A second replica serves elsewhere meanwhile.
     for (const char* id : {kFirst, kSecond}) job(id).done.add(1);
-    if (shape == wire::Shape::service) {
+    if (kind == wire::JobKind::service) {
       for (const char* id : {kFirst, kSecond}) {
         job(id).done = {};
         fleet.cluster.put_machine("n-9", {"g8", "a", false}, 0);
         place(job(id), 1, "n-9");
       }
     }
-    add(kLarge, wire::Shape::service, 1, 8);
+    add(kLarge, wire::JobKind::service, 1, 8);
   }
   sched::Job& job(const std::string& id) { return *fleet.cluster.job(id); }
-  sched::Job& add(const std::string& id, wire::Shape shape, std::uint32_t tasks, double gpus) {
-    auto added = make_job(id, shape, tasks, gpus);
-    added.spec.checkpoint_s = shape == wire::Shape::array ? 10 : 0;
+  sched::Job& add(const std::string& id, wire::JobKind kind, std::uint32_t tasks, double gpus) {
+    auto added = make_job(id, kind, tasks, gpus);
+    added.spec.checkpoint_s = kind == wire::JobKind::job_array ? 10 : 0;
     added.spec.save_s = 3;
     return fleet.add(std::move(added));
   }
@@ -239,7 +239,7 @@
 
 class Drains {
  public:
-  Halves halves{wire::Shape::service};
+  Halves halves{wire::JobKind::service};
   MoveExecutor executor = halves.executor(true);
 
   Drains() {
@@ -399,7 +399,7 @@
 }
 
 TEST(MoveExecutor, WithoutARouterReplicasStay) {
-  Halves halves(wire::Shape::service);
+  Halves halves(wire::JobKind::service);
   auto executor = halves.executor(false);
   halves.look(executor);
   EXPECT_FALSE(executor.has_plan());
--- a/tests/moves_cluster_test.cpp
+++ b/tests/moves_cluster_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using defrag::MoveStep;
-using wire::Shape;
+using wire::JobKind;
 
 TEST(Moves, AGangOfWholeMachinesIsPlacedByMoves) {
   Fragments fragments;
@@ -351,8 +351,8 @@
     Fragments fragments;
     auto& w = fragments.w;
     ASSERT_TRUE(fragments.run_into_plan(at));
-    auto urgent = make_job("j-000009", Shape::service, 4, 5, "blue").spec;
-    urgent.rank = wire::Rank::production;
+    auto urgent = make_job("j-000009", JobKind::service, 4, 5, "blue").spec;
+    urgent.priority = wire::Priority::production;
     w.submit(w.leader(), urgent);
     // Of a gang that was placed before nothing is stopped; then two replicas find room beside it.
     EXPECT_TRUE(fragments.until(8, [&] {
@@ -370,7 +370,7 @@
   auto& w = fragments.w;
   fragments.ask_for_large();
   ASSERT_TRUE(fragments.reach_plan());
-  w.submit(w.leader(), make_job("j-000009", Shape::service, 4, 5, "blue").spec);
+  w.submit(w.leader(), make_job("j-000009", JobKind::service, 4, 5, "blue").spec);
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.large_runs(); }));
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); }));
 }
@@ -455,9 +455,9 @@
   settings.teams[0].gpus_max = 20;  // 12 for the small tasks, 8 for what waits of its own team
   Fragments fragments(settings);
   auto& w = fragments.w;
-  w.submit(1, make_job(kLarge, Shape::service, 1, 8, "blue").spec);
+  w.submit(1, make_job(kLarge, JobKind::service, 1, 8, "blue").spec);
   // Eight GPUs run in pieces of one; two more tasks wait at the limit, and go before the others.
-  auto waiting = make_job("j-000005", Shape::array, 10, 1, "red").spec;
+  auto waiting = make_job("j-000005", JobKind::job_array, 10, 1, "red").spec;
   waiting.due_s = 1;
   w.submit(1, waiting);
   ASSERT_TRUE(fragments.until(10, [&] { return w.running("j-000005") == 8; }));
@@ -477,7 +477,7 @@
   ASSERT_TRUE(fragments.reach_plan());
   const auto move = fragments.record()->plan->moves.front();
   w.workers.at(move.source)->cannot_receive = true;
-  w.submit(w.leader(), make_job("j-000005", Shape::service, 1, 1, "red").spec);
+  w.submit(w.leader(), make_job("j-000005", JobKind::service, 1, 1, "red").spec);
   EXPECT_TRUE(
       fragments.until(10, [&] { return !fragments.has_plan() && !fragments.reservations_held(); }));
   w.workers.at(move.source)->cannot_receive = false;
--- a/tests/moves_replicas_test.cpp
+++ b/tests/moves_replicas_test.cpp
@@ -10,7 +10,7 @@
 namespace cranklock::testing {
 namespace {
 
-using wire::Shape;
+using wire::JobKind;
 
 /// The fragmented fleet of `Fragments`, whose small tasks are replicas with chats.
 class Chats {
@@ -53,7 +53,7 @@
     settings.operators.defrag.drain = {"router", "/drains"};
     return settings;
   }
-  static wire::JobSpec replicas() { return make_job(kSmall, Shape::service, 4, 3).spec; }
+  static wire::JobSpec replicas() { return make_job(kSmall, JobKind::service, 4, 3).spec; }
 
   void watch() {
     std::vector<RouterStandIn::Replica> replicas;
--- a/tests/ops_troubles_test.cpp
+++ b/tests/ops_troubles_test.cpp
@@ -10,10 +10,10 @@
 namespace cranklock::testing {
 namespace {
 
-using wire::Shape;
+using wire::JobKind;
 
 wire::JobSpec service_in(const std::string& id, const std::string& zone, std::uint32_t tasks) {
-  auto spec = make_job(id, Shape::service, tasks, 1, "red").spec;
+  auto spec = make_job(id, JobKind::service, tasks, 1, "red").spec;
   spec.zone = zone;
   return spec;
 }
@@ -484,9 +484,9 @@
 }
 
 wire::JobSpec array_of(const std::string& id, std::uint32_t tasks, const std::string& team) {
-  auto spec = make_job(id, Shape::array, tasks, 0, team).spec;
+  auto spec = make_job(id, JobKind::job_array, tasks, 0, team).spec;
   spec.room = {0.25, 0, 1};
-  spec.rank = wire::Rank::best_effort;
+  spec.priority = wire::Priority::best_effort;
   return spec;
 }
 
@@ -497,12 +497,12 @@
   for (int i = 0; i < 2; ++i) w.add_worker("a");
   w.run_s = 20;
   w.run(3);
-  auto guest = make_job("j-000001", Shape::array, 24, 1, "blue").spec;
-  guest.rank = wire::Rank::best_effort;
+  auto guest = make_job("j-000001", JobKind::job_array, 24, 1, "blue").spec;
+  guest.priority = wire::Priority::best_effort;
   w.add_user(guest);
   w.run(8);
   ASSERT_GE(w.running("j-000001"), 12);
-  auto home = make_job("j-000002", Shape::array, 12, 1, "red").spec;
+  auto home = make_job("j-000002", JobKind::job_array, 12, 1, "red").spec;
   w.add_user(home);
   EXPECT_TRUE(wait_for(w, 8, [&] { return w.running("j-000002") == 12; }));
   EXPECT_TRUE(wait_for(w, 240, [&] { return all_over(w); }));
@@ -539,7 +539,7 @@
     w.start_node(old);
     w.run(8);
   }
-  w.add_user(make_job("j-000002", Shape::array, 4, 1, "red").spec);
+  w.add_user(make_job("j-000002", JobKind::job_array, 4, 1, "red").spec);
   EXPECT_TRUE(wait_for(
       w, 8, [&] { return w.rules.is_completed("j-000002", 3) || w.running("j-000002") == 4; }));
   EXPECT_TRUE(wait_for(w, 800, [&] { return all_over(w); }));
@@ -583,8 +583,8 @@
   for (int i = 0; i < 240; ++i) {
     UserHabits habits;
     if (i % 4 == 0) habits.cancels_after = 3;
-    auto one = make_job(name(i), Shape::array, 1, 0.25, "blue").spec;
-    one.rank = wire::Rank::best_effort;
+    auto one = make_job(name(i), JobKind::job_array, 1, 0.25, "blue").spec;
+    one.priority = wire::Priority::best_effort;
     w.add_user(one, habits);
     w.run(0.25);
     if (i == 80) {
@@ -595,14 +595,14 @@
     }
     if (i % 40 == 39) {
       const double asked = w.reactor.now();
-      const auto home = make_job(name(1000 + i), Shape::array, 1, 1, "red").spec;
+      const auto home = make_job(name(1000 + i), JobKind::job_array, 1, 1, "red").spec;
       w.submit((w.leader() + 1) % 5, home);
       EXPECT_LT(w.reactor.now() - asked, 1) << i;
       EXPECT_TRUE(wait_for(w, 8, [&] { return w.starts[name(1000 + i) + "/0"] > 0; })) << i;
     }
   }
   for (int i = 0; i < 240; i += 40)
-    w.add_user(make_job(name(1039 + i), Shape::array, 1, 1, "red").spec);
+    w.add_user(make_job(name(1039 + i), JobKind::job_array, 1, 1, "red").spec);
   EXPECT_TRUE(wait_for(w, 200, [&] { return all_over(w); }));
 }
 
@@ -619,9 +619,9 @@
   for (int i = 0; i < 5; ++i) w.add_worker("a");
   w.run(3);
   w.broken_jobs = {name(1), name(2), name(3)};
-  w.submit(0, make_job(name(1), Shape::array, 6, 1, "red").spec);
-  w.submit(1, make_job(name(2), Shape::gang, 2, 1, "red").spec);
-  w.submit(2, make_job(name(3), Shape::service, 2, 1, "red").spec);
+  w.submit(0, make_job(name(1), JobKind::job_array, 6, 1, "red").spec);
+  w.submit(1, make_job(name(2), JobKind::gang, 2, 1, "red").spec);
+  w.submit(2, make_job(name(3), JobKind::service, 2, 1, "red").spec);
   const auto tries = [&] {
     int sum = 0;
     for (const auto& [task, starts] : w.starts) {
@@ -630,8 +630,8 @@
     return sum;
   };
   for (int i = 100; i < 160; ++i) {
-    auto one = make_job(name(i), Shape::array, 1, 0.25, "blue").spec;
-    one.rank = wire::Rank::best_effort;
+    auto one = make_job(name(i), JobKind::job_array, 1, 0.25, "blue").spec;
+    one.priority = wire::Priority::best_effort;
     w.add_user(one);
     w.run(0.5);
   }
@@ -646,7 +646,8 @@
   EXPECT_LE(tries(), 2 * first_half_minute);
   const auto faulty = w.workers.begin()->first;
   w.faulty_machines = {faulty};
-  for (int i = 200; i < 212; ++i) w.add_user(make_job(name(i), Shape::array, 4, 1, "red").spec);
+  for (int i = 200; i < 212; ++i)
+    w.add_user(make_job(name(i), JobKind::job_array, 4, 1, "red").spec);
   EXPECT_TRUE(wait_for(w, 60, [&] { return is_deleted(w, faulty); }));
   EXPECT_EQ(w.deleted, std::vector<std::string>{faulty});
   for (int i = 1; i <= 3; ++i) {
@@ -663,7 +664,7 @@
   w.run_s = 20;
   w.boot_s = 1.8 * machine_type().ready_s;
   w.run(1);
-  for (int i = 0; i < 12; ++i) w.add_user(make_job(name(i), Shape::array, 2, 2, "red").spec);
+  for (int i = 0; i < 12; ++i) w.add_user(make_job(name(i), JobKind::job_array, 2, 2, "red").spec);
   EXPECT_TRUE(wait_for(w, 400, [&] { return all_over(w); }));
   EXPECT_LE(w.rented, 2 * 5);
 }
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -10,10 +10,10 @@
 namespace cranklock::testing {
 namespace {
 
-using wire::Shape;
+using wire::JobKind;
 
 wire::JobSpec stage(int i, const std::vector<int>& needs = {}, std::uint32_t tasks = 1) {
-  auto spec = make_job(name(i), Shape::array, tasks, 1).spec;
+  auto spec = make_job(name(i), JobKind::job_array, tasks, 1).spec;
   for (const int needed : needs) spec.needs.push_back(name(needed));
   return spec;
 }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -11,11 +11,11 @@
 using testing::Fleet;
 using testing::heartbeat;
 using testing::make_job;
-using wire::Shape;
+using wire::JobKind;
 
 TEST(Placement, ATeamNeverUsesMoreThanItsLimit) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}});
-  Job& job = s.add(make_job("j-000001", Shape::array, 24, 1));
+  Job& job = s.add(make_job("j-000001", JobKind::job_array, 24, 1));
   EXPECT_EQ(s.pass().placed, 16);
   // What is not proven free still counts.
   ClusterState::request_stop(job.placements[0], 0, 1);
@@ -26,7 +26,7 @@
 
 TEST(Placement, OneZoneCountsOldAttemptsToo) {
   Fleet s({{"n-1", "a"}, {"n-2", "b"}});
-  auto job = make_job("j-000001", Shape::service, 2, 8);
+  auto job = make_job("j-000001", JobKind::service, 2, 8);
   job.spec.one_zone = true;
   s.add(std::move(job));
   EXPECT_EQ(s.pass().placed, 1);
@@ -35,7 +35,7 @@
 
 TEST(Placement, ApartPutsAtMostHalfRoundedUpInAZone) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
-  auto spec = make_job("j-000001", Shape::service, 5, 1);
+  auto spec = make_job("j-000001", JobKind::service, 5, 1);
   spec.spec.spread = true;
   s.add(std::move(spec));
   const auto result = s.pass();
@@ -58,8 +58,8 @@
 // Guards against replicas where nobody would keep them through a cut, when there is room elsewhere.
 TEST(Placement, ReplicasPreferZonesWhereAControllerStands) {
   Fleet s({{"n-1", "b"}, {"n-2", "a"}});  // the only controller stands in a
-  Job& service = s.add(make_job("j-000001", Shape::service, 2, 4));
-  Job& batch = s.add(make_job("j-000002", Shape::array, 2, 4));
+  Job& service = s.add(make_job("j-000001", JobKind::service, 2, 4));
+  Job& batch = s.add(make_job("j-000002", JobKind::job_array, 2, 4));
   EXPECT_EQ(s.pass().placed, 4);
   for (const auto& p : service.placements) EXPECT_EQ(p.machine, "n-2");
   for (const auto& p : batch.placements) EXPECT_EQ(p.machine, "n-1");
@@ -68,8 +68,8 @@
 // An index is only as good as its upkeep.
 TEST(Placement, WhatMachinesHoldIsWhatTheJobsPlacesSay) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "b"}});
-  s.add(make_job("j-000001", Shape::array, 12, 1));
-  auto stored = make_job("j-000002", Shape::array, 2, 1);
+  s.add(make_job("j-000001", JobKind::job_array, 12, 1));
+  auto stored = make_job("j-000002", JobKind::job_array, 2, 1);
   for (std::uint32_t i = 0; i < 2; ++i) {
     Placement p;
     p.task = i, p.attempt = i + 1, p.machine = "n-9", p.durable = true;
@@ -113,14 +113,15 @@
   for (std::size_t i = 0; i < kMachines; ++i) {
     s.cluster.reconcile_heartbeat(heartbeat("n-" + std::to_string(i + 10), 1, 1), true, 0);
   }
-  const auto add = [&](int from, int jobs, std::uint32_t tasks, wire::Rank rank, const char* team) {
+  const auto add = [&](int from, int jobs, std::uint32_t tasks, wire::Priority priority,
+                       const char* team) {
     for (int i = 0; i < jobs; ++i) {
-      auto job = make_job("j-" + std::to_string(from + i), Shape::array, tasks, 1, team);
-      job.spec.rank = rank;
+      auto job = make_job("j-" + std::to_string(from + i), JobKind::job_array, tasks, 1, team);
+      job.spec.priority = priority;
       s.add(std::move(job));
     }
   };
-  add(1000, 600, 18, wire::Rank::standard, "blue");
+  add(1000, 600, 18, wire::Priority::standard, "blue");
   std::size_t looked = 0;
   int passes = 0;
   for (PassResult r; passes == 0 || r.cut_short; ++passes) {
@@ -130,9 +131,9 @@
   EXPECT_GT(passes, 10);  // 10,400 tasks find a placement
   EXPECT_LT(looked, 3000 * kMachines);
   for (auto& [id, job] : s.cluster.jobs()) s.written(job);
-  add(2000, 400, 18, wire::Rank::best_effort, "blue");
+  add(2000, 400, 18, wire::Priority::best_effort, "blue");
   EXPECT_LT(s.pass().looked_at, 10 * kMachines);
-  add(3000, 100, 8, wire::Rank::production, "red");
+  add(3000, 100, 8, wire::Priority::production, "red");
   const auto r = s.pass();
   EXPECT_GT(r.stopped, 50);
   EXPECT_LT(r.looked_at, 120 * kMachines);
@@ -140,7 +141,7 @@
 
 TEST(Placement, AGangIsPlacedWholeOrNotAtAll) {
   Fleet s({{"n-1", "a"}});
-  s.add(make_job("j-000001", Shape::gang, 2, 8));
+  s.add(make_job("j-000001", JobKind::gang, 2, 8));
   const auto result = s.pass();
   EXPECT_EQ(result.placed, 0);
   ASSERT_EQ(result.shortfall.wanted.size(), 1u);
@@ -150,18 +151,18 @@
 TEST(Placement, TheMachineThatHoldsTheImageIsPreferred) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   s.cluster.machine("n-2")->images.emplace_back("img", 10);
-  Job& job = s.add(make_job("j-000001", Shape::service, 1, 1));
+  Job& job = s.add(make_job("j-000001", JobKind::service, 1, 1));
   s.pass();
   EXPECT_EQ(job.placements.at(0).machine, "n-2");
 }
 
 TEST(Placement, GuaranteeThenRankThenAge) {
   Fleet s({{"n-1", "a"}});
-  auto big = make_job("j-000001", Shape::service, 2, 8);  // beyond the guarantee of 8
-  big.spec.rank = wire::Rank::production;
+  auto big = make_job("j-000001", JobKind::service, 2, 8);  // beyond the guarantee of 8
+  big.spec.priority = wire::Priority::production;
   big.created_ms = 1;
-  auto within = make_job("j-000002", Shape::service, 1, 8, "blue");
-  within.spec.rank = wire::Rank::best_effort;
+  auto within = make_job("j-000002", JobKind::service, 1, 8, "blue");
+  within.spec.priority = wire::Priority::best_effort;
   s.add(std::move(big));
   s.add(std::move(within));
   s.pass();
@@ -171,14 +172,14 @@
 TEST(Placement, LowerRankMakesRoomAndEqualRankDoesNot) {
   Fleet s({{"n-1", "a"}});
   s.settings.teams = {{"red", 0, 0, 0, 16}, {"blue", 0, 0, 0, 16}};
-  auto low = make_job("j-000001", Shape::array, 8, 1);
+  auto low = make_job("j-000001", JobKind::job_array, 8, 1);
   Job& running = s.add(std::move(low));
   s.pass();
   s.written(running);
-  s.add(make_job("j-000002", Shape::service, 1, 1, "blue"));
+  s.add(make_job("j-000002", JobKind::service, 1, 1, "blue"));
   EXPECT_EQ(s.pass().stopped, 0);
-  auto high = make_job("j-000003", Shape::service, 1, 2, "blue");
-  high.spec.rank = wire::Rank::high;
+  auto high = make_job("j-000003", JobKind::service, 1, 2, "blue");
+  high.spec.priority = wire::Priority::high;
   s.add(std::move(high));
   EXPECT_EQ(s.pass().stopped, 2);
   // The room is on its way; nothing more is stopped for the same job.
@@ -187,24 +188,24 @@
 
 TEST(Placement, GuaranteedWorkIsNotStoppedForRankAlone) {
   Fleet s({{"n-1", "a"}});
-  Job& job = s.add(make_job("j-000001", Shape::array, 8, 1));
+  Job& job = s.add(make_job("j-000001", JobKind::job_array, 8, 1));
   s.pass();
   s.written(job);
-  auto high = make_job("j-000002", Shape::service, 2, 8, "blue");  // beyond blue's guarantee
-  high.spec.rank = wire::Rank::high;
+  auto high = make_job("j-000002", JobKind::service, 2, 8, "blue");  // beyond blue's guarantee
+  high.spec.priority = wire::Priority::high;
   s.add(std::move(high));
   EXPECT_EQ(s.pass().stopped, 0);
 }
 
 TEST(Placement, ALargeTaskDoesNotStarveBehindSmallOnes) {
   Fleet s({{"n-1", "a"}});
-  Job& small = s.add(make_job("j-000001", Shape::array, 1, 1));
+  Job& small = s.add(make_job("j-000001", JobKind::job_array, 1, 1));
   s.pass();
   s.written(small);
-  auto big = make_job("j-000002", Shape::service, 1, 8, "blue");
+  auto big = make_job("j-000002", JobKind::service, 1, 8, "blue");
   s.add(std::move(big));
   s.pass(1);
-  auto later = make_job("j-000003", Shape::array, 4, 1);
+  auto later = make_job("j-000003", JobKind::job_array, 4, 1);
   later.created_ms = 5000;
   s.add(std::move(later));
   // Once it has waited as long as a machine takes to boot, the room that frees is kept for it.
@@ -216,7 +217,7 @@
   s.cluster.machine("n-1")->taken_at = 30;
   s.cluster.machine("n-2")->quarantined = true;
   s.cluster.machine("n-3")->unknown_tasks = 1;
-  s.add(make_job("j-000001", Shape::service, 1, 1));
+  s.add(make_job("j-000001", JobKind::service, 1, 1));
   EXPECT_EQ(s.pass().placed, 0);
 }
 
@@ -264,14 +265,14 @@
 // at once, in one zone, and kept for it until the last has left.
 TEST(Placement, RoomIsMadeForAWholeGangInOneZone) {
   Fleet s({{"n-1", "a"}, {"n-2", "b"}, {"n-3", "b"}});
-  auto low = make_job("j-000001", Shape::array, 6, 4, "blue");
-  low.spec.rank = wire::Rank::best_effort;
+  auto low = make_job("j-000001", JobKind::job_array, 6, 4, "blue");
+  low.spec.priority = wire::Priority::best_effort;
   s.settings.teams[1].gpus_max = 24;
   Job& batch = s.add(std::move(low));
   ASSERT_EQ(s.pass().placed, 6);
   s.written(batch);
-  auto spec = make_job("j-000002", Shape::gang, 2, 8);
-  spec.spec.rank = wire::Rank::high;
+  auto spec = make_job("j-000002", JobKind::gang, 2, 8);
+  spec.spec.priority = wire::Priority::high;
   spec.spec.one_zone = true;
   Job& gang = s.add(std::move(spec));
   EXPECT_EQ(s.pass().stopped, 4);
@@ -291,13 +292,13 @@
 
 TEST(Placement, NothingIsStoppedForAGangThatWouldNotBeWhole) {
   Fleet s({{"n-1", "a"}, {"n-2", "b"}});
-  auto low = make_job("j-000001", Shape::array, 4, 4, "blue");
-  low.spec.rank = wire::Rank::best_effort;
+  auto low = make_job("j-000001", JobKind::job_array, 4, 4, "blue");
+  low.spec.priority = wire::Priority::best_effort;
   Job& batch = s.add(std::move(low));
   ASSERT_EQ(s.pass().placed, 4);
   s.written(batch);
-  auto spec = make_job("j-000002", Shape::gang, 2, 8);
-  spec.spec.rank = wire::Rank::high;
+  auto spec = make_job("j-000002", JobKind::gang, 2, 8);
+  spec.spec.priority = wire::Priority::high;
   spec.spec.one_zone = true;
   s.add(std::move(spec));
   EXPECT_EQ(s.pass().stopped, 0);
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -12,7 +12,7 @@
 
 using testing::Fleet;
 using testing::make_job;
-using wire::Shape;
+using wire::JobKind;
 
 constexpr const char* kMoved = "j-000001";
 constexpr const char* kWaiting = "j-000002";
@@ -22,16 +22,16 @@
 /// n-1.
 struct Held {
   Fleet fleet{{"n-1", "a"}, {"n-2", "a"}};
-  Job& moved = add(kMoved, Shape::array, 4, 3);
-  Job& waiting = add(kWaiting, Shape::gang, 1, 8);
+  Job& moved = add(kMoved, JobKind::job_array, 4, 3);
+  Job& waiting = add(kWaiting, JobKind::gang, 1, 8);
 
   Held() {
     fleet.settings.teams = {{"red", 0, 0, 64, 64}, {"blue", 0, 0, 64, 64}};
     moved.done.add_range({2, 4});  // only tasks 0 and 1 are left
   }
-  Job& add(const std::string& id, Shape shape, std::uint32_t tasks, double gpus,
+  Job& add(const std::string& id, JobKind kind, std::uint32_t tasks, double gpus,
            const std::string& team = "red") {
-    return fleet.add(make_job(id, shape, tasks, gpus, team));
+    return fleet.add(make_job(id, kind, tasks, gpus, team));
   }
   Reservation for_moved() const { return {"n-2", kMoved, 1, moved.spec.room, ""}; }
   Reservation for_waiting() const { return {"n-1", kWaiting, std::nullopt, waiting.spec.room, ""}; }
@@ -58,7 +58,7 @@
     Held held;
     held.waiting.done.add(0);
     for (const char* id : {"n-1", "n-2"}) {
-      auto& full = held.add(std::string("j-00001") + id[2], Shape::service, 1, 5, "blue");
+      auto& full = held.add(std::string("j-00001") + id[2], JobKind::service, 1, 5, "blue");
       held.fleet.cluster.add_placement(full, 0, 1, id, 0);
     }
     held.fleet.cluster.add_placement(held.moved, 1, 1, "n-1", 0);
@@ -73,7 +73,7 @@
   held.moved.done.add_range({0, 2});
   held.hold({held.for_waiting()});
   held.waiting.backoff_until = 10;  // it can't start yet
-  auto& other = held.add(kOther, Shape::service, 2, 5, "blue");
+  auto& other = held.add(kOther, JobKind::service, 2, 5, "blue");
   held.fleet.pass(1);
   EXPECT_EQ(other.live(), 1U);
   EXPECT_EQ(held.machine_of(other, 0), "n-2");
@@ -89,8 +89,8 @@
   held.moved.done.add_range({0, 2});
   held.hold({held.for_waiting()});
   held.waiting.backoff_until = 10;
-  auto urgent = make_job(kOther, Shape::service, 2, 5, "blue");
-  urgent.spec.rank = wire::Rank::production;
+  auto urgent = make_job(kOther, JobKind::service, 2, 5, "blue");
+  urgent.spec.priority = wire::Priority::production;
   auto& placed = held.fleet.add(std::move(urgent));
   held.fleet.pass(1);
   EXPECT_EQ(placed.live(), 2U);
@@ -111,7 +111,7 @@
     Held held;
     held.moved.done.add_range({0, 1});
     held.moved.backoff_until = 10;
-    auto& full = held.add(kOther, Shape::service, 1, 8, "blue");
+    auto& full = held.add(kOther, JobKind::service, 1, 8, "blue");
     held.fleet.cluster.add_placement(full, 0, 1, "n-1", 0);
     auto reservation = held.for_moved();
     if (yields) reservation.yields_to = kWaiting;
@@ -161,14 +161,14 @@
   held.fleet.settings.teams = {{"red", 0, 0, 5, 64}, {"blue", 0, 0, 5, 64}};
   held.waiting.created_ms = 3000;
   held.hold({held.for_waiting()});
-  auto& full = held.add("j-000011", Shape::service, 1, 8, "blue");
+  auto& full = held.add("j-000011", JobKind::service, 1, 8, "blue");
   full.created_ms = 4000;
   held.fleet.cluster.add_placement(full, 0, 1, "n-2", 0);
   // Within its guarantee like the next, but of the team for which the room is held.
-  auto own = make_job("j-000012", Shape::service, 1, 5, "red");
+  auto own = make_job("j-000012", JobKind::service, 1, 5, "red");
   own.created_ms = 1000;
   Job& of_own_team = held.fleet.add(std::move(own));
-  auto other = make_job("j-000013", Shape::service, 1, 5, "blue");
+  auto other = make_job("j-000013", JobKind::service, 1, 5, "blue");
   other.created_ms = 2000;
   Job& of_other_team = held.fleet.add(std::move(other));
   for (auto& [id, job] : held.fleet.cluster.jobs()) job.ready_ms = job.created_ms;
@@ -181,7 +181,7 @@
   Held held;
   held.moved.done.add_range({0, 2});
   for (const char* id : {"n-1", "n-2"}) {
-    auto& full = held.add(std::string("j-00001") + id[2], Shape::service, 1, 4, "blue");
+    auto& full = held.add(std::string("j-00001") + id[2], JobKind::service, 1, 4, "blue");
     held.fleet.cluster.add_placement(full, 0, 1, id, 0);
   }
   EXPECT_FALSE(held.fleet.pass(1).shortfall.wanted.empty());
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -11,7 +11,7 @@
 using wire::TaskState;
 
 wire::JobSpec spec(const std::string& id, std::uint32_t tasks = 1) {
-  return make_job(id, wire::Shape::service, tasks, 4).spec;
+  return make_job(id, wire::JobKind::service, tasks, 4).spec;
 }
 
 /// A cluster with one job that runs on a machine of zone a, and another machine beside it.
--- a/tests/scaler_test.cpp
+++ b/tests/scaler_test.cpp
@@ -113,7 +113,7 @@
 // Guards against renting again and again, for as long as a machine boots, what is on its way.
 TEST(Scaler, WhatBootsAlreadyIsNotRentedAgain) {
   testing::Fleet fleet;
-  fleet.add(testing::make_job("j-000001", wire::Shape::service, 1, 8));
+  fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
   auto result = fleet.pass();
   EXPECT_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).missing, 1);
   fleet.cluster.put_machine("n-2", {"g8", "a", false}, 1);
@@ -129,7 +129,7 @@
 
 TEST(Scaler, APoolWithNothingReadyAndWorkWaitingIsAboveHigh) {
   testing::Fleet fleet({});
-  fleet.add(testing::make_job("j-000001", wire::Shape::service, 1, 8));
+  fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
   const auto result = fleet.pass();
   const auto readings = read_pools(fleet.cluster, result.shortfall, 0.9);
   EXPECT_GT(readings.at({"g8", false}).score, 0.9);
@@ -138,10 +138,10 @@
 
 TEST(Scaler, TheScoreIsBookedRoomPlusWaitingRoom) {
   testing::Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
-  fleet.add(testing::make_job("j-000001", wire::Shape::service, 1, 8));
+  fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
   auto result = fleet.pass();
   EXPECT_DOUBLE_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).score, 0.5);
-  fleet.add(testing::make_job("j-000002", wire::Shape::service, 2, 8, "blue"));
+  fleet.add(testing::make_job("j-000002", wire::JobKind::service, 2, 8, "blue"));
   result = fleet.pass();
   // Both machines full and a third one's worth waiting on two.
   EXPECT_DOUBLE_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).score, 1.5);
@@ -151,7 +151,7 @@
 // for a burst, they were never full enough to be missed nor empty enough to go.
 TEST(Scaler, WorkForSpotMachinesIsAskedOfTheirPoolWhereItHoldsAnOrdinaryMachineAlone) {
   testing::Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
-  auto batch = testing::make_job("j-000001", wire::Shape::array, 2, 4);
+  auto batch = testing::make_job("j-000001", wire::JobKind::job_array, 2, 4);
   batch.spec.spot = true;
   fleet.add(std::move(batch));
   EXPECT_EQ(fleet.pass().placed, 2);  // both on one machine
@@ -159,7 +159,7 @@
   EXPECT_EQ(readings.at({"g8", true}).missing, 2);  // a machine and its headroom
   EXPECT_GT(readings.at({"g8", true}).score, 0.9);
   // With a replica beside it the ordinary machine stays anyway, and its leftover room is free.
-  auto replica = testing::make_job("j-000002", wire::Shape::service, 1, 4, "blue");
+  auto replica = testing::make_job("j-000002", wire::JobKind::service, 1, 4, "blue");
   Job& job = fleet.add(std::move(replica));
   Job& first = *fleet.cluster.job("j-000001");
   fleet.cluster.end_placement(first, first.placements[0], 1);
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 wire::JobSpec spec(const std::string& id, std::uint32_t tasks = 2,
-                   wire::Shape shape = wire::Shape::array) {
-  return make_job(id, shape, tasks, 4).spec;
+                   wire::JobKind kind = wire::JobKind::job_array) {
+  return make_job(id, kind, tasks, 4).spec;
 }
 
 std::string text(const wire::JobSpec& s) {
@@ -62,7 +62,7 @@
   s = spec("j-000009");
   s.room.gpus = 9;
   EXPECT_EQ(w.ask(0, "POST", "/v1/jobs", text(s)).status, 422);
-  s = spec("j-000009", 5, wire::Shape::service);  // 20 of 16
+  s = spec("j-000009", 5, wire::JobKind::service);  // 20 of 16
   EXPECT_EQ(w.ask(0, "POST", "/v1/jobs", text(s)).status, 422);
   EXPECT_EQ(w.ask(0, "GET", "/v1/jobs/j-000009").status, 404);
   EXPECT_EQ(w.ask(0, "POST", "/v1/jobs/j-000009/withdraw").status, 404);
@@ -107,7 +107,7 @@
   TestCluster w;
   w.run_s = 1000;
   w.run(1);
-  w.submit(0, spec("j-000001", 2, wire::Shape::service));
+  w.submit(0, spec("j-000001", 2, wire::JobKind::service));
   w.run(12);
   ASSERT_EQ(w.running("j-000001"), 2);
   const int other = (w.leader() + 1) % 3;
@@ -124,7 +124,7 @@
   TestCluster w;
   w.run_s = 1000;
   w.run(1);
-  w.submit(0, spec("j-000001", 1, wire::Shape::service));
+  w.submit(0, spec("j-000001", 1, wire::JobKind::service));
   w.run(12);
   ASSERT_EQ(w.running("j-000001"), 1);
   const int old = w.leader();
@@ -188,16 +188,16 @@
   TestCluster w;
   w.run_s = 1000;
   w.run(1);
-  w.submit(0, spec("j-000001", 2, wire::Shape::service));
+  w.submit(0, spec("j-000001", 2, wire::JobKind::service));
   w.run(15);
-  w.submit(0, spec("j-000002", 2, wire::Shape::service));
+  w.submit(0, spec("j-000002", 2, wire::JobKind::service));
   w.run(15);
   EXPECT_EQ(w.running("j-000002"), 2);
   const auto before = w.rentals.size();
   EXPECT_GE(before, 1u);
   w.crash_node(w.leader());
   w.run(5);
-  auto other = make_job("j-000003", wire::Shape::service, 2, 8, "blue").spec;
+  auto other = make_job("j-000003", wire::JobKind::service, 2, 8, "blue").spec;
   w.submit(w.leader(), other);
   w.run(60);
   EXPECT_EQ(w.running("j-000003"), 2);
@@ -224,7 +224,7 @@
   w.add_worker();
   w.add_worker();
   w.run(3);
-  w.submit(0, spec("j-000001", 1, wire::Shape::service));
+  w.submit(0, spec("j-000001", 1, wire::JobKind::service));
   w.run(3);
   ASSERT_EQ(w.running("j-000001"), 1);
   std::string first;
@@ -278,7 +278,7 @@
   for (int i = 0; i < kMachines; ++i) w.add_worker();
   w.run(3);
   const auto id = [](int i) { return "j-" + std::to_string(100'000 + i); };
-  for (int i = 0; i < kJobs; ++i) w.submit(i % 3, spec(id(i), kTasks, wire::Shape::service));
+  for (int i = 0; i < kJobs; ++i) w.submit(i % 3, spec(id(i), kTasks, wire::JobKind::service));
   w.run(20);
   const auto running = [&] {
     int n = 0;
@@ -398,7 +398,7 @@
   w.run_s = 1000;
   w.run(1);
   ASSERT_NE(w.leader(), 2);
-  auto s = spec("j-000001", 2, wire::Shape::service);
+  auto s = spec("j-000001", 2, wire::JobKind::service);
   s.zone = "b";
   w.submit(0, s);
   w.run(20);
@@ -422,7 +422,7 @@
   w.run(1);
   for (const char* zone : {"a", "b"}) {
     w.add_worker(zone);
-    auto s = spec(zone[0] == 'a' ? "j-000001" : "j-000002", 2, wire::Shape::service);
+    auto s = spec(zone[0] == 'a' ? "j-000001" : "j-000002", 2, wire::JobKind::service);
     s.zone = zone;
     w.submit(0, s);
   }
@@ -495,10 +495,10 @@
   w.run_s = 1000;
   w.run(1);
   ASSERT_NE(w.leader(), 2);
-  auto stays = spec("j-000001", 2, wire::Shape::service);
+  auto stays = spec("j-000001", 2, wire::JobKind::service);
   stays.spread = true;
   w.submit(0, stays);
-  auto goes = spec("j-000002", 1, wire::Shape::service);
+  auto goes = spec("j-000002", 1, wire::JobKind::service);
   goes.zone = "b";
   w.submit(0, goes);
   w.run(20);
--- a/tests/sharing_rule_test.cpp
+++ b/tests/sharing_rule_test.cpp
@@ -74,15 +74,15 @@
 
 TEST(Demand, CountsWhatCouldBePlacedAndWhatIsNotProvenFree) {
   testing::Fleet fleet;
-  fleet.add(testing::make_job("j-1", wire::Shape::array, 3, 2));
-  fleet.add(testing::make_job("j-2", wire::Shape::gang, 4, 1));
-  auto cancelled = testing::make_job("j-3", wire::Shape::array, 5, 1);
+  fleet.add(testing::make_job("j-1", wire::JobKind::job_array, 3, 2));
+  fleet.add(testing::make_job("j-2", wire::JobKind::gang, 4, 1));
+  auto cancelled = testing::make_job("j-3", wire::JobKind::job_array, 5, 1);
   cancelled.cancelled_at_ms = 9;
   fleet.add(cancelled);
-  auto dependent = testing::make_job("j-4", wire::Shape::array, 5, 1);
+  auto dependent = testing::make_job("j-4", wire::JobKind::job_array, 5, 1);
   dependent.spec.needs = {"j-1"};
   fleet.add(dependent);
-  fleet.add(testing::make_job("j-5", wire::Shape::service, 2, 1, "blue"));
+  fleet.add(testing::make_job("j-5", wire::JobKind::service, 2, 1, "blue"));
   auto& running = *fleet.cluster.job("j-5");
   fleet.cluster.add_placement(running, 0, 1, "n-1", 0);
   auto demands = waiting_demands(fleet.cluster, 1);
@@ -110,7 +110,7 @@
   testing::Fleet fleet;
   FixedShares shares;
   fleet.cluster.set_team_shares(&shares);
-  auto& job = fleet.add(testing::make_job("j-1", wire::Shape::array, 8, 1));
+  auto& job = fleet.add(testing::make_job("j-1", wire::JobKind::job_array, 8, 1));
   fleet.pass();
   EXPECT_EQ(job.live(), 0U) << "a share of nothing is not a team without a limit";
   EXPECT_FALSE(job.guaranteed);
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -43,7 +43,7 @@
 
   Stored() { reactor.run_until(100); }
   void put(const std::string& id, bool cancelled = false) {
-    auto job = testing::make_job(id, wire::Shape::service, 2, 1, "red");
+    auto job = testing::make_job(id, wire::JobKind::service, 2, 1, "red");
     job.cancelled_at_ms = cancelled ? 1 : 0;
     write({{job_key(id), write_record(job, 8192)[0], 0}});
   }
@@ -159,7 +159,7 @@
 // A job that waits for others may be cancelled with them before its own record says so.
 TEST(StatusCache, AJobThatWaitsForOthersIsLookedUp) {
   Stored s;
-  auto job = testing::make_job("j-000002", wire::Shape::service, 2, 1, "red");
+  auto job = testing::make_job("j-000002", wire::JobKind::service, 2, 1, "red");
   job.spec.needs = {"j-000001"};
   s.write({{job_key("j-000002"), write_record(job, 8192)[0], 0}});
   EXPECT_EQ(s.ask("j-000002").kind, StatusCache::Kind::unknown);
--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -264,7 +264,7 @@
 TEST(StoredPool, ACountAndTheTimeOfTheLastScalingAreWritten) {
   TestCluster cluster;
   cluster.run(1);
-  cluster.submit(0, make_job("j-000001", wire::Shape::service, 2, 8).spec);
+  cluster.submit(0, make_job("j-000001", wire::JobKind::service, 2, 8).spec);
   cluster.run(60);
   const auto& values = cluster.state_service.values;
   const auto pool = values.lower_bound("pools/");
--- a/tests/sweep_test.cpp
+++ b/tests/sweep_test.cpp
@@ -8,7 +8,7 @@
 namespace cranklock::testing {
 namespace {
 
-using wire::Shape;
+using wire::JobKind;
 
 constexpr double kTrouble = 90;  ///< seconds of it
 constexpr double kServed = 150;  ///< then everything must be
@@ -148,7 +148,7 @@
   void add_needs(wire::JobSpec& job) {
     std::vector<std::string> candidates;
     for (const auto& id : w.rules.accepted()) {
-      if (w.rules.spec(id)->shape == Shape::array) candidates.push_back(id);
+      if (w.rules.spec(id)->kind == JobKind::job_array) candidates.push_back(id);
     }
     for (int i = pick(3); i >= 0 && !candidates.empty(); --i) {
       // Mostly the latest, so that chains come about.
@@ -161,16 +161,16 @@
 
   void add_job() {
     const bool array = roll() < 0.6;
-    auto job =
-        make_job("j-" + std::to_string(100'000 + jobs++), array ? Shape::array : Shape::service,
-                 1 + static_cast<std::uint32_t>(pick(3)), 1 + 3 * pick(2),
-                 roll() < 0.5 ? "red" : "blue")
-            .spec;
+    auto job = make_job("j-" + std::to_string(100'000 + jobs++),
+                        array ? JobKind::job_array : JobKind::service,
+                        1 + static_cast<std::uint32_t>(pick(3)), 1 + 3 * pick(2),
+                        roll() < 0.5 ? "red" : "blue")
+                   .spec;
     const int where = pick(6);
     if (where == 0) job.one_zone = true;
     if (where == 1) job.spread = true;
     if (where == 2) job.zone = roll() < 0.5 ? "a" : "b";
-    job.rank = roll() < 0.3 ? wire::Rank::production : wire::Rank::standard;
+    job.priority = roll() < 0.3 ? wire::Priority::production : wire::Priority::standard;
     if (pipelines && roll() < 0.5) add_needs(job);
     UserHabits habits;
     habits.looks = roll() < 0.3;
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -20,7 +20,7 @@
 namespace cranklock::testing {
 namespace {
 
-using wire::Shape;
+using wire::JobKind;
 
 /// The 64-bit hash FNV-1a of all fields added so far, each led by its length, so that the bounds
 /// between fields count too.
@@ -78,9 +78,9 @@
   cluster.state_slow_s = 0.02;
 }
 
-wire::JobSpec job(int number, std::uint32_t tasks, Shape shape = Shape::array, double gpus = 4,
-                  const std::string& team = "red") {
-  return make_job(name(number), shape, tasks, gpus, team).spec;
+wire::JobSpec job(int number, std::uint32_t tasks, JobKind kind = JobKind::job_array,
+                  double gpus = 4, const std::string& team = "red") {
+  return make_job(name(number), kind, tasks, gpus, team).spec;
 }
 
 /// The node that led, or -1 and a failure where none did.
@@ -94,11 +94,11 @@
 /// Four array jobs and a service, from both teams.
 void add_usual_users(TestCluster& cluster) {
   for (int i = 0; i < 4; ++i) {
-    cluster.add_user(job(i, 2, Shape::array, 2, i % 2 == 0 ? "red" : "blue"));
+    cluster.add_user(job(i, 2, JobKind::job_array, 2, i % 2 == 0 ? "red" : "blue"));
   }
   UserHabits cancels;
   cancels.cancels_after = 40;
-  cluster.add_user(job(4, 2, Shape::service, 1), cancels);
+  cluster.add_user(job(4, 2, JobKind::service, 1), cancels);
 }
 
 // ---- controllers that fail ----
@@ -145,11 +145,11 @@
   UserHabits cancels;
   cancels.cancels_after = 50;
   for (int i = 0; i < 2; ++i) {
-    auto in_zone = job(i, 2, Shape::service, 2);
+    auto in_zone = job(i, 2, JobKind::service, 2);
     in_zone.zone = "b";
     cluster.add_user(in_zone, i == 0 ? cancels : UserHabits{});
   }
-  auto spread = job(2, 4, Shape::service, 1, "blue");
+  auto spread = job(2, 4, JobKind::service, 1, "blue");
   spread.spread = true;
   cluster.add_user(spread);
   cluster.run(25);
@@ -197,7 +197,7 @@
     UserHabits habits;
     if (i % 3 == 0) habits.cancels_after = 2.0 * i;
     habits.cancels_at_end = i % 3 == 1;
-    cluster.add_user(job(i, 1 + i % 2, Shape::array, 2), habits);
+    cluster.add_user(job(i, 1 + i % 2, JobKind::job_array, 2), habits);
     cluster.run(0.5);
   }
   cluster.run(20);
@@ -224,7 +224,7 @@
   }
   cluster.run(3);
   for (int i = 0; i < 6; ++i) {
-    auto batch = job(i, 3, Shape::array, 2, i % 2 == 0 ? "red" : "blue");
+    auto batch = job(i, 3, JobKind::job_array, 2, i % 2 == 0 ? "red" : "blue");
     batch.spot = true;
     batch.checkpoint_s = 5;
     batch.save_s = 2;
@@ -252,7 +252,7 @@
   for (int i = 0; i < 4; ++i) {
     UserHabits habits;
     if (i == 1) habits.cancels_after = 50;
-    cluster.add_user(job(i, 2, Shape::array, 4, i % 2 == 0 ? "red" : "blue"), habits);
+    cluster.add_user(job(i, 2, JobKind::job_array, 4, i % 2 == 0 ? "red" : "blue"), habits);
   }
   cluster.run(20);
   auto& machine = *cluster.workers.at("n-2");
@@ -278,7 +278,7 @@
   cluster.swallow_rental_answers = static_cast<int>(seed);
   cluster.run(1);
   for (int i = 0; i < 6; ++i) {
-    auto wanted = job(i, 4, Shape::array, 4);
+    auto wanted = job(i, 4, JobKind::job_array, 4);
     wanted.spread = i % 2 == 0;
     if (i == 5) wanted.zone = "a";
     cluster.add_user(wanted, i % 2 == 0 ? UserHabits{60.0 + i, false, false} : UserHabits{});
@@ -303,7 +303,7 @@
   cluster.run_s = 6;
   cluster.run(8);
   for (int i = 0; i < 14; ++i) {
-    auto stage = job(i, 1, Shape::array, 2);
+    auto stage = job(i, 1, JobKind::job_array, 2);
     if (i > 0) stage.needs.push_back(name((i - 1) / 2));
     if (i > 4) stage.needs.push_back(name(i - 2));
     UserHabits habits;
@@ -321,7 +321,7 @@
   for (int i = 0; i < 12; ++i) {
     UserHabits looks;
     looks.looks = true;
-    cluster.add_user(job(i, 1, Shape::array, 2, i % 2 == 0 ? "red" : "blue"), looks);
+    cluster.add_user(job(i, 1, JobKind::job_array, 2, i % 2 == 0 ? "red" : "blue"), looks);
   }
   std::vector<net::Task<std::optional<net::Response>>> questions;
   for (int round = 0; round < 60; ++round) {
@@ -345,17 +345,17 @@
   for (int i = 0; i < 2; ++i) cluster.add_worker();
   cluster.run(3);
   for (int i = 0; i < 3; ++i) {
-    auto low = job(i, 2, Shape::array, i == 0 ? 4 : 2, i == 2 ? "blue" : "red");
-    low.rank = wire::Rank::best_effort;
+    auto low = job(i, 2, JobKind::job_array, i == 0 ? 4 : 2, i == 2 ? "blue" : "red");
+    low.priority = wire::Priority::best_effort;
     low.checkpoint_s = 5;
     low.save_s = 1;
     cluster.add_user(low);
   }
   cluster.run(14 + 0.5 * seed);
-  auto urgent = job(3, 2, Shape::gang, 8);
-  urgent.rank = wire::Rank::production;
+  auto urgent = job(3, 2, JobKind::gang, 8);
+  urgent.priority = wire::Priority::production;
   cluster.add_user(urgent);
-  cluster.add_user(job(4, 3, Shape::gang, 2, "blue"));
+  cluster.add_user(job(4, 3, JobKind::gang, 2, "blue"));
   cluster.run(15);
   // A gang that loses a machine is stopped whole.
   auto& machine = *cluster.workers.at("n-1");
@@ -386,7 +386,7 @@
 void play_replica_moves(unsigned seed) {
   auto settings = settings_with_moves();
   settings.operators.defrag.drain = {"router", "/drains"};
-  Fragments fragments(settings, 3, make_job(kSmall, Shape::service, 4, 3).spec);
+  Fragments fragments(settings, 3, make_job(kSmall, JobKind::service, 4, 3).spec);
   auto& cluster = fragments.w;
   vary(cluster, seed);
   constexpr int kChats = 12, kMostChats = 20;
@@ -427,7 +427,7 @@
   vary(regions.east, seed);
   vary(regions.west, seed);
   regions.run(4);
-  regions.west.add_user(job(0, 13, Shape::service, 1));
+  regions.west.add_user(job(0, 13, JobKind::service, 1));
   regions.run(3 + 0.1 * seed);
   crash_leader(regions.east);
   regions.run(0.3);
@@ -435,7 +435,7 @@
   regions.run(15);
   UserHabits cancels;
   cancels.cancels_after = 10;
-  regions.east.add_user(job(1, 3, Shape::service, 1), cancels);
+  regions.east.add_user(job(1, 3, JobKind::service, 1), cancels);
   regions.run(15);
 }
 
--- a/tests/two_region_clusters.hpp
+++ b/tests/two_region_clusters.hpp
@@ -53,7 +53,7 @@
     return static_cast<double>((*amounts)[regions::Resource::gpus]) / regions::Amounts::kUnit;
   }
   static wire::JobSpec service(const std::string& id, std::uint32_t replicas) {
-    return make_job(id, wire::Shape::service, replicas, 1).spec;
+    return make_job(id, wire::JobKind::service, replicas, 1).spec;
   }
 
   bool apart = false;
--- a/tests/two_troubles_test.cpp
+++ b/tests/two_troubles_test.cpp
@@ -9,11 +9,11 @@
 namespace cranklock::testing {
 namespace {
 
-using wire::Shape;
+using wire::JobKind;
 
-wire::JobSpec spec(const std::string& id, std::uint32_t tasks = 2, Shape shape = Shape::service,
+wire::JobSpec spec(const std::string& id, std::uint32_t tasks = 2, JobKind kind = JobKind::service,
                    double gpus = 4, const std::string& team = "red") {
-  return make_job(id, shape, tasks, gpus, team).spec;
+  return make_job(id, kind, tasks, gpus, team).spec;
 }
 
 /// Figures of a deployment, by ratio: reports, leases and cancellations are what the bounds hang
@@ -272,7 +272,7 @@
     w.add_worker("b");
     w.run(3);
     w.late_txns = 0.6;
-    for (int i = 0; i < 4; ++i) w.add_user(spec(name(i), 2, Shape::array, 2));
+    for (int i = 0; i < 4; ++i) w.add_user(spec(name(i), 2, JobKind::job_array, 2));
     w.run(40);
     w.late_txns = 0;
     EXPECT_TRUE(wait_for(w, 90, [&] { return all_over(w); })) << "seed " << seed;
@@ -286,7 +286,8 @@
     w.run(1);
     w.lost_txns = 0.5;
     for (int i = 0; i < 8; ++i) {
-      w.add_user(spec(name(i), 2, Shape::array, 2), {i % 3 == 0 ? 4.0 + i : -1, i % 3 == 1, true});
+      w.add_user(spec(name(i), 2, JobKind::job_array, 2),
+                 {i % 3 == 0 ? 4.0 + i : -1, i % 3 == 1, true});
     }
     w.run(40);
     w.lost_txns = 0;
@@ -308,7 +309,7 @@
     w.run(0.2);
     w.late_txns = 0;
     auto urgent = spec(second, 4);  // placed first in the next pass
-    urgent.rank = wire::Rank::production;
+    urgent.priority = wire::Priority::production;
     w.add_user(urgent);
     w.run(14);  // by now it has been carried out, or can't be any more
     EXPECT_EQ(w.running(first) + w.running(second), 4);
@@ -333,7 +334,8 @@
   std::map<std::string, double> ended;  // their tasks
   double latest = 0;
   for (int i = 0; i < jobs; ++i) {
-    w.add_user(spec(name(i), 1, Shape::array, 1), {i % 4 == 3 ? 2.0 + i % 3 : -1, false, false});
+    w.add_user(spec(name(i), 1, JobKind::job_array, 1),
+               {i % 4 == 3 ? 2.0 + i % 3 : -1, false, false});
     w.run(0.25);
     for (int j = std::max(0, i - 200); j <= i; ++j) {
       const bool runs = w.starts.contains(name(j) + "/0") && w.running(name(j)) == 0;
@@ -361,8 +363,8 @@
   for (int i = 0; i < 40; ++i) w.add_worker();
   w.run(3);
   for (int i = 0; i < 4000; ++i) w.run_s_of["j-000001/" + std::to_string(i)] = i % 2 == 0 ? 3 : 60;
-  w.submit(0, spec("j-000001", 4000, Shape::array, 1));
-  w.submit(1, spec("j-000002", 1, Shape::array, 1));
+  w.submit(0, spec("j-000001", 4000, JobKind::job_array, 1));
+  w.submit(1, spec("j-000002", 1, JobKind::job_array, 1));
   ASSERT_TRUE(wait_for(w, 60, [&] { return w.state_service.values.contains("parts/j-000001/0"); }));
   w.run(2);
   const int old = w.leader();
@@ -376,7 +378,7 @@
   EXPECT_TRUE(wait_for(w, 60, [&] { return w.state_service.values.contains("ended/j-000001"); }));
   for (const auto& [key, value] : w.state_service.values)
     EXPECT_FALSE(key.starts_with("parts/j-000001/")) << key;
-  w.submit(other_than(w, old), spec("j-000003", 1, Shape::array, 1));
+  w.submit(other_than(w, old), spec("j-000003", 1, JobKind::job_array, 1));
   EXPECT_TRUE(wait_for(w, 30, [&] {
     return w.state_of(1, "j-000003") == "done" || w.state_of(2, "j-000003") == "done";
   }));
@@ -394,7 +396,7 @@
   w.run(1);
   for (int i = 0; i < 40; ++i) w.add_worker();
   w.run(3);
-  w.submit(0, spec("j-000001", 4000, Shape::array, 1));
+  w.submit(0, spec("j-000001", 4000, JobKind::job_array, 1));
   ASSERT_TRUE(wait_for(w, 60, [&] { return w.state_service.values.contains("parts/j-000001/0"); }));
   w.run(5);
   w.cancel(1, "j-000001");
@@ -409,7 +411,8 @@
   TestCluster w(3, {"a", "a", "a"});
   w.run_s = 8;
   w.run(1);
-  for (int i = 0; i < 5; ++i) w.add_user(spec(name(i), 2, Shape::array, 2), {-1, i == 2, true});
+  for (int i = 0; i < 5; ++i)
+    w.add_user(spec(name(i), 2, JobKind::job_array, 2), {-1, i == 2, true});
   w.run(6);
   for (int round = 0; round < 4; ++round) {
     const int old = std::max(w.leader(), 0);
@@ -435,7 +438,7 @@
     w.run_s = 30;
     w.run(1);
     for (int i = 0; i < 4; ++i) {
-      w.add_user(spec(name(i), 2, Shape::array, 2), {i == 1 ? 60.0 : -1, false, false});
+      w.add_user(spec(name(i), 2, JobKind::job_array, 2), {i == 1 ? 60.0 : -1, false, false});
     }
     for (int change = 0; change < 10; ++change) {
       w.run(9);
@@ -454,7 +457,7 @@
   TestCluster w(3, {"a", "a", "a"});
   w.run(1);
   w.run_s_of = {{"j-000001/0", 3}, {"j-000001/1", 25}, {"j-000001/2", 50}};
-  w.submit(0, spec("j-000001", 3, Shape::array, 4));
+  w.submit(0, spec("j-000001", 3, JobKind::job_array, 4));
   ASSERT_TRUE(wait_for(w, 20, [&] { return w.running("j-000001") == 3; }));
   w.run(3.2);
   change_leader(w, 4);  // just as the first has ended
@@ -524,7 +527,7 @@
       for (auto& [id, worker] : w.workers) worker->cannot_send = false;
       w.run(4);
       change_leader(w, 5);
-      w.submit(0, spec(name(round), 1, Shape::service, 2, "blue"));
+      w.submit(0, spec(name(round), 1, JobKind::service, 2, "blue"));
       EXPECT_TRUE(wait_for(w, 30, [&] { return w.running(name(round)) == 1; })) << round;
     }
     EXPECT_TRUE(wait_for(w, 60, [&] { return w.running("j-000001") == 2; }));
@@ -550,7 +553,8 @@
     w.late_heartbeats = 0.5;
     w.run_s = 12;
     w.run(1);
-    for (int i = 0; i < 4; ++i) w.add_user(spec(name(i), 2, Shape::array, 4), {-1, i == 0, false});
+    for (int i = 0; i < 4; ++i)
+      w.add_user(spec(name(i), 2, JobKind::job_array, 4), {-1, i == 0, false});
     w.run(10);
     for (auto& [id, worker] : w.workers) worker->cannot_send = true;
     w.run(w.base_settings.lease_s + 1);
@@ -586,7 +590,7 @@
     w.run(1);
     int next = 0;
     for (const char* team : {"red", "blue"}) {
-      for (int i = 0; i < 2; ++i) w.submit(0, spec(name(next++), 2, Shape::service, 4, team));
+      for (int i = 0; i < 2; ++i) w.submit(0, spec(name(next++), 2, JobKind::service, 4, team));
     }
     ASSERT_TRUE(wait_for(w, 30, [&] {
       int n = 0;
@@ -594,7 +598,7 @@
       return n == 8;
     }));
     for (const char* team : {"red", "blue"})
-      w.submit(0, spec(name(next++), 2, Shape::service, 4, team));
+      w.submit(0, spec(name(next++), 2, JobKind::service, 4, team));
     // Cancelled on machines that can't be asked; their room is waited for.
     std::vector<std::string> lost = holders(w, name(0));
     for (const auto& id : holders(w, name(2))) lost.push_back(id);
@@ -624,7 +628,7 @@
     w.run(1);
     w.late_txns = 0.3;
     for (int i = 0; i < 6; ++i) {
-      w.add_user(spec(name(i), 2, Shape::array, 4, i % 2 == 0 ? "red" : "blue"),
+      w.add_user(spec(name(i), 2, JobKind::job_array, 4, i % 2 == 0 ? "red" : "blue"),
                  {i == 3 ? 10.0 : -1, false, false});
     }
     w.run(6 + seed % 4);
@@ -636,13 +640,13 @@
 }
 
 TEST(TwoTroubles, JobsBoundToOneZoneLoseMachinesThatComeBack) {
-  for (const auto shape : {Shape::array, Shape::service}) {
+  for (const auto kind : {JobKind::job_array, JobKind::service}) {
     TestCluster w(3, {"a", "a", "a"});
-    w.run_s = shape == Shape::array ? 60 : 1000;
+    w.run_s = kind == JobKind::job_array ? 60 : 1000;
     w.run(1);
     for (const char* zone : {"a", "b"}) w.add_worker(zone);
     w.run(3);
-    auto s = spec("j-000001", 4, shape, 4);
+    auto s = spec("j-000001", 4, kind, 4);
     s.one_zone = true;
     w.submit(0, s);
     ASSERT_TRUE(wait_for(w, 20, [&] { return w.running("j-000001") == 4; }));
@@ -651,7 +655,7 @@
     auto& lost = *w.workers.at(on.at(0));
     const std::string zone = lost.kind.zone;
     for (auto& [id, worker] : w.workers) {
-      if (worker->kind.zone == zone && (shape == Shape::service || id == lost.id))
+      if (worker->kind.zone == zone && (kind == JobKind::service || id == lost.id))
         worker->hangs = true;
     }
     w.run(3);
@@ -661,8 +665,8 @@
       if (worker->hangs) w.wake(*worker);
     }
     EXPECT_TRUE(wait_for(w, 120, [&] {
-      return shape == Shape::array ? w.state_of(0, "j-000001") == "done"
-                                   : w.running("j-000001") == 4;
+      return kind == JobKind::job_array ? w.state_of(0, "j-000001") == "done"
+                                        : w.running("j-000001") == 4;
     }));
   }
 }
@@ -725,7 +729,7 @@
     w.run_s = 200;
     w.run(1);
     for (int i = 0; i < 6; ++i) {
-      w.add_user(spec(name(i), 1, Shape::service, 2), {20.0 + 4 * i, false, i % 2 == 0});
+      w.add_user(spec(name(i), 1, JobKind::service, 2), {20.0 + 4 * i, false, i % 2 == 0});
     }
     w.run(20);
     if (slow) w.state_slow_s = 0.6;
@@ -752,7 +756,7 @@
       w.late_txns = late;
       w.state_service.limits_writes = true;
       for (int i = 0; i < 9; ++i) {
-        w.add_user(spec(name(i), 1 + i % 2, Shape::array, 2),
+        w.add_user(spec(name(i), 1 + i % 2, JobKind::job_array, 2),
                    {i % 3 == 0 ? 0.2 * i : -1, i % 3 == 1, true});
         w.run(0.5);
       }
@@ -785,7 +789,7 @@
   for (int moment = 0; moment < 16; ++moment) {
     TestCluster w;
     w.run(1);
-    w.submit(0, spec("j-000001", 1, Shape::array));
+    w.submit(0, spec("j-000001", 1, JobKind::job_array));
     ASSERT_TRUE(wait_for(w, 20, [&] { return w.running("j-000001") == 1; }));
     w.run(w.run_s - 0.5 + 0.15 * moment);
     const auto other = other_than(w, w.leader());
@@ -809,13 +813,13 @@
   w.run_s = 12;
   w.run(1);
   for (int i = 0; i < 10; ++i) {
-    auto s = spec(name(i), 2, Shape::array, 4, i % 2 == 0 ? "red" : "blue");
-    s.rank = wire::Rank::best_effort;
+    auto s = spec(name(i), 2, JobKind::job_array, 4, i % 2 == 0 ? "red" : "blue");
+    s.priority = wire::Priority::best_effort;
     w.add_user(s);
   }
   w.run(10);
-  auto urgent = spec("j-000001", 2, Shape::service, 4, "red");
-  urgent.rank = wire::Rank::production;
+  auto urgent = spec("j-000001", 2, JobKind::service, 4, "red");
+  urgent.priority = wire::Priority::production;
   w.add_user(urgent);
   EXPECT_TRUE(wait_for(w, 25, [&] { return w.running("j-000001") == 2; }));
   EXPECT_TRUE(wait_for(w, 200, [&] {
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -69,7 +69,7 @@
 }
 
 sched::Job long_job(std::uint32_t tasks) {
-  sched::Job job = make_job("j-000001", wire::Shape::array, tasks, 1);
+  sched::Job job = make_job("j-000001", wire::JobKind::job_array, tasks, 1);
   job.revision = 17;
   for (std::uint32_t i = 0; i < tasks; ++i) {
     sched::Placement placement;
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -81,24 +81,24 @@
 }
 
 TEST(UserProtocol, EveryShapeAndRankHasItsNameInBothDirections) {
-  for (const auto& [shape, name] :
-       {std::pair{wire::Shape::array, "batch"}, std::pair{wire::Shape::gang, "ensemble"},
-        std::pair{wire::Shape::service, "standing"}}) {
+  for (const auto& [kind, name] :
+       {std::pair{wire::JobKind::job_array, "batch"}, std::pair{wire::JobKind::gang, "ensemble"},
+        std::pair{wire::JobKind::service, "standing"}}) {
     wire::JobSpec job = complete_job();
-    job.shape = shape;
+    job.kind = kind;
     const auto text = replaced(kCompleteJob, R"("ensemble")", '"' + std::string(name) + '"');
     EXPECT_EQ(written(job), text);
-    EXPECT_EQ(std::get<wire::JobSpec>(parsed(text)).shape, shape);
+    EXPECT_EQ(std::get<wire::JobSpec>(parsed(text)).kind, kind);
   }
-  for (const auto& [rank, name] :
-       {std::pair{wire::Rank::production, "production"}, std::pair{wire::Rank::high, "high"},
-        std::pair{wire::Rank::standard, "standard"},
-        std::pair{wire::Rank::best_effort, "best_effort"}}) {
+  for (const auto& [priority, name] :
+       {std::pair{wire::Priority::production, "production"},
+        std::pair{wire::Priority::high, "high"}, std::pair{wire::Priority::standard, "standard"},
+        std::pair{wire::Priority::best_effort, "best_effort"}}) {
     wire::JobSpec job = complete_job();
-    job.rank = rank;
+    job.priority = priority;
     const auto text = replaced(kCompleteJob, R"("high")", '"' + std::string(name) + '"');
     EXPECT_EQ(written(job), text);
-    EXPECT_EQ(std::get<wire::JobSpec>(parsed(text)).rank, rank);
+    EXPECT_EQ(std::get<wire::JobSpec>(parsed(text)).priority, priority);
   }
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -69,7 +69,7 @@
 }
 
 TEST(Wire, ALargeRecordIsSplitAndJoined) {
-  auto job = testing::make_job("j-000001", Shape::array, 2000, 1);
+  auto job = testing::make_job("j-000001", JobKind::job_array, 2000, 1);
   for (std::uint32_t i = 0; i < 900; ++i) {
     job.placements.emplace_back();
     job.placements.back().task = 2 * i;
@@ -94,7 +94,7 @@
 // A cancellation changes the main value's revision alone; its parts are still its own then, but
 // those of an earlier or a later write are not.
 TEST(Wire, PartsBelongToTheWriteThatMadeThem) {
-  auto job = testing::make_job("j-000001", Shape::array, 2000, 1);
+  auto job = testing::make_job("j-000001", JobKind::job_array, 2000, 1);
   for (std::uint32_t i = 0; i < 900; ++i) job.done.add(2 * i);
   job.revision = 41;
   auto texts = control::write_record(job, 8192);
