--- a/lab/fragments.cpp
+++ b/lab/fragments.cpp
@@ -40,7 +40,7 @@
   plan.spec.kind = wire::JobKind::job_array;
   plan.spec.tasks = static_cast<std::uint32_t>(tasks);
   const double gpus = plan_.worker_gpus - fragments_.piece_gpus;
-  plan.spec.room = {gpus, gpus, 8 * gpus};
+  plan.spec.resources = {gpus, gpus, 8 * gpus};
   plan.spec.estimate_s = fragments_.filler_run_s;
   plan.spec.image = "img-filler";
   plan.spec.image_gb = 1;
@@ -52,7 +52,7 @@
   plan.spec.job_class = "replica";
   plan.spec.kind = wire::JobKind::service;
   plan.spec.priority = wire::Priority::high;
-  plan.spec.room = {fragments_.piece_gpus, fragments_.piece_gpus, 8 * fragments_.piece_gpus};
+  plan.spec.resources = {fragments_.piece_gpus, fragments_.piece_gpus, 8 * fragments_.piece_gpus};
   plan.spec.image = "img-replica";
   return plan;
 }
@@ -62,7 +62,7 @@
   plan.spec.job_class = "demand";
   plan.spec.kind = wire::JobKind::gang;
   plan.spec.priority = wire::Priority::high;
-  plan.spec.room = {plan_.worker_gpus, plan_.worker_gpus, 8 * plan_.worker_gpus};
+  plan.spec.resources = {plan_.worker_gpus, plan_.worker_gpus, 8 * plan_.worker_gpus};
   plan.spec.estimate_s = 3600;
   plan.spec.image = "img-demand";
   return plan;
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -152,7 +152,7 @@
   if (request.path == "/machine_types") {
     wire::MachineType type;
     type.name = "g8";
-    type.room = {12 * plan_.worker_gpus, plan_.worker_gpus, 96 * plan_.worker_gpus};
+    type.resources = {12 * plan_.worker_gpus, plan_.worker_gpus, 96 * plan_.worker_gpus};
     type.cache_gb = 1000;
     type.fetch_gb_per_s = 10;
     type.price = 12;
@@ -181,8 +181,8 @@
   const auto& asked = document.root();
   // As many again as the plan has, so that lost machines can be replaced.
   // Where moves are to make the room there is nothing to rent.
-  const int room = plan_.fragments ? 0 : 2 * region_.workers - workers();
-  const int count = std::min(asked["Count"].GetInt(), room);
+  const int resources = plan_.fragments ? 0 : 2 * region_.workers - workers();
+  const int count = std::min(asked["Count"].GetInt(), resources);
   if (count <= 0) return answer(503, R"({"error":"no capacity"})");
   const auto [entry, first] = rentals_.try_emplace(asked["Charter"].GetString());
   if (first) {
--- a/lab/settings.cpp
+++ b/lab/settings.cpp
@@ -61,7 +61,7 @@
                                        {"standard", Priority::standard}});
   spec.tasks = static_cast<std::uint32_t>(in.count("tasks", 1));
   const double gpus = in.number("gpus", 0, true);
-  spec.room = {gpus, gpus, 8 * gpus};
+  spec.resources = {gpus, gpus, 8 * gpus};
   spec.estimate_s = in.number("run_s", 0, true);
   spec.image = "img-" + spec.job_class;
   spec.image_gb = 1;
--- a/src/control/users.cpp
+++ b/src/control/users.cpp
@@ -100,12 +100,12 @@
                        std::find(spec.types.begin(), spec.types.end(), t.name) != spec.types.end();
     const bool in_zone =
         spec.zone.empty() || std::find(t.zones.begin(), t.zones.end(), spec.zone) != t.zones.end();
-    return named && in_zone && spec.room.fits_in(t.room);
+    return named && in_zone && spec.resources.fits_in(t.resources);
   });
   if (!fits) return "no allowed machine type has room for a task";
-  const wire::Room all = spec.kind == wire::JobKind::job_array
-                             ? spec.room
-                             : spec.room * static_cast<double>(spec.tasks);
+  const wire::Resources all = spec.kind == wire::JobKind::job_array
+                                  ? spec.resources
+                                  : spec.resources * static_cast<double>(spec.tasks);
   if ((team->cpus_max > 0 && all.cpus > team->cpus_max) ||
       (team->gpus_max > 0 && all.gpus > team->gpus_max)) {
     return "more than the team's limit";
--- a/src/defrag/fleet_view.cpp
+++ b/src/defrag/fleet_view.cpp
@@ -44,7 +44,7 @@
   Host host;
   host.id = machine.id;
   host.kind = machine.kind;
-  host.free = type.room - machine.used;
+  host.free = type.resources - machine.allocated;
   host.fetch_gb_per_s = type.fetch_gb_per_s;
   for (const auto& [image, size_gb] : machine.images) host.images.insert(image);
   for (const auto& held : machine.tasks) {
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -330,7 +330,8 @@
     const sched::Job* waiting = cluster_.job(plan.job);
     for (const auto& place : plan.places) {
       if (placed_ || waiting == nullptr) break;
-      held.push_back({place.machine, plan.job, std::nullopt, waiting->spec.room * place.tasks, ""});
+      held.push_back(
+          {place.machine, plan.job, std::nullopt, waiting->spec.resources * place.tasks, ""});
     }
     for (const auto& move : plan.moves) {
       const sched::Job* job = cluster_.job(move.task.job);
@@ -338,7 +339,7 @@
       if (job == nullptr || !needed) continue;
       // Guards against a job that waits though other work has ended on the target meanwhile.
       const std::string yields_to = is_interrupted(move.step) ? "" : plan.job;
-      held.push_back({move.target, move.task.job, move.task.index, job->spec.room, yields_to});
+      held.push_back({move.target, move.task.job, move.task.index, job->spec.resources, yields_to});
     }
   }
   if (held == cluster_.reservations().all()) return;
--- a/src/defrag/plan_check.cpp
+++ b/src/defrag/plan_check.cpp
@@ -22,21 +22,21 @@
 }
 
 /// Whether the machine takes work, and has so much room beside what is on it.
-bool offers(ClusterState& cluster, const std::string& id, const wire::Room& room) {
+bool offers(ClusterState& cluster, const std::string& id, const wire::Resources& resources) {
   const auto* machine = cluster.machine(id);
   const auto* type = machine != nullptr ? cluster.type(machine->kind.type) : nullptr;
   return type != nullptr && sched::usable(cluster, *machine) &&
-         room.fits_in(type->room - machine->used);
+         resources.fits_in(type->resources - machine->allocated);
 }
 
 bool is_place_lost(ClusterState& cluster, const MovePlan& plan, const sched::Job& waiting,
                    const PlannedPlace& place) {
   const auto* machine = cluster.machine(place.machine);
   if (machine == nullptr || !sched::allows(waiting.spec, machine->kind)) return true;
-  wire::Room wanted = waiting.spec.room * place.tasks;
+  wire::Resources wanted = waiting.spec.resources * place.tasks;
   for (const auto& move : plan.moves) {
     if (move.source != place.machine || !is_on_source(cluster, move)) continue;
-    wanted -= cluster.job(move.task.job)->spec.room;
+    wanted -= cluster.job(move.task.job)->spec.resources;
   }
   return !offers(cluster, place.machine, wanted);
 }
@@ -50,12 +50,12 @@
 }
 
 bool is_target_lost(ClusterState& cluster, const MovePlan& plan, bool placed) {
-  std::map<std::string, wire::Room> wanted;  // by target
+  std::map<std::string, wire::Resources> wanted;  // by target
   for (const auto& move : plan.moves) {
     const sched::Job* job = cluster.job(move.task.job);
     if (job == nullptr || !is_due_at_target(move) || (placed && !has_begun(move))) continue;
     if (!target_allows(cluster, move, *job)) return true;
-    wanted[move.target] += job->spec.room;
+    wanted[move.target] += job->spec.resources;
   }
   return std::any_of(wanted.begin(), wanted.end(), [&](const auto& target) {
     return !offers(cluster, target.first, target.second);
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -39,11 +39,11 @@
 }
 
 /// How many such tasks fit into so much room.
-double tasks_that_fit(const wire::Room& task, const wire::Room& room) {
+double tasks_that_fit(const wire::Resources& task, const wire::Resources& resources) {
   double tasks = wire::kMostTasks;
-  if (task.cpus > 0) tasks = std::min(tasks, std::floor(room.cpus / task.cpus));
-  if (task.gpus > 0) tasks = std::min(tasks, std::floor(room.gpus / task.gpus));
-  if (task.memory_gb > 0) tasks = std::min(tasks, std::floor(room.memory_gb / task.memory_gb));
+  if (task.cpus > 0) tasks = std::min(tasks, std::floor(resources.cpus / task.cpus));
+  if (task.gpus > 0) tasks = std::min(tasks, std::floor(resources.gpus / task.gpus));
+  if (task.memory_gb > 0) tasks = std::min(tasks, std::floor(resources.memory_gb / task.memory_gb));
   return std::max(tasks, 0.0);
 }
 
@@ -82,7 +82,7 @@
   // The old attempt of a gang must be gone entirely before the next begins.
   if (job.spec.kind == wire::JobKind::gang && job.live() > 0) return false;
   const auto tasks = static_cast<double>(tasks_at_once(job));
-  return sched::within_limit(cluster, job.spec.team, job.spec.room * tasks);
+  return sched::within_quota_limit(cluster, job.spec.team, job.spec.resources * tasks);
 }
 
 bool room_is_coming(sched::ClusterState& cluster, const sched::Job& job) {
@@ -91,7 +91,7 @@
     const auto* type = cluster.type(machine.kind.type);
     if (type == nullptr || machine.heartbeat_received || !sched::coming(cluster, machine)) continue;
     if (!sched::allows(job.spec, machine.kind)) continue;
-    tasks += tasks_that_fit(job.spec.room, type->room - machine.used);
+    tasks += tasks_that_fit(job.spec.resources, type->resources - machine.allocated);
   }
   return tasks >= static_cast<double>(tasks_at_once(job));
 }
--- a/src/defrag/planner.cpp
+++ b/src/defrag/planner.cpp
@@ -10,17 +10,17 @@
 namespace cranklock::defrag {
 namespace {
 
-using wire::Room;
+using wire::Resources;
 
 /// The order in which machines are emptied, where several cost the same or nearly so.
 enum class Preference { least_cost, fewest_moves, least_room };
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
-double size_of(const Room& room) {
+double size_of(const Resources& resources) {
   // GPUs are what is scarce; CPUs and memory only tell equal ones apart.
   constexpr double kCpuWeight = 1e-3, kMemoryWeight = 1e-4;
-  return room.gpus + kCpuWeight * room.cpus + kMemoryWeight * room.memory_gb;
+  return resources.gpus + kCpuWeight * resources.cpus + kMemoryWeight * resources.memory_gb;
 }
 
 double fetch_s(const Resident& resident, const Host& host) {
@@ -48,7 +48,7 @@
  private:
   /// What the plan has done to a host so far.
   struct Use {
-    Room free;
+    Resources free;
     std::set<std::size_t> leaving;
     std::size_t places = 0;
     bool gives = false, takes = false;
@@ -89,7 +89,7 @@
 }
 
 void Search::place_on(std::size_t host) {
-  use_[host].free -= demand_.spec->room;
+  use_[host].free -= demand_.spec->resources;
   ++use_[host].places;
   ++placed_in_[hosts_[host].kind.zone];
   plan_.places.push_back(host);
@@ -100,7 +100,7 @@
   std::size_t best = hosts_.size();
   looks_ += hosts_.size();
   for (std::size_t i = 0; i < hosts_.size(); ++i) {
-    if (!demand_.spec->room.fits_in(use_[i].free) || !may_hold(i, zone)) continue;
+    if (!demand_.spec->resources.fits_in(use_[i].free) || !may_hold(i, zone)) continue;
     if (best == hosts_.size() || size_of(use_[i].free) < size_of(use_[best].free)) best = i;
   }
   if (best == hosts_.size()) return false;
@@ -115,18 +115,18 @@
   std::optional<Eviction> best;
   const std::uint32_t subsets = 1U << movable.size();
   for (std::uint32_t subset = 1; subset < subsets; ++subset) {
-    Room freed = use_[host].free;
+    Resources freed = use_[host].free;
     Eviction eviction;
     for (std::size_t i = 0; i < movable.size(); ++i) {
       if ((subset >> i & 1U) == 0) continue;
       const Resident& resident = from.residents[movable[i]];
-      freed += resident.spec->room;
+      freed += resident.spec->resources;
       eviction.cost_s += *resident.move_cost_s;
       eviction.residents.push_back(movable[i]);
     }
     const bool better = !best || std::pair(eviction.cost_s, eviction.residents.size()) <
                                      std::pair(best->cost_s, best->residents.size());
-    if (better && demand_.spec->room.fits_in(freed)) best = std::move(eviction);
+    if (better && demand_.spec->resources.fits_in(freed)) best = std::move(eviction);
   }
   return best;
 }
@@ -135,27 +135,27 @@
   constexpr std::size_t kMostTried = 10;
   const Host& from = hosts_[host];
   std::vector<std::size_t> movable;
-  Room most = use_[host].free;
+  Resources most = use_[host].free;
   for (std::size_t i = 0; i < from.residents.size(); ++i) {
     if (!from.residents[i].move_cost_s || use_[host].leaving.contains(i)) continue;
     movable.push_back(i);
-    most += from.residents[i].spec->room;
+    most += from.residents[i].spec->resources;
   }
-  if (!demand_.spec->room.fits_in(most)) return std::nullopt;
+  if (!demand_.spec->resources.fits_in(most)) return std::nullopt;
   // Of more, those that cost least for their size.
   std::sort(movable.begin(), movable.end(), [&](std::size_t a, std::size_t b) {
     const auto price = [&](std::size_t i) {
       const Resident& resident = from.residents[i];
-      return *resident.move_cost_s / std::max(size_of(resident.spec->room), 1e-9);
+      return *resident.move_cost_s / std::max(size_of(resident.spec->resources), 1e-9);
     };
     return price(a) < price(b);
   });
   if (movable.size() <= kMostTried) return best_subset(host, movable);
   Eviction eviction;
-  Room freed = use_[host].free;
+  Resources freed = use_[host].free;
   for (const auto i : movable) {
-    if (demand_.spec->room.fits_in(freed)) break;
-    freed += from.residents[i].spec->room;
+    if (demand_.spec->resources.fits_in(freed)) break;
+    freed += from.residents[i].spec->resources;
     eviction.cost_s += *from.residents[i].move_cost_s;
     eviction.residents.push_back(i);
   }
@@ -172,7 +172,8 @@
       break;
   }
   double size = 0;
-  for (const auto i : eviction.residents) size += size_of(hosts_[host].residents[i].spec->room);
+  for (const auto i : eviction.residents)
+    size += size_of(hosts_[host].residents[i].spec->resources);
   return size;
 }
 
@@ -183,7 +184,7 @@
   for (std::size_t i = 0; i < hosts_.size(); ++i) {
     const Host& host = hosts_[i];
     if (i == from || use_[i].gives || !host.receives) continue;
-    if (!resident.spec->room.fits_in(use_[i].free)) continue;
+    if (!resident.spec->resources.fits_in(use_[i].free)) continue;
     if (!sched::allows(*resident.spec, host.kind)) continue;
     if (resident.zone_bound && host.kind.zone != hosts_[from].kind.zone) continue;
     // Best fit among equally dear ones.
@@ -200,8 +201,8 @@
   const double cost_before = plan_.cost_s;
   auto order = eviction.residents;
   std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    return size_of(hosts_[host].residents[a].spec->room) >
-           size_of(hosts_[host].residents[b].spec->room);
+    return size_of(hosts_[host].residents[a].spec->resources) >
+           size_of(hosts_[host].residents[b].spec->resources);
   });
   use_[host].gives = true;
   for (const auto i : order) {
@@ -214,9 +215,9 @@
       return false;
     }
     const double cost = *resident.move_cost_s + fetch_s(resident, hosts_[*target]);
-    use_[*target].free -= resident.spec->room;
+    use_[*target].free -= resident.spec->resources;
     use_[*target].takes = true;
-    use_[host].free += resident.spec->room;
+    use_[host].free += resident.spec->resources;
     use_[host].leaving.insert(i);
     plan_.moves.push_back({host, i, *target, cost});
     plan_.cost_s += cost;
--- a/src/defrag/planner.hpp
+++ b/src/defrag/planner.hpp
@@ -27,7 +27,7 @@
 struct Host {
   std::string id;
   sched::MachineKind kind;
-  wire::Room free;
+  wire::Resources free;
   std::vector<Resident> residents;
   std::set<std::string> images;
   double fetch_gb_per_s = 1;
--- a/src/regions/amounts.hpp
+++ b/src/regions/amounts.hpp
@@ -91,13 +91,13 @@
 
 /// What tasks take: the same of the guarantee and of the limit. Rounded up, so that no use is
 /// counted as less than it is.
-inline Amounts used_amounts(const wire::Room& room) {
+inline Amounts used_amounts(const wire::Resources& resources) {
   constexpr double kSlack = 1e-3;  // sums of decimal amounts, in thousandths
   const auto up = [](double amount) {
     return static_cast<std::int64_t>(
         std::ceil(amount * static_cast<double>(Amounts::kUnit) - kSlack));
   };
-  return Amounts({up(room.cpus), up(room.cpus), up(room.gpus), up(room.gpus)});
+  return Amounts({up(resources.cpus), up(resources.cpus), up(resources.gpus), up(resources.gpus)});
 }
 
 }  // namespace cranklock::regions
--- a/src/regions/demand.cpp
+++ b/src/regions/demand.cpp
@@ -30,7 +30,7 @@
     if (tasks == 0) continue;
     const auto [entry, first] = demands.try_emplace(job.spec.team);
     TeamDemand& demand = entry->second;
-    demand.waiting += used_amounts(job.spec.room * static_cast<double>(tasks));
+    demand.waiting += used_amounts(job.spec.resources * static_cast<double>(tasks));
     demand.waiting_since_ms =
         first ? job.ready_ms : std::min(demand.waiting_since_ms, job.ready_ms);
   }
@@ -39,7 +39,7 @@
 }
 
 Amounts used_share(const sched::ClusterState& cluster, const std::string& team) {
-  return used_amounts(cluster.team_use(team));
+  return used_amounts(cluster.team_allocation(team));
 }
 
 }  // namespace cranklock::regions
--- a/src/regions/share_book.cpp
+++ b/src/regions/share_book.cpp
@@ -64,13 +64,13 @@
 }
 
 // The settings' limit holds too: shares were made from the limit of their time.
-wire::Room ShareBook::guarantee(const base::Team& team) const {
+wire::Resources ShareBook::guarantee(const base::Team& team) const {
   const Amounts amounts = held(team.name);
   return {std::min(team.cpus, to_amount(amounts[Resource::guaranteed_cpus])),
           std::min(team.gpus, to_amount(amounts[Resource::guaranteed_gpus])), 0};
 }
 
-wire::Room ShareBook::limit(const base::Team& team) const {
+wire::Resources ShareBook::limit(const base::Team& team) const {
   const Amounts amounts = held(team.name);
   return {std::min(team.cpus_max, to_amount(amounts[Resource::cpus])),
           std::min(team.gpus_max, to_amount(amounts[Resource::gpus])), 0};
--- a/src/regions/share_book.hpp
+++ b/src/regions/share_book.hpp
@@ -41,8 +41,8 @@
   /// is held stays usable, and nothing is moved.
   bool is_frozen() const { return frozen_; }
 
-  wire::Room guarantee(const base::Team& team) const override;
-  wire::Room limit(const base::Team& team) const override;
+  wire::Resources guarantee(const base::Team& team) const override;
+  wire::Resources limit(const base::Team& team) const override;
   /// Whether this region is the founder, and has made the shares of all teams.
   bool all_founded() const;
   /// What may be used here: certainly stored, and not being given away.
--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -10,15 +10,16 @@
   constexpr double kTxnBytes = 60.0 * 1024;
   const double value = settings.value_kb * 1024 - kValueBytes;
   // The description takes up to a value's worth.
-  const double room = std::min(value * (settings.txn_ops - 1), kTxnBytes - value);
-  return static_cast<std::size_t>(std::max(room / kTaskBytes, 1.0));
+  const double resources = std::min(value * (settings.txn_ops - 1), kTxnBytes - value);
+  return static_cast<std::size_t>(std::max(resources / kTaskBytes, 1.0));
 }
 
-bool within_limit(const ClusterState& cluster, const std::string& team, const wire::Room& more) {
+bool within_quota_limit(const ClusterState& cluster, const std::string& team,
+                        const wire::Resources& more) {
   const auto* settings = cluster.settings().team(team);
   if (settings == nullptr) return false;
-  const wire::Room sum = cluster.team_use(team) + more;
-  const wire::Room limit = cluster.limit_of(*settings);
+  const wire::Resources sum = cluster.team_allocation(team) + more;
+  const wire::Resources limit = cluster.limit_for(*settings);
   constexpr double kSlack = 1e-6;
   return (settings->gpus_max <= 0 || sum.gpus <= limit.gpus + kSlack) &&
          (settings->cpus_max <= 0 || sum.cpus <= limit.cpus + kSlack);
--- a/src/sched/availability.hpp
+++ b/src/sched/availability.hpp
@@ -15,7 +15,8 @@
 std::size_t most_live_tasks(const base::Settings& settings);
 
 /// Whether the team may use this much more.
-bool within_limit(const ClusterState& cluster, const std::string& team, const wire::Room& more);
+bool within_quota_limit(const ClusterState& cluster, const std::string& team,
+                        const wire::Resources& more);
 
 /// Whether new work may be put on this machine.
 bool usable(const ClusterState& cluster, const Machine& machine);
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -52,10 +52,10 @@
   }
 }
 
-const wire::Room& ClusterState::team_use(const std::string& team) const {
-  static const wire::Room none;
-  const auto it = team_use_.find(team);
-  return it == team_use_.end() ? none : it->second;
+const wire::Resources& ClusterState::team_allocation(const std::string& team) const {
+  static const wire::Resources none;
+  const auto it = team_allocation_.find(team);
+  return it == team_allocation_.end() ? none : it->second;
 }
 
 void ClusterState::set_reservations(Reservations reservations) {
@@ -79,7 +79,7 @@
 
 void ClusterState::attach(Job& job, Placement& placement) {
   if (placement.ended) return;
-  team_use_[job.spec.team] += job.spec.room;
+  team_allocation_[job.spec.team] += job.spec.resources;
   const PlacementRef held{&job, placement.task, placement.attempt};
   Machine* m = machine(placement.machine);
   // A record may name a machine that neither list nor report has shown yet.
@@ -87,12 +87,12 @@
     unseen_[placement.machine].push_back(held);
     return;
   }
-  m->used += job.spec.room;
+  m->allocated += job.spec.resources;
   m->tasks.push_back(held);
 }
 
 void ClusterState::detach(Job& job, const Placement& placement, double now) {
-  team_use_[job.spec.team] -= job.spec.room;
+  team_allocation_[job.spec.team] -= job.spec.resources;
   const PlacementRef held{&job, placement.task, placement.attempt};
   Machine* m = machine(placement.machine);
   if (m == nullptr) {
@@ -105,9 +105,9 @@
   const auto it = std::find(m->tasks.begin(), m->tasks.end(), held);
   if (it == m->tasks.end()) return;
   m->tasks.erase(it);
-  m->used -= job.spec.room;
+  m->allocated -= job.spec.resources;
   if (m->tasks.empty()) {
-    m->used = {};
+    m->allocated = {};
     m->idle_since = now;
   }
 }
@@ -319,7 +319,7 @@
   if (const auto unseen = unseen_.find(id); unseen != unseen_.end()) {
     put.tasks = std::move(unseen->second);
     unseen_.erase(unseen);
-    for (const auto& held : put.tasks) put.used += held.job->spec.room;
+    for (const auto& held : put.tasks) put.allocated += held.job->spec.resources;
   }
   changed_ = true;
   return put;
@@ -348,7 +348,7 @@
   }
 }
 
-void ClusterState::used_image(Machine& m, const wire::JobSpec& spec) {
+void ClusterState::record_image_use(Machine& m, const wire::JobSpec& spec) {
   std::erase_if(m.images, [&](const auto& held) { return held.first == spec.image; });
   m.images.emplace_back(spec.image, spec.image_gb);
   const auto* t = type(m.kind.type);
@@ -419,7 +419,7 @@
     case Cause::error:
       if (!job.cancelled()) task_failed(job, m, now);
       break;
-    case Cause::no_room:
+    case Cause::insufficient_resources:
     case Cause::busy:
     case Cause::unknown:
       job.backoff_until = now + settings_.heartbeat_interval_s;
@@ -526,7 +526,7 @@
     return;
   }
   if (!placement.seen || (placement.state != t.state && t.state == TaskState::running)) {
-    used_image(m, job.spec);
+    record_image_use(m, job.spec);
     if (t.state == TaskState::running) placement.running_since = now;
   }
   // A replica never completes: one that has run for so long works.
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -71,7 +71,7 @@
   std::set<std::string> failed_jobs;  ///< since something last worked there, but those at fault
   int unknown_tasks = 0;              ///< reported tasks without a placement, not yet exited
   std::vector<std::pair<std::string, double>> images;  ///< most recently used last
-  wire::Room used;
+  wire::Resources allocated;
   std::vector<PlacementRef> tasks;
   /// Starts in doubt in the present session: what must not be forgotten there.
   std::set<std::pair<wire::TaskName, std::uint64_t>> unconfirmed_starts;
@@ -177,15 +177,15 @@
   const std::map<std::string, wire::MachineType>& types() const { return types_; }
   const wire::MachineType* type(const std::string& name) const;
 
-  const wire::Room& team_use(const std::string& team) const;
+  const wire::Resources& team_allocation(const std::string& team) const;
   /// What teams may use here when that is less than the settings say; nullptr: all of it. Asked as
   /// long as anything is placed here.
   void set_team_shares(const TeamShares* shares) { team_shares_ = shares; }
-  wire::Room guarantee_of(const base::Team& team) const {
-    return team_shares_ != nullptr ? team_shares_->guarantee(team) : whole_guarantee(team);
+  wire::Resources guarantee_for(const base::Team& team) const {
+    return team_shares_ != nullptr ? team_shares_->guarantee(team) : full_guarantee(team);
   }
-  wire::Room limit_of(const base::Team& team) const {
-    return team_shares_ != nullptr ? team_shares_->limit(team) : whole_limit(team);
+  wire::Resources limit_for(const base::Team& team) const {
+    return team_shares_ != nullptr ? team_shares_->limit(team) : full_limit(team);
   }
   /// Replaces all reservations, those of the plan of moves that is under way.
   void set_reservations(Reservations reservations);
@@ -218,7 +218,7 @@
   static void note_works(Job& job);
   void allow_silence(const std::string& zone, double until);
   void break_gang(Job& job, std::uint64_t attempt, double now);
-  void used_image(Machine& machine, const wire::JobSpec& spec);
+  void record_image_use(Machine& machine, const wire::JobSpec& spec);
   void update_needs(Job& job);
   void cancel_dependents(const Job& cancelled);
   void attach(Job& job, Placement& placement);
@@ -232,7 +232,7 @@
   std::map<std::string, Machine> machines_;
   /// Places on machines that neither list nor report has shown yet, by machine.
   std::map<std::string, std::vector<PlacementRef>> unseen_;
-  std::map<std::string, wire::Room> team_use_;
+  std::map<std::string, wire::Resources> team_allocation_;
   const TeamShares* team_shares_ = nullptr;
   Reservations reservations_;
   std::map<std::string, wire::MachineType> types_;
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -15,10 +15,10 @@
 namespace {
 
 using wire::JobKind;
-using wire::Room;
+using wire::Resources;
 
 /// The largest share of a machine's room that an amount takes.
-double share_of(const Room& part, const Room& whole) {
+double share_of(const Resources& part, const Resources& whole) {
   double share = 0;
   if (whole.cpus > 0) share = std::max(share, part.cpus / whole.cpus);
   if (whole.gpus > 0) share = std::max(share, part.gpus / whole.gpus);
@@ -27,8 +27,8 @@
 }
 
 /// Whether so much of the team's work, its earliest first, is within its guarantee here.
-bool within_guarantee(const ClusterState& cluster, const base::Team& team, const Room& sum) {
-  const Room guarantee = cluster.guarantee_of(team);
+bool within_guarantee(const ClusterState& cluster, const base::Team& team, const Resources& sum) {
+  const Resources guarantee = cluster.guarantee_for(team);
   return (team.gpus > 0 || team.cpus > 0) && (team.gpus <= 0 || sum.gpus <= guarantee.gpus) &&
          (team.cpus <= 0 || sum.cpus <= guarantee.cpus);
 }
@@ -36,9 +36,9 @@
 /// A candidate for a task: a machine there is, or one that boots or would be rented.
 struct Slot {
   MachineKind kind;
-  Room free;
+  Resources free;
   Machine* machine = nullptr;
-  Room leaving;  ///< of tasks that are being stopped
+  Resources leaving;  ///< of tasks that are being stopped
   const Job* reserved = nullptr;
   const wire::MachineType* type = nullptr;
   bool has_reservations = false;  ///< a plan of moves holds room there
@@ -61,10 +61,10 @@
  public:
   Pass(ClusterState& cluster, const std::map<MachineKind, double>& refused_until, double now)
       : cluster_(cluster), refused_until_(refused_until), now_(now) {
-    std::map<std::string, Room> leaving;  // by machine; few are being stopped
+    std::map<std::string, Resources> leaving;  // by machine; few are being stopped
     for (const auto& [id, job] : cluster.jobs()) {
       for (const auto& p : job.placements) {
-        if (!p.ended && (p.stop || job.cancelled())) leaving[p.machine] += job.spec.room;
+        if (!p.ended && (p.stop || job.cancelled())) leaving[p.machine] += job.spec.resources;
       }
     }
     for (auto& [id, m] : cluster.machines()) {
@@ -72,11 +72,11 @@
       if (t == nullptr) continue;
       if (usable(cluster, m)) {
         const auto stopped = leaving.find(id);
-        slots_.push_back({m.kind, t->room - m.used, &m,
-                          stopped == leaving.end() ? Room{} : stopped->second, nullptr, t});
+        slots_.push_back({m.kind, t->resources - m.allocated, &m,
+                          stopped == leaving.end() ? Resources{} : stopped->second, nullptr, t});
         slots_.back().has_reservations = cluster.reservations().any_on(id);
       } else if (coming(cluster, m)) {
-        booting_.push_back({m.kind, t->room - m.used, nullptr, {}, nullptr, t});
+        booting_.push_back({m.kind, t->resources - m.allocated, nullptr, {}, nullptr, t});
       }
     }
   }
@@ -106,8 +106,8 @@
   void take_reservations_in();
   void place_rescheduled();
   bool may_reschedule(const Job& job, std::uint32_t task, const Slot& slot) const;
-  Room room_for(const Job& job, const Slot& slot) const;
-  Room held_from(const Job& job, const Slot& slot) const;
+  Resources room_for(const Job& job, const Slot& slot) const;
+  Resources held_from(const Job& job, const Slot& slot) const;
   std::vector<Job*> waiting_jobs();
   void place(Job& job);
   bool place_gang(Job& job, const std::vector<std::uint32_t>& tasks);
@@ -167,7 +167,7 @@
   std::size_t most_looks_ = 0;
   /// Whether anything runs of a rank, and whether some of it is not (0), or is (1), guaranteed.
   std::map<wire::Priority, std::array<bool, 2>> running_;
-  std::map<std::string, Room> planned_;  ///< by team, of shortfall already counted
+  std::map<std::string, Resources> planned_;  ///< by team, of shortfall already counted
   PassResult result_;
 };
 
@@ -181,11 +181,11 @@
   std::sort(by_age.begin(), by_age.end(), [](const Job* a, const Job* b) {
     return std::pair(a->ready_ms, a->spec.id) < std::pair(b->ready_ms, b->spec.id);
   });
-  std::map<std::string, Room> earlier;
+  std::map<std::string, Resources> earlier;
   std::vector<Job*> waiting;
   for (Job* job : by_age) {
-    Room& sum = earlier[job->spec.team];
-    sum += job->spec.room * job->spec.tasks;
+    Resources& sum = earlier[job->spec.team];
+    sum += job->spec.resources * job->spec.tasks;
     const auto* team = cluster_.settings().team(job->spec.team);
     job->guaranteed = team != nullptr && within_guarantee(cluster_, *team, sum);
     if (job->live() > 0) running_[job->urgency.priority][job->guaranteed ? 1 : 0] = true;
@@ -216,8 +216,9 @@
     return false;
   }
   return job.live() < most_live_tasks(cluster_.settings()) &&
-         within_limit(cluster_, job.spec.team, job.spec.room) && allows(job.spec, slot.kind) &&
-         zone_allows(job, zones_of(job), slot.kind.zone) && job.spec.room.fits_in(slot.free);
+         within_quota_limit(cluster_, job.spec.team, job.spec.resources) &&
+         allows(job.spec, slot.kind) && zone_allows(job, zones_of(job), slot.kind.zone) &&
+         job.spec.resources.fits_in(slot.free);
 }
 
 // Tasks that a plan has stopped go to their targets before anything else is placed. Guards against
@@ -238,27 +239,27 @@
 }
 
 // What is reserved on the slot for others, save for those whose room the job is entitled to.
-Room Pass::held_from(const Job& job, const Slot& slot) const {
-  Room held;
+Resources Pass::held_from(const Job& job, const Slot& slot) const {
+  Resources held;
   for (const Reservation* reservation : reservations_) {
     if (reservation->machine != slot.machine->id) continue;
     const Job& holder = *cluster_.job(reservation->job);
     if (&holder == &job && !reservation->task) continue;
     if (reservation->yields_to == job.spec.id) continue;
     if (&holder != &job && may_preempt(job, holder)) continue;
-    held += reservation->room;
+    held += reservation->resources;
   }
   return held;
 }
 
-Room Pass::room_for(const Job& job, const Slot& slot) const {
+Resources Pass::room_for(const Job& job, const Slot& slot) const {
   if (!slot.has_reservations) return slot.free;
-  const Room room = slot.free - held_from(job, slot);
-  if (job.spec.room.fits_in(slot.free + slot.leaving) &&
-      !job.spec.room.fits_in(room + slot.leaving)) {
+  const Resources resources = slot.free - held_from(job, slot);
+  if (job.spec.resources.fits_in(slot.free + slot.leaving) &&
+      !job.spec.resources.fits_in(resources + slot.leaving)) {
     held_back_ = true;
   }
-  return room;
+  return resources;
 }
 
 ZoneCount Pass::zones_of(const Job& job) const {
@@ -293,7 +294,7 @@
   // Best fit keeps whole machines for the largest; a full machine's worth of room left over weighs
   // a tenth of what its boot does.
   constexpr double kFragmentation = 0.1;
-  seconds += kFragmentation * t->ready_s * share_of(slot.free - job.spec.room, t->room);
+  seconds += kFragmentation * t->ready_s * share_of(slot.free - job.spec.resources, t->resources);
   if (job.spec.spot && !slot.kind.spot) seconds += t->ready_s;
   if (exposed(job, slot.kind.zone)) seconds += kExposed * t->ready_s;
   if (job.spec.spread) {
@@ -309,7 +310,7 @@
   if (cluster_.reservations().any_for_waiting(job.spec.id)) return false;
   return std::any_of(failed.begin(), failed.end(), [&](const Job* other) {
     const auto& f = other->spec;
-    return f.room.fits_in(job.spec.room) && (f.spot || !job.spec.spot) &&
+    return f.resources.fits_in(job.spec.resources) && (f.spot || !job.spec.spot) &&
            (f.types.empty() || f.types == job.spec.types) &&
            (f.zone.empty() || f.zone == job.spec.zone);
   });
@@ -328,7 +329,7 @@
   double best_cost = std::numeric_limits<double>::infinity();
   result_.looked_at += slots_.size();
   for (auto& slot : slots_) {
-    if (!job.spec.room.fits_in(room_for(job, slot)) || !allows(job.spec, slot.kind)) continue;
+    if (!job.spec.resources.fits_in(room_for(job, slot)) || !allows(job.spec, slot.kind)) continue;
     if (!only_zone.empty() && slot.kind.zone != only_zone) continue;
     if (slot.reserved != nullptr && slot.reserved != &job) continue;
     if (!zone_allows(job, zones, slot.kind.zone)) continue;
@@ -342,7 +343,7 @@
 
 void Pass::take(Job& job, std::uint32_t task, std::uint64_t attempt, Slot& slot) {
   cluster_.add_placement(job, task, attempt, slot.machine->id, now_);
-  slot.free -= job.spec.room;
+  slot.free -= job.spec.resources;
   ++result_.placed;
 }
 
@@ -365,7 +366,7 @@
     for (std::size_t i = 0; i < tasks.size(); ++i) {
       Slot* slot = best_slot(job, count, zone);
       if (slot == nullptr) break;
-      slot->free -= job.spec.room;
+      slot->free -= job.spec.resources;
       ++count.count[slot->kind.zone];
       ++count.total;
       chosen.push_back(static_cast<std::size_t>(slot - slots_.data()));
@@ -389,7 +390,7 @@
   if (job.spec.kind == JobKind::gang) {
     // The old attempt must be gone entirely before the next begins.
     if (live > 0 || tasks.size() != job.spec.tasks) return;
-    if (!within_limit(cluster_, job.spec.team, job.spec.room * job.spec.tasks)) return;
+    if (!within_quota_limit(cluster_, job.spec.team, job.spec.resources * job.spec.tasks)) return;
     held_back_ = false;
     if (is_hopeless(job, no_room_for_) || !place_gang(job, tasks)) {
       unplaced_.push_back(&job);
@@ -400,9 +401,9 @@
   auto zones = zones_of(job);
   Slot* slot = nullptr;
   for (const auto task : tasks) {
-    if (!within_limit(cluster_, job.spec.team, job.spec.room)) return;
+    if (!within_quota_limit(cluster_, job.spec.team, job.spec.resources)) return;
     // Where one task fits best the next does too, as long as it fits: less is left over there.
-    if (slot == nullptr || job.spec.spread || !job.spec.room.fits_in(room_for(job, *slot))) {
+    if (slot == nullptr || job.spec.spread || !job.spec.resources.fits_in(room_for(job, *slot))) {
       held_back_ = false;
       slot = is_hopeless(job, no_room_for_) ? nullptr : best_slot(job, zones, "");
     }
@@ -427,10 +428,10 @@
     if (slot.reserved != nullptr) continue;
     // Room that is being made is for whom it is made.
     const bool being_made = slot.leaving.gpus + slot.leaving.cpus > 0 &&
-                            job.spec.room.fits_in(room_for(job, slot) + slot.leaving);
-    const bool better = job.spec.room.fits_in(slot.type->room) &&
+                            job.spec.resources.fits_in(room_for(job, slot) + slot.leaving);
+    const bool better = job.spec.resources.fits_in(slot.type->resources) &&
                         now_ - job.known_since >= slot.type->ready_s &&
-                        2 * share_of(job.spec.room, slot.type->room) >= 1 &&
+                        2 * share_of(job.spec.resources, slot.type->resources) >= 1 &&
                         (best == nullptr || slot.free.gpus > best->free.gpus);
     if (!(being_made || better) || !allows(job.spec, slot.kind)) continue;
     best = &slot;
@@ -452,10 +453,10 @@
       const auto* t = slot.type;
       if (slot.reserved != nullptr || !allows(job.spec, slot.kind)) continue;
       if (!zone.empty() && slot.kind.zone != zone) continue;
-      if (job.spec.room.fits_in(room_for(job, slot) + slot.leaving)) {
+      if (job.spec.resources.fits_in(room_for(job, slot) + slot.leaving)) {
         fitting.push_back(&slot);
-      } else if (job.spec.room.fits_in(t->room) && now_ - job.known_since > t->ready_s &&
-                 2 * share_of(job.spec.room, t->room) >= 1) {
+      } else if (job.spec.resources.fits_in(t->resources) && now_ - job.known_since > t->ready_s &&
+                 2 * share_of(job.spec.resources, t->resources) >= 1) {
         others.push_back(&slot);
       }
     }
@@ -482,14 +483,14 @@
 void Pass::make_room(Job& job) {
   if (job.spec.kind == JobKind::gang) return make_room_for_gang(job);
   auto zones = zones_of(job);
-  Room planned;
+  Resources planned;
   auto& failed = no_victims_for_[{job.spec.team, job.urgency.priority, job.guaranteed}];
   held_back_ = false;
   if (is_hopeless(job, failed)) return;
   for (auto missing = job.pending_count(); missing > 0 && result_.looked_at < most_looks_;
        --missing) {
-    planned += job.spec.room;
-    if (!within_limit(cluster_, job.spec.team, planned)) return;
+    planned += job.spec.resources;
+    if (!within_quota_limit(cluster_, job.spec.team, planned)) return;
     const auto choice = choose_room(job, zones, "", {});
     if (!choice) return note_hopeless(job, failed);
     ++zones.count[choice->slot->kind.zone];
@@ -515,10 +516,10 @@
       ++count.count[choice->slot->kind.zone];
       ++count.total;
       if (!choice->victims.empty()) taken.insert(choice->slot);
-      choice->slot->free -= job.spec.room;
+      choice->slot->free -= job.spec.resources;
       choices.push_back(std::move(*choice));
     }
-    for (const auto& choice : choices) choice.slot->free += job.spec.room;
+    for (const auto& choice : choices) choice.slot->free += job.spec.resources;
     if (choices.size() < job.spec.tasks || loss >= best_loss) continue;
     best = std::move(choices);
     best_loss = loss;
@@ -565,32 +566,33 @@
   const bool preempts = may_preempt_any(job);
   result_.looked_at += slots_.size();
   for (auto& slot : slots_) {
-    Room room = room_for(job, slot) + slot.leaving;
-    if (!preempts && !job.spec.room.fits_in(room)) continue;
+    Resources resources = room_for(job, slot) + slot.leaving;
+    if (!preempts && !job.spec.resources.fits_in(resources)) continue;
     if (slot.reserved != nullptr && slot.reserved != &job) continue;
     if (!allows(job.spec, slot.kind) || !zone_allows(job, zones, slot.kind.zone)) continue;
     if ((!only_zone.empty() && slot.kind.zone != only_zone) || taken.contains(&slot)) continue;
-    if (job.spec.room.fits_in(room)) return Choice{&slot, {}, 0};  // what leaves there suffices
+    if (job.spec.resources.fits_in(resources))
+      return Choice{&slot, {}, 0};  // what leaves there suffices
     const auto candidates = victims_on(job, slot);
     Choice choice{&slot, {}, 0};
     for (const auto& c : candidates) {
-      if (job.spec.room.fits_in(room)) break;
-      room += c.job->spec.room;
+      if (job.spec.resources.fits_in(resources)) break;
+      resources += c.job->spec.resources;
       choice.loss += 1 + c.loss;
       choice.victims.push_back(c);
     }
-    if (!job.spec.room.fits_in(room) || (best && choice.loss >= best->loss)) continue;
+    if (!job.spec.resources.fits_in(resources) || (best && choice.loss >= best->loss)) continue;
     best = std::move(choice);
   }
   return best;
 }
 
 void Pass::stop_victims(const Job& job, const Choice& choice) {
-  choice.slot->free -= job.spec.room;
+  choice.slot->free -= job.spec.resources;
   for (const auto& v : choice.victims) {
     ClusterState::request_stop(*v.placement, v.job->spec.checkpoint_s > 0 ? v.job->spec.save_s : 0,
                                now_);
-    choice.slot->leaving += v.job->spec.room;
+    choice.slot->leaving += v.job->spec.resources;
     ++result_.stopped;
   }
 }
@@ -626,7 +628,8 @@
 
 double Pass::price_of(const Job& job, const ZoneCount& zones, const MachineKind& kind,
                       const wire::MachineType& type) const {
-  double price = (kind.spot ? type.spot_price : type.price) * share_of(job.spec.room, type.room);
+  double price =
+      (kind.spot ? type.spot_price : type.price) * share_of(job.spec.resources, type.resources);
   if (exposed(job, kind.zone)) price *= 1 + kExposed;
   // Where boots are late the task waits for longer, and more is paid for machines that never come.
   price *= cluster_.boot_penalty(type, kind.zone, now_);
@@ -642,7 +645,7 @@
   std::optional<MachineKind> best;
   double best_price = std::numeric_limits<double>::infinity();
   for (const auto& [name, type] : cluster_.types()) {
-    if (!job.spec.room.fits_in(type.room)) continue;
+    if (!job.spec.resources.fits_in(type.resources)) continue;
     for (const auto& zone : type.zones) {
       if (cluster_.is_unreachable(zone)) continue;
       for (const bool spot : {true, false}) {
@@ -659,11 +662,11 @@
 void Pass::add_shortfall(const Job& job, ZoneCount zones, std::uint32_t missing, bool replaces) {
   if (job.failures > 0) return;  // machines are not what it lacks
   const auto fits = [&](const Slot& slot) {
-    return job.spec.room.fits_in(room_for(job, slot)) && allows(job.spec, slot.kind) &&
+    return job.spec.resources.fits_in(room_for(job, slot)) && allows(job.spec, slot.kind) &&
            zone_allows(job, zones, slot.kind.zone);
   };
   const auto use = [&](Slot& slot) {
-    slot.free -= job.spec.room;
+    slot.free -= job.spec.resources;
     ++zones.count[slot.kind.zone];
     ++zones.total;
   };
@@ -671,38 +674,38 @@
   auto ready = slots_.begin(), booting = booting_.begin();
   std::size_t rented = 0;  // an index, as the list grows
   for (; missing > 0; --missing) {
-    Room& planned = planned_[job.spec.team];
+    Resources& planned = planned_[job.spec.team];
     if (!replaces) {  // what is to be replaced is counted already
-      if (!within_limit(cluster_, job.spec.team, planned + job.spec.room)) return;
-      planned += job.spec.room;
+      if (!within_quota_limit(cluster_, job.spec.team, planned + job.spec.resources)) return;
+      planned += job.spec.resources;
     }
     if (replaces || job.spec.kind == JobKind::gang) {
       // Part of a gang, or of what will be lost, may find room; only the rest is missing.
       ready = std::find_if(ready, slots_.end(), fits);
       if (ready != slots_.end()) {
-        result_.shortfall.waiting[pool_of(ready->kind)] += job.spec.room;
+        result_.shortfall.waiting[pool_of(ready->kind)] += job.spec.resources;
         use(*ready);
         continue;
       }
     }
     booting = std::find_if(booting, booting_.end(), fits);
     if (booting != booting_.end()) {
-      result_.shortfall.waiting[pool_of(booting->kind)] += job.spec.room;
+      result_.shortfall.waiting[pool_of(booting->kind)] += job.spec.resources;
       use(*booting);
       continue;
     }
     while (rented < virtual_.size() && !fits(virtual_[rented])) ++rented;
     if (rented < virtual_.size()) {
-      result_.shortfall.waiting[pool_of(virtual_[rented].kind)] += job.spec.room;
+      result_.shortfall.waiting[pool_of(virtual_[rented].kind)] += job.spec.resources;
       use(virtual_[rented]);
       continue;
     }
     const auto best = cheapest_kind(job, zones);
     if (!best) return;
     ++result_.shortfall.wanted[*best];
-    result_.shortfall.waiting[pool_of(*best)] += job.spec.room;
+    result_.shortfall.waiting[pool_of(*best)] += job.spec.resources;
     const auto* type = cluster_.type(best->type);
-    virtual_.push_back({*best, type->room, nullptr, {}, nullptr, type});
+    virtual_.push_back({*best, type->resources, nullptr, {}, nullptr, type});
     use(virtual_.back());
   }
 }
--- a/src/sched/placement.hpp
+++ b/src/sched/placement.hpp
@@ -26,7 +26,7 @@
   /// New machines by kind, beyond those that are booting.
   std::map<MachineKind, int> wanted;
   /// Room asked by waiting tasks, by the pool that would take them.
-  std::map<PoolId, wire::Room> waiting;
+  std::map<PoolId, wire::Resources> waiting;
 };
 
 struct PassResult {
--- a/src/sched/reservations.hpp
+++ b/src/sched/reservations.hpp
@@ -20,7 +20,7 @@
   std::string job;
   /// The task that is rescheduled to the machine; none: the room is for any task of the job.
   std::optional<std::uint32_t> task;
-  wire::Room room;
+  wire::Resources resources;
   /// A job that may take the room all the same; empty: none.
   std::string yields_to;
   bool operator==(const Reservation&) const = default;
--- a/src/sched/scaler.cpp
+++ b/src/sched/scaler.cpp
@@ -7,7 +7,7 @@
 
 namespace cranklock::sched {
 namespace {
-double largest_share(const wire::Room& part, const wire::Room& whole) {
+double largest_share(const wire::Resources& part, const wire::Resources& whole) {
   double share = 0;
   if (whole.cpus > 0) share = std::max(share, part.cpus / whole.cpus);
   if (whole.gpus > 0) share = std::max(share, part.gpus / whole.gpus);
@@ -55,8 +55,8 @@
     // What boots already counts: the step is what is still missing, up to its cap.
     const int by_share = static_cast<int>(settings_.most_step_share * reading.machines);
     const int most_step = std::max(settings_.most_step, by_share);
-    const int room = std::min(most_step, settings_.most_machines - reading.machines);
-    return std::clamp(std::max(reading.wanted, reading.missing), 0, std::max(room, 0));
+    const int resources = std::min(most_step, settings_.most_machines - reading.machines);
+    return std::clamp(std::max(reading.wanted, reading.missing), 0, std::max(resources, 0));
   }
   if (reading.score < settings_.low) {
     if (!whole_window(settings_.down_window_s, [&](double s) { return s < settings_.low; })) {
@@ -80,7 +80,7 @@
   struct Sum {
     double booked = 0;
     int ready = 0, booting = 0;
-    wire::Room asked;
+    wire::Resources asked;
   };
   std::map<PoolId, Sum> sums;
   for (const auto& [name, type] : cluster.types()) sums[{name, false}], sums[{name, true}];
@@ -90,7 +90,7 @@
     Sum& sum = sums[pool_of(m.kind)];
     if (usable(cluster, m)) {
       ++sum.ready;
-      sum.booked += largest_share(m.used, type->room);
+      sum.booked += largest_share(m.allocated, type->resources);
     } else if (coming(cluster, m)) {
       ++sum.booting;
     }
@@ -100,9 +100,9 @@
         !m.kind.spot && std::all_of(m.tasks.begin(), m.tasks.end(), [&](const PlacementRef& held) {
           return allows(held.job->spec, as_spot);
         });
-    if (could_go) sums[pool_of(as_spot)].asked += m.used;
+    if (could_go) sums[pool_of(as_spot)].asked += m.allocated;
   }
-  for (const auto& [pool, room] : shortfall.waiting) sums[pool].asked += room;
+  for (const auto& [pool, resources] : shortfall.waiting) sums[pool].asked += resources;
   std::map<PoolId, PoolReading> out;
   for (const auto& [pool, sum] : sums) {
     PoolReading reading;
@@ -110,7 +110,7 @@
     for (const auto& [kind, n] : shortfall.wanted) {
       if (pool_of(kind) == pool) reading.wanted += n;
     }
-    const double asked = largest_share(sum.asked, cluster.type(pool.type)->room);
+    const double asked = largest_share(sum.asked, cluster.type(pool.type)->resources);
     if (sum.ready > 0) reading.score = sum.booked / sum.ready;
     if (reading.machines > 0) reading.score += asked / reading.machines;
     reading.missing =
--- a/src/sched/team_shares.hpp
+++ b/src/sched/team_shares.hpp
@@ -15,15 +15,15 @@
   TeamShares& operator=(const TeamShares&) = delete;
   virtual ~TeamShares() = default;
 
-  virtual wire::Room guarantee(const base::Team& team) const = 0;
-  virtual wire::Room limit(const base::Team& team) const = 0;
+  virtual wire::Resources guarantee(const base::Team& team) const = 0;
+  virtual wire::Resources limit(const base::Team& team) const = 0;
 };
 
 /// The team's whole guarantee or limit, as the settings have it.
-inline wire::Room whole_guarantee(const base::Team& team) {
+inline wire::Resources full_guarantee(const base::Team& team) {
   return {team.cpus, team.gpus, 0};
 }
-inline wire::Room whole_limit(const base::Team& team) {
+inline wire::Resources full_limit(const base::Team& team) {
   return {team.cpus_max, team.gpus_max, 0};
 }
 
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -31,7 +31,7 @@
                                    {Cause::peers, "peers"},
                                    {Cause::alone, "incomplete"},
                                    {Cause::error, "error"},
-                                   {Cause::no_room, "no_room"},
+                                   {Cause::insufficient_resources, "no_room"},
                                    {Cause::busy, "busy"},
                                    {Cause::unknown, "no_such"}}};
 constexpr Names<Verb, 3> kVerbs{
@@ -125,8 +125,9 @@
     bool positive;
   };
   for (const auto& [name, into, positive] :
-       {Amount{"Cpus", &job.room.cpus, false}, Amount{"Accelerators", &job.room.gpus, false},
-        Amount{"MemGb", &job.room.memory_gb, false}, Amount{"SizeGb", &job.image_gb, false},
+       {Amount{"Cpus", &job.resources.cpus, false},
+        Amount{"Accelerators", &job.resources.gpus, false},
+        Amount{"MemGb", &job.resources.memory_gb, false}, Amount{"SizeGb", &job.image_gb, false},
         Amount{"ExpectS", &job.estimate_s, false}, Amount{"NotchS", &job.checkpoint_s, false},
         Amount{"StowS", &job.save_s, false}}) {
     const auto v = read_amount(o, name);
@@ -177,8 +178,8 @@
       .text(name_of(kJobKinds, job.kind))
       .key("Rank")
       .text(name_of(kPriorities, job.priority));
-  w.key("Teeth").count(job.tasks).key("Cpus").amount(job.room.cpus);
-  w.key("Accelerators").amount(job.room.gpus).key("MemGb").amount(job.room.memory_gb);
+  w.key("Teeth").count(job.tasks).key("Cpus").amount(job.resources.cpus);
+  w.key("Accelerators").amount(job.resources.gpus).key("MemGb").amount(job.resources.memory_gb);
   w.key("Cast").text(job.image).key("SizeGb").amount(job.image_gb);
   if (!job.types.empty()) {
     w.key("Frames").list();
@@ -321,8 +322,8 @@
         double* into;
       };
       for (const auto& [field, into] :
-           {Amount{"Cpus", &t.room.cpus}, Amount{"Accelerators", &t.room.gpus},
-            Amount{"MemGb", &t.room.memory_gb}, Amount{"CacheGb", &t.cache_gb},
+           {Amount{"Cpus", &t.resources.cpus}, Amount{"Accelerators", &t.resources.gpus},
+            Amount{"MemGb", &t.resources.memory_gb}, Amount{"CacheGb", &t.cache_gb},
             Amount{"PullGbPerS", &t.fetch_gb_per_s}, Amount{"Price", &t.price},
             Amount{"SpotPrice", &t.spot_price}, Amount{"ReadyS", &t.ready_s}}) {
         const auto v = read_amount(item, field);
@@ -338,8 +339,8 @@
 void write_machine_types(JsonWriter& w, const std::vector<MachineType>& types) {
   w.begin().key("Frames").list();
   for (const auto& t : types) {
-    w.begin().key("Label").text(t.name).key("Cpus").amount(t.room.cpus);
-    w.key("Accelerators").amount(t.room.gpus).key("MemGb").amount(t.room.memory_gb);
+    w.begin().key("Label").text(t.name).key("Cpus").amount(t.resources.cpus);
+    w.key("Accelerators").amount(t.resources.gpus).key("MemGb").amount(t.resources.memory_gb);
     w.key("CacheGb").amount(t.cache_gb).key("PullGbPerS").amount(t.fetch_gb_per_s);
     w.key("Price").amount(t.price).key("SpotPrice").amount(t.spot_price);
     w.key("ReadyS").amount(t.ready_s).key("Yards").list();
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -17,22 +17,24 @@
 /// In order of priority, highest first.
 enum class Priority { production, high, standard, best_effort };
 
-struct Room {
+struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
 
-  Room& operator+=(const Room& o) {
+  Resources& operator+=(const Resources& o) {
     cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
     return *this;
   }
-  Room& operator-=(const Room& o) {
+  Resources& operator-=(const Resources& o) {
     cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
     return *this;
   }
-  bool operator==(const Room&) const = default;
-  friend Room operator+(Room a, const Room& b) { return a += b; }
-  friend Room operator-(Room a, const Room& b) { return a -= b; }
-  friend Room operator*(Room a, double n) { return {a.cpus * n, a.gpus * n, a.memory_gb * n}; }
-  bool fits_in(const Room& o) const {
+  bool operator==(const Resources&) const = default;
+  friend Resources operator+(Resources a, const Resources& b) { return a += b; }
+  friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
+  friend Resources operator*(Resources a, double n) {
+    return {a.cpus * n, a.gpus * n, a.memory_gb * n};
+  }
+  bool fits_in(const Resources& o) const {
     constexpr double kSlack = 1e-6;  // sums of decimal amounts
     return cpus <= o.cpus + kSlack && gpus <= o.gpus + kSlack && memory_gb <= o.memory_gb + kSlack;
   }
@@ -43,7 +45,7 @@
   JobKind kind = JobKind::job_array;
   Priority priority = Priority::standard;
   std::uint32_t tasks = 1;
-  Room room;  ///< of each task
+  Resources resources;  ///< of each task
   std::string image;
   double image_gb = 0;
   std::vector<std::string> types;  ///< empty: any
@@ -80,7 +82,17 @@
 std::optional<TaskName> parse_task(std::string_view text);
 
 enum class TaskState { fetching, waiting, running, saving, exited };
-enum class Cause { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+enum class Cause {
+  none,
+  done,
+  stopped,
+  peers,
+  alone,
+  error,
+  insufficient_resources,
+  busy,
+  unknown
+};
 
 struct TaskStatus {
   TaskName task;
@@ -114,7 +126,7 @@
 
 struct MachineType {
   std::string name;
-  Room room;
+  Resources resources;
   double cache_gb = 0, fetch_gb_per_s = 1, price = 0, spot_price = 0, ready_s = 60;
   std::vector<std::string> zones;
 };
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -193,10 +193,10 @@
 
 TEST(ClusterState, DeletionFreesWhatWasOnTheMachine) {
   Placed s;
-  EXPECT_DOUBLE_EQ(s.cluster.team_use("red").gpus, 4);
+  EXPECT_DOUBLE_EQ(s.cluster.team_allocation("red").gpus, 4);
   s.cluster.remove_machine("n-1", 9);
   EXPECT_TRUE(s.placement().ended);
-  EXPECT_DOUBLE_EQ(s.cluster.team_use("red").gpus, 0);
+  EXPECT_DOUBLE_EQ(s.cluster.team_allocation("red").gpus, 0);
 }
 
 TEST(ClusterState, ACancelledJobIsStoppedAndNeverStarted) {
@@ -224,7 +224,7 @@
   EXPECT_TRUE(again.complete());
   EXPECT_TRUE(again.placements.at(0).ended);
   EXPECT_TRUE(again.dirty);
-  EXPECT_DOUBLE_EQ(s.cluster.team_use("red").gpus, 0);
+  EXPECT_DOUBLE_EQ(s.cluster.team_allocation("red").gpus, 0);
 }
 
 TEST(ClusterState, AMachineThatFailsSeveralJobsIsAtFault) {
@@ -454,13 +454,13 @@
   Placement& placement = s.cluster.add_placement(job, 0, 1, "n-1", 1);
   placement.outcome_unknown = true;
   s.cluster.remove_machine("n-1", 2);
-  EXPECT_EQ(s.cluster.team_use("red").gpus, 4);
+  EXPECT_EQ(s.cluster.team_allocation("red").gpus, 4);
   EXPECT_TRUE(job.pending(9).empty());
   EXPECT_TRUE(job.dirty);
   const auto text = control::write_record(job, 8192).front();
   EXPECT_EQ(text.find("n-1"), std::string::npos);
   s.cluster.resolve_dropped(job, job.placements.front(), 3);
-  EXPECT_EQ(s.cluster.team_use("red").gpus, 0);
+  EXPECT_EQ(s.cluster.team_allocation("red").gpus, 0);
   EXPECT_EQ(job.pending(9).size(), 1U);
 }
 
@@ -469,7 +469,7 @@
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 1, 4));
   s.cluster.add_placement(job, 0, 1, "n-1", 1).outcome_unknown = true;
   s.cluster.end_placement(job, job.placements.front(), 2);
-  EXPECT_EQ(s.cluster.team_use("red").gpus, 4);
+  EXPECT_EQ(s.cluster.team_allocation("red").gpus, 4);
   auto stored = make_job("j-000001", wire::JobKind::job_array, 1, 4);
   stored.revision = 9;
   stored.last_attempt = 1;
@@ -478,7 +478,7 @@
   Job& put = s.add(std::move(stored));
   EXPECT_TRUE(put.placements.front().ended);
   EXPECT_TRUE(put.dirty);  // and so is written without it
-  EXPECT_EQ(s.cluster.team_use("red").gpus, 0);
+  EXPECT_EQ(s.cluster.team_allocation("red").gpus, 0);
   EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), true, 3).empty());
 }
 
--- a/tests/complete_job.hpp
+++ b/tests/complete_job.hpp
@@ -23,7 +23,7 @@
   job.kind = wire::JobKind::gang;
   job.priority = wire::Priority::high;
   job.tasks = 16;
-  job.room = {8.5, 2, 64.25};
+  job.resources = {8.5, 2, 64.25};
   job.image = "img-07";
   job.image_gb = 6.2;
   job.types = {"g8", "g4"};
@@ -45,7 +45,7 @@
   EXPECT_EQ(job.kind, wire::JobKind::gang);
   EXPECT_EQ(job.priority, wire::Priority::high);
   EXPECT_EQ(job.tasks, 16U);
-  EXPECT_EQ(job.room, (wire::Room{8.5, 2, 64.25}));
+  EXPECT_EQ(job.resources, (wire::Resources{8.5, 2, 64.25}));
   EXPECT_EQ(job.image, "img-07");
   EXPECT_EQ(job.image_gb, 6.2);
   EXPECT_EQ(job.types, (std::vector<std::string>{"g8", "g4"}));
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -23,7 +23,7 @@
 inline wire::MachineType machine_type(const std::string& name = "g8", double gpus = 8) {
   wire::MachineType t;
   t.name = name;
-  t.room = {12 * gpus, gpus, 96 * gpus};
+  t.resources = {12 * gpus, gpus, 96 * gpus};
   t.cache_gb = 200;
   t.fetch_gb_per_s = 5;
   t.price = 12;
@@ -41,7 +41,7 @@
   job.spec.team = team;
   job.spec.kind = kind;
   job.spec.tasks = tasks;
-  job.spec.room = {gpus, gpus, 8 * gpus};
+  job.spec.resources = {gpus, gpus, 8 * gpus};
   job.spec.image = "img";
   job.spec.image_gb = 10;
   job.created_ms = 1000;
--- a/tests/fragmented_fleet.cpp
+++ b/tests/fragmented_fleet.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kGpus = 8, kFetchRate = 2;
 
-wire::Room room_of(double gpus) {
+wire::Resources room_of(double gpus) {
   return {12 * gpus, gpus, 96 * gpus};
 }
 
@@ -24,7 +24,7 @@
   const auto add_spec = [&](double gpus) -> wire::JobSpec& {
     wire::JobSpec& spec = specs_.emplace_back();
     spec.id = "j-" + std::to_string(100'000 + specs_.size());
-    spec.room = room_of(gpus);
+    spec.resources = room_of(gpus);
     spec.image = "img-" + std::to_string(draw(0, 3));
     spec.image_gb = 4;
     return spec;
@@ -38,8 +38,8 @@
     host.receives = draw(0, 9) > 0;
     for (int n = draw(size.least_residents, size.most_residents); n > 0; --n) {
       wire::JobSpec& spec = add_spec(1 << draw(0, 2));
-      if (!spec.room.fits_in(host.free)) continue;
-      host.free -= spec.room;
+      if (!spec.resources.fits_in(host.free)) continue;
+      host.free -= spec.resources;
       host.images.insert(spec.image);
       defrag::Resident resident{{spec.id, 0}, &spec, std::nullopt, draw(0, 4) == 0};
       if (draw(0, 4) > 0) resident.move_cost_s = draw(1, 20);
@@ -67,7 +67,7 @@
 }
 
 std::string FragmentedFleet::fault_of(const defrag::Plan& plan) const {
-  std::vector<wire::Room> while_moving, after;
+  std::vector<wire::Resources> while_moving, after;
   for (const auto& host : hosts) {
     while_moving.push_back(host.free);
     after.push_back(host.free);
@@ -80,9 +80,9 @@
     if (!resident.move_cost_s) return "it moves what may not move";
     if (!moved.emplace(move.from, move.resident).second) return "it moves a task twice";
     if (!may_take(move.from, resident, move.to)) return "a target is not allowed";
-    while_moving[move.to] -= resident.spec->room;
-    after[move.to] -= resident.spec->room;
-    after[move.from] += resident.spec->room;
+    while_moving[move.to] -= resident.spec->resources;
+    after[move.to] -= resident.spec->resources;
+    after[move.from] += resident.spec->resources;
     gives.insert(move.from);
     takes.insert(move.to);
     cost += move_cost(resident, move.to);
@@ -95,12 +95,12 @@
   if (plan.places.size() != demand.tasks) return "not all tasks have a place";
   std::map<std::string, std::size_t> by_zone;
   for (const auto place : plan.places) {
-    after[place] -= demand.spec->room;
-    if (!gives.contains(place)) while_moving[place] -= demand.spec->room;
+    after[place] -= demand.spec->resources;
+    if (!gives.contains(place)) while_moving[place] -= demand.spec->resources;
     ++by_zone[hosts[place].kind.zone];
     if (!hosts[place].receives) return "a place takes nothing new";
   }
-  const wire::Room none;
+  const wire::Resources none;
   for (std::size_t i = 0; i < hosts.size(); ++i) {
     if (!none.fits_in(while_moving[i])) return "no room while both copies run";
     if (!none.fits_in(after[i])) return "no room for a place";
@@ -113,7 +113,7 @@
 }
 
 struct FragmentedFleet::Trial {
-  std::vector<wire::Room> before, after;  ///< free room while both copies run, and then
+  std::vector<wire::Resources> before, after;  ///< free room while both copies run, and then
   double cost = 0;
   double best = std::numeric_limits<double>::infinity();
 };
@@ -121,9 +121,9 @@
 bool FragmentedFleet::demand_fits(const Trial& trial) const {
   std::map<std::string, std::size_t> by_zone;
   for (std::size_t i = 0; i < hosts.size(); ++i) {
-    wire::Room left = trial.after[i];
-    while (hosts[i].receives && demand.spec->room.fits_in(left)) {
-      left -= demand.spec->room;
+    wire::Resources left = trial.after[i];
+    while (hosts[i].receives && demand.spec->resources.fits_in(left)) {
+      left -= demand.spec->resources;
       ++by_zone[hosts[i].kind.zone];
     }
   }
@@ -149,11 +149,11 @@
   const auto& moved = hosts[host].residents[resident];
   if (!moved.move_cost_s) return;
   for (std::size_t to = 0; to < hosts.size(); ++to) {
-    if (!may_take(host, moved, to) || !moved.spec->room.fits_in(trial.before[to])) continue;
+    if (!may_take(host, moved, to) || !moved.spec->resources.fits_in(trial.before[to])) continue;
     const Trial kept = trial;
-    trial.before[to] -= moved.spec->room;
-    trial.after[to] -= moved.spec->room;
-    trial.after[host] += moved.spec->room;
+    trial.before[to] -= moved.spec->resources;
+    trial.after[to] -= moved.spec->resources;
+    trial.after[host] += moved.spec->resources;
     trial.cost += move_cost(moved, to);
     try_from(trial, host, resident + 1);
     const double best = trial.best;
--- a/tests/moves_property_test.cpp
+++ b/tests/moves_property_test.cpp
@@ -216,7 +216,7 @@
     const auto& cluster = fragments_.w.term(leader)->cluster();
     for (const auto& [id, machine] : fragments_.w.term(leader)->cluster().machines()) {
       const auto* type = cluster.type(machine.kind.type);
-      if (type != nullptr) RC_ASSERT(machine.used.fits_in(type->room));
+      if (type != nullptr) RC_ASSERT(machine.allocated.fits_in(type->resources));
     }
   }
 
--- a/tests/ops_troubles_test.cpp
+++ b/tests/ops_troubles_test.cpp
@@ -282,7 +282,7 @@
   w.run(1);
   for (int i = 1; i <= 4; ++i) {
     auto spec = service_in("j-00000" + std::to_string(i), "", 2);
-    spec.room.gpus = 4;
+    spec.resources.gpus = 4;
     w.submit(0, spec);
   }
   w.run(20);
@@ -309,7 +309,7 @@
   w.boot_s = 2.5 * machine_type().ready_s;
   w.run(1);
   auto spec = service_in("j-000001", "", 2);
-  spec.room.gpus = 8;
+  spec.resources.gpus = 8;
   w.submit(0, spec);
   w.run(1.02 * w.boot_s + 10);
   EXPECT_EQ(w.running("j-000001"), 2);
@@ -485,7 +485,7 @@
 
 wire::JobSpec array_of(const std::string& id, std::uint32_t tasks, const std::string& team) {
   auto spec = make_job(id, JobKind::job_array, tasks, 0, team).spec;
-  spec.room = {0.25, 0, 1};
+  spec.resources = {0.25, 0, 1};
   spec.priority = wire::Priority::best_effort;
   return spec;
 }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -86,7 +86,7 @@
                           [&](const Placement& p) { return !p.ended && p.machine == m.id; }));
       }
       EXPECT_EQ(m.tasks.size(), held) << id;
-      EXPECT_DOUBLE_EQ(m.used.gpus, static_cast<double>(held)) << id;
+      EXPECT_DOUBLE_EQ(m.allocated.gpus, static_cast<double>(held)) << id;
     }
   };
   s.pass();
--- a/tests/planner_benchmark.cpp
+++ b/tests/planner_benchmark.cpp
@@ -12,7 +12,7 @@
 void plan(benchmark::State& state) {
   const FragmentedFleet fleet({static_cast<int>(state.range(0)), 6, 3, 4}, 1);
   auto spec = *fleet.demand.spec;
-  spec.room = {96, 8, 768};  // a whole machine
+  spec.resources = {96, 8, 768};  // a whole machine
   spec.one_zone = spec.spread = false;
   const cranklock::defrag::Demand demand{&spec, static_cast<std::size_t>(state.range(1))};
   cranklock::defrag::PlanLimits limits;
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -67,14 +67,14 @@
   std::vector<Host> hosts;
   TwoHalves() {
     small.id = "j-000001";
-    small.room = {48, 4, 384};
+    small.resources = {48, 4, 384};
     large.id = "j-000002";
-    large.room = {96, 8, 768};
+    large.resources = {96, 8, 768};
     for (std::uint32_t i = 0; i < 2; ++i) {
       Host host;
       host.id = "n-" + std::to_string(i);
       host.kind = {"g8", "a", false};
-      host.free = small.room;
+      host.free = small.resources;
       host.images = {""};
       host.residents = {{{small.id, i}, &small, 10.0 + i, false}};
       hosts.push_back(host);
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -33,8 +33,10 @@
            const std::string& team = "red") {
     return fleet.add(make_job(id, kind, tasks, gpus, team));
   }
-  Reservation for_moved() const { return {"n-2", kMoved, 1, moved.spec.room, ""}; }
-  Reservation for_waiting() const { return {"n-1", kWaiting, std::nullopt, waiting.spec.room, ""}; }
+  Reservation for_moved() const { return {"n-2", kMoved, 1, moved.spec.resources, ""}; }
+  Reservation for_waiting() const {
+    return {"n-1", kWaiting, std::nullopt, waiting.spec.resources, ""};
+  }
   void hold(std::vector<Reservation> held) {
     fleet.cluster.set_reservations(Reservations(std::move(held)));
   }
--- a/tests/router_stand_in.cpp
+++ b/tests/router_stand_in.cpp
@@ -46,13 +46,13 @@
 }
 
 bool RouterStandIn::others_can_carry(const wire::TaskName& task, double now) const {
-  std::size_t room = 0, chats = 0;
+  std::size_t resources = 0, chats = 0;
   for (const auto& replica : replicas_) {
     if (replica.task.job != task.job) continue;
     chats += chats_at(replica.task, false);
-    if (replica.task != task && !is_drained(replica.task, now)) room += most_chats_;
+    if (replica.task != task && !is_drained(replica.task, now)) resources += most_chats_;
   }
-  return room > 0 && chats <= room;
+  return resources > 0 && chats <= resources;
 }
 
 // Its replica is gone, or it had its time there.
--- a/tests/rule_checker.cpp
+++ b/tests/rule_checker.cpp
@@ -169,27 +169,27 @@
 }
 
 void RuleChecker::look(const std::vector<Seen>& held, double now) {
-  std::map<std::string, wire::Room> use;
+  std::map<std::string, wire::Resources> use;
   for (const auto& task : held) {
     const auto it = jobs_.find(task.job);
     if (it == jobs_.end()) continue;
-    if (task.has_image) use[it->second.spec.team] += it->second.spec.room;
+    if (task.has_image) use[it->second.spec.team] += it->second.spec.resources;
     const double at = it->second.cancelled_at;
     if (at >= 0 && now - at > settings_.cancel_s) {
       breaks("ran_cancelled", task.job + "/" + std::to_string(task.task) + " on " + task.machine +
                                   " at " + std::to_string(now));
     }
   }
-  for (const auto& [name, room] : use) {
+  for (const auto& [name, resources] : use) {
     const auto* team = settings_.team(name);
-    if (team != nullptr && team->gpus_max > 0 && room.gpus > team->gpus_max + 1e-6) {
+    if (team != nullptr && team->gpus_max > 0 && resources.gpus > team->gpus_max + 1e-6) {
       std::string tasks;
       for (const auto& task : held) {
         if (jobs_.at(task.job).spec.team != name) continue;
         tasks += " " + task.job + "/" + std::to_string(task.task) + " on " + task.machine;
       }
-      breaks("quota",
-             name + ": " + std::to_string(room.gpus) + " at " + std::to_string(now) + ":" + tasks);
+      breaks("quota", name + ": " + std::to_string(resources.gpus) + " at " + std::to_string(now) +
+                          ":" + tasks);
     }
   }
 }
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -57,7 +57,7 @@
   for (const bool one_zone : {true, false}) {
     Broken w("wrong_place");
     auto s = spec("j-000002", 2);
-    s.room = {1, 1, 8};
+    s.resources = {1, 1, 8};
     s.one_zone = one_zone;
     s.spread = !one_zone;
     w.submit(0, s);
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -60,7 +60,7 @@
   s.team = "nobody";
   EXPECT_EQ(w.ask(0, "POST", "/v1/jobs", text(s)).status, 422);
   s = spec("j-000009");
-  s.room.gpus = 9;
+  s.resources.gpus = 9;
   EXPECT_EQ(w.ask(0, "POST", "/v1/jobs", text(s)).status, 422);
   s = spec("j-000009", 5, wire::JobKind::service);  // 20 of 16
   EXPECT_EQ(w.ask(0, "POST", "/v1/jobs", text(s)).status, 422);
--- a/tests/sharing_rule_test.cpp
+++ b/tests/sharing_rule_test.cpp
@@ -102,8 +102,8 @@
 /// A share that stands for the whole region.
 struct FixedShares : sched::TeamShares {
   double gpus = 0;
-  wire::Room guarantee(const base::Team&) const override { return {0, gpus, 0}; }
-  wire::Room limit(const base::Team&) const override { return {0, gpus, 0}; }
+  wire::Resources guarantee(const base::Team&) const override { return {0, gpus, 0}; }
+  wire::Resources limit(const base::Team&) const override { return {0, gpus, 0}; }
 };
 
 TEST(Demand, PlacementKnowsOnlyTheSharesOfItsRegion) {
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -210,7 +210,8 @@
   for (const auto& [name, cause] :
        {std::pair{"done", wire::Cause::done}, std::pair{"halted", wire::Cause::stopped},
         std::pair{"peers", wire::Cause::peers}, std::pair{"incomplete", wire::Cause::alone},
-        std::pair{"error", wire::Cause::error}, std::pair{"no_room", wire::Cause::no_room},
+        std::pair{"error", wire::Cause::error},
+        std::pair{"no_room", wire::Cause::insufficient_resources},
         std::pair{"busy", wire::Cause::busy}, std::pair{"no_such", wire::Cause::unknown}}) {
     EXPECT_EQ(heartbeat_received(R"("Stance":"exited","Cause":")" + std::string(name) + '"').cause,
               cause)
@@ -254,7 +255,7 @@
   ASSERT_EQ(types->size(), 1U);
   const wire::MachineType& type = types->front();
   EXPECT_EQ(type.name, "g8");
-  EXPECT_EQ(type.room, (wire::Room{96, 8, 768.5}));
+  EXPECT_EQ(type.resources, (wire::Resources{96, 8, 768.5}));
   EXPECT_EQ(type.cache_gb, 200);
   EXPECT_EQ(type.fetch_gb_per_s, 5.5);
   EXPECT_EQ(type.price, 12.25);
@@ -263,7 +264,7 @@
   EXPECT_EQ(type.zones, (Texts{"a", "b"}));
   wire::MachineType copy;
   copy.name = "g8";
-  copy.room = {96, 8, 768.5};
+  copy.resources = {96, 8, 768.5};
   copy.cache_gb = 200;
   copy.fetch_gb_per_s = 5.5;
   copy.price = 12.25;
