--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -30,8 +30,8 @@
 };
 
 bool start_due(const Job& job, const sched::Placement& p, Allowed allowed) {
-  return allowed.start && !job.cancelled() && job.needs_met && p.durable && !p.ended && !p.stop &&
-         !p.seen && p.start_epoch == 0 && p.unconfirmed_start_epoch == 0;
+  return allowed.start && !job.cancelled() && job.dependencies_met && p.durable && !p.ended &&
+         !p.stop && !p.seen && p.start_epoch == 0 && p.unconfirmed_start_epoch == 0;
 }
 
 bool stop_due(const Job& job, const sched::Placement& p, Allowed allowed) {
--- a/src/control/needs_check.cpp
+++ b/src/control/needs_check.cpp
@@ -12,14 +12,14 @@
 constexpr int kMostReads = 32;
 }  // namespace
 
-Task<NeedsCheck::Verdict> NeedsCheck::look_at(std::string id, Progress& progress,
-                                              std::vector<std::string>& needs) {
+Task<DependencyCheck::Verdict> DependencyCheck::look_at(std::string id, Progress& progress,
+                                                        std::vector<std::string>& dependencies) {
   if (const Ending* ending = lookup_.known_ending(id)) {
     co_return ending->state == wire::JobState::done ? Verdict::clear : Verdict::cancelled;
   }
   const double sent = reactor_.now();
   if (const Live* live = live_.find(id); live != nullptr && sent < live->as_of + trusted_s_) {
-    needs = live->needs;
+    dependencies = live->dependencies;
     co_return Verdict::clear;
   }
   if (++progress.reads > kMostReads || sent >= progress.until) co_return Verdict::unclear;
@@ -36,28 +36,28 @@
       break;
   }
   if (found.cancelled()) co_return Verdict::cancelled;
-  if (!found.started()) needs = found.job.spec.needs;
-  live_.put(id, {sent, needs});
+  if (!found.started()) dependencies = found.job.spec.dependencies;
+  live_.put(id, {sent, dependencies});
   co_return Verdict::clear;
 }
 
-Task<NeedsCheck::Verdict> NeedsCheck::check(std::vector<std::string> needs) {
+Task<DependencyCheck::Verdict> DependencyCheck::check(std::vector<std::string> dependencies) {
   Progress progress{0, reactor_.now() + kUserTimeout};
   bool cancelled = false;
-  std::set<std::string> seen(needs.begin(), needs.end());
+  std::set<std::string> seen(dependencies.begin(), dependencies.end());
   // First the needs themselves, all of them: one that was never accepted outweighs a cancelled one.
-  const std::size_t direct = needs.size();
-  for (std::size_t next = 0; next < needs.size(); ++next) {
+  const std::size_t direct = dependencies.size();
+  for (std::size_t next = 0; next < dependencies.size(); ++next) {
     if (next == direct && cancelled) break;
     std::vector<std::string> further;
-    auto looking = look_at(needs[next], progress, further);
+    auto looking = look_at(dependencies[next], progress, further);
     const Verdict verdict = co_await looking;
     if (verdict == Verdict::unclear) co_return verdict;
     if (verdict == Verdict::never_accepted && next < direct) co_return verdict;
     if (verdict == Verdict::cancelled) cancelled = true;
     if (cancelled && next >= direct) break;
     for (auto& id : further) {
-      if (seen.insert(id).second) needs.push_back(std::move(id));
+      if (seen.insert(id).second) dependencies.push_back(std::move(id));
     }
   }
   co_return cancelled ? Verdict::cancelled : Verdict::clear;
--- a/src/control/needs_check.hpp
+++ b/src/control/needs_check.hpp
@@ -18,7 +18,7 @@
 /// therefore trusted for a quarter of `cancel_s` from the sending of the read that said so. What
 /// the check finds cancelled is written into the dependent's record before any user is told, so
 /// that every node gives the same answer from then on, whatever it trusts.
-class NeedsCheck {
+class DependencyCheck {
  public:
   enum class Verdict {
     clear,           ///< none of them is cancelled
@@ -27,10 +27,10 @@
     unclear,  ///< the state service did not say, or there is more to read than fits a request
   };
 
-  NeedsCheck(net::Reactor& reactor, double cancel_s, JobLookup& lookup)
+  DependencyCheck(net::Reactor& reactor, double cancel_s, JobLookup& lookup)
       : reactor_(reactor), trusted_s_(cancel_s / 4), lookup_(lookup), live_(kMostTrusted) {}
 
-  net::Task<Verdict> check(std::vector<std::string> needs);
+  net::Task<Verdict> check(std::vector<std::string> dependencies);
 
  private:
   /// Jobs, several times those that are live at once in the fleets in service.
@@ -39,14 +39,15 @@
   /// A job that was live and not cancelled.
   struct Live {
     double as_of = 0;  ///< when the read was sent
-    std::vector<std::string> needs;
+    std::vector<std::string> dependencies;
   };
   struct Progress {
     int reads = 0;
     double until = 0;
   };
-  /// One job, without those that it needs; `needs` receives them.
-  net::Task<Verdict> look_at(std::string id, Progress& progress, std::vector<std::string>& needs);
+  /// One job, without those that it needs; `dependencies` receives them.
+  net::Task<Verdict> look_at(std::string id, Progress& progress,
+                             std::vector<std::string>& dependencies);
 
   net::Reactor& reactor_;
   double trusted_s_;
--- a/src/control/record.cpp
+++ b/src/control/record.cpp
@@ -65,7 +65,7 @@
                          p.machine + "\"]");
   }
   JsonWriter head;
-  head.begin().key(job.spec.needs.empty() ? kJobName : kDependentJobName);
+  head.begin().key(job.spec.dependencies.empty() ? kJobName : kDependentJobName);
   wire::write_job(head, job.spec);
   head.key("at").integer(job.created_ms).key("w").integer(job.cancelled_at_ms);
   // A write succeeds once for each revision that it is conditional on.
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -79,8 +79,8 @@
     entry.ending.state = job.cancelled() ? wire::JobState::cancelled : wire::JobState::done;
     entry.ending.tasks = job.done.size();
     // Kept only for those that wait for it, whose own times count from here.
-    const bool needed = cluster_.dependencies().is_needed(id);
-    if (needed) entry.ending.ended_ms = reactor_.wall_ms();
+    const bool has_dependents = cluster_.dependencies().has_dependents(id);
+    if (has_dependents) entry.ending.ended_ms = reactor_.wall_ms();
     changes = retiring_changes(job, entry.ending, entry.left_parts);
   } else {
     auto texts = write_record(job, store_.value_bytes());
@@ -163,7 +163,7 @@
     if (!job.dirty || reloader_.is_requested(id)) continue;
     if (job.dirty_since == 0) job.dirty_since = at;
     const double patience = gone ? settings_.cancel_s / 4 : kDoneLag / 3;
-    const bool awaited = !gone && job.complete() && cluster_.dependencies().is_needed(id);
+    const bool awaited = !gone && job.complete() && cluster_.dependencies().has_dependents(id);
     WriteClass write_class = WriteClass::rest;
     if (has_unwritten_starts(job) || awaited) write_class = WriteClass::starts;
     if (at - job.dirty_since > patience) write_class = WriteClass::overdue;
@@ -272,7 +272,7 @@
   if (done) {
     known.outcome = sched::Dependencies::Outcome::done;
     known.at_ms = ending.ended_ms;
-    needed_job_done_ = needed_job_done_ || cluster_.dependencies().is_needed(id);
+    dependency_done_ = dependency_done_ || cluster_.dependencies().has_dependents(id);
   } else {
     known.outcome = sched::Dependencies::Outcome::cancelled;
     known.at_ms = job.cancelled_at_ms;
--- a/src/control/record_writer.hpp
+++ b/src/control/record_writer.hpp
@@ -37,7 +37,7 @@
   /// Writes what is most urgent, as much as one transaction takes.
   net::Task<Written> write_next();
   /// Whether a job that others need was done since the last call.
-  bool take_needed_job_done() { return std::exchange(needed_job_done_, false); }
+  bool take_dependency_done() { return std::exchange(dependency_done_, false); }
 
  private:
   struct Batch;
@@ -61,7 +61,7 @@
   double write_after_ = 0;  ///< the state service has refused a write
   /// Parts of records of jobs that are over: never read again, removed when a transaction has room.
   std::deque<std::string> stale_parts_;
-  bool needed_job_done_ = false;
+  bool dependency_done_ = false;
 };
 
 }  // namespace cranklock::control
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -157,7 +157,7 @@
     int parts = 0;
     const auto job = item.data.empty() ? std::nullopt : read_record(item.data, parts);
     // A job that waits for others may be cancelled with them: that takes more than its record.
-    const bool waits = job && !job->spec.needs.empty() && job->placements.empty();
+    const bool waits = job && !job->spec.dependencies.empty() && job->placements.empty();
     if (job && !waits) entry.status = status_of(*job);
     jobs_.put(id, entry);
   }
--- a/src/control/term_decide.cpp
+++ b/src/control/term_decide.cpp
@@ -74,7 +74,7 @@
     if (written != RecordWriter::Written::stored) co_return;
     commands_.send_orders();
     jobs_.apply_changes();
-    if (writer_.take_needed_job_done()) pass_awaited_ = true;
+    if (writer_.take_dependency_done()) pass_awaited_ = true;
     if (pass_awaited_ && now() >= next_pass_at_) {
       // Guards against new jobs, and next stages of pipelines, that wait for hundreds of other
       // records to be written.
--- a/src/control/users.cpp
+++ b/src/control/users.cpp
@@ -35,7 +35,7 @@
 Users::Users(Services services, std::function<bool()> state_reached)
     : services_(services),
       lookup_(services.store, std::move(state_reached)),
-      needs_check_(services.reactor, services.settings.cancel_s, lookup_),
+      dependency_check_(services.reactor, services.settings.cancel_s, lookup_),
       status_cache_(services.reactor, services.settings, services.store),
       limiter_(kLeastInProgress, services.settings.fd_limit / 8.0, kSlowAnswer),
       // One that waits for a shared exchange is not slow.
@@ -90,7 +90,8 @@
 }
 
 std::string Users::impossible(const wire::JobSpec& spec) const {
-  if (std::find(spec.needs.begin(), spec.needs.end(), spec.id) != spec.needs.end()) {
+  if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.id) !=
+      spec.dependencies.end()) {
     return "needs itself";
   }
   const auto* team = services_.settings.team(spec.team);
@@ -141,12 +142,13 @@
     if (found.kind == StoredJob::Kind::ended) co_return found.ending.state;
     if (found.kind != StoredJob::Kind::live) co_return std::nullopt;
     const std::string id = found.job.spec.id;
-    const bool waits = !found.job.spec.needs.empty() && !found.started() && !found.cancelled();
+    const bool waits =
+        !found.job.spec.dependencies.empty() && !found.started() && !found.cancelled();
     if (!waits) co_return status_of(found.job).state;
-    auto checking = needs_check_.check(found.job.spec.needs);
+    auto checking = dependency_check_.check(found.job.spec.dependencies);
     const auto verdict = co_await checking;
-    if (verdict == NeedsCheck::Verdict::unclear) co_return std::nullopt;
-    if (verdict != NeedsCheck::Verdict::cancelled) co_return JobState::queued;
+    if (verdict == DependencyCheck::Verdict::unclear) co_return std::nullopt;
+    if (verdict != DependencyCheck::Verdict::cancelled) co_return JobState::queued;
     auto writing = write_cancellation(id, found);
     const auto written = co_await writing;
     if (written == Outcome::ok) co_return JobState::cancelled;
@@ -176,12 +178,13 @@
   // rests on nothing would be final.
   const bool types_known = !types_.empty();
   std::string reason = malformed || !types_known ? "" : impossible(std::get<wire::JobSpec>(parsed));
-  auto needs = NeedsCheck::Verdict::clear;
+  auto dependencies = DependencyCheck::Verdict::clear;
   if (!malformed && types_known && reason.empty()) {
-    auto checking = needs_check_.check(std::get<wire::JobSpec>(parsed).needs);
-    needs = co_await checking;
-    if (needs == NeedsCheck::Verdict::unclear) co_return come_back(kNoStateService);
-    if (needs == NeedsCheck::Verdict::never_accepted) reason = "needs a job that nobody accepted";
+    auto checking = dependency_check_.check(std::get<wire::JobSpec>(parsed).dependencies);
+    dependencies = co_await checking;
+    if (dependencies == DependencyCheck::Verdict::unclear) co_return come_back(kNoStateService);
+    if (dependencies == DependencyCheck::Verdict::never_accepted)
+      reason = "needs a job that nobody accepted";
   }
   if (malformed || !reason.empty() || !types_known) {
     // A repeat of an accepted job is answered with its state, whatever it says now.
@@ -201,8 +204,8 @@
     co_return plain_answer(200, wire::job_answer(*id, ending->state));
   }
   if (!lookup_.state_reached()) co_return come_back(kNoStateService);
-  auto accepting =
-      accept(std::move(std::get<wire::JobSpec>(parsed)), needs == NeedsCheck::Verdict::cancelled);
+  auto accepting = accept(std::move(std::get<wire::JobSpec>(parsed)),
+                          dependencies == DependencyCheck::Verdict::cancelled);
   auto response = co_await accepting;
   co_return response;
 }
--- a/src/control/users.hpp
+++ b/src/control/users.hpp
@@ -48,7 +48,7 @@
 
   Services services_;
   JobLookup lookup_;
-  NeedsCheck needs_check_;
+  DependencyCheck dependency_check_;
   StatusCache status_cache_;
   net::Limiter limiter_;           ///< of submissions and cancellations
   net::Limiter question_limiter_;  ///< apart, so that questions hold up neither
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -77,7 +77,8 @@
 }
 
 bool waits_for_room(const sched::ClusterState& cluster, const sched::Job& job, double now) {
-  if (job.cancelled() || job.complete() || !job.needs_met || job.backoff_until > now) return false;
+  if (job.cancelled() || job.complete() || !job.dependencies_met || job.backoff_until > now)
+    return false;
   if (job.pending_count() == 0) return false;
   // The old attempt of a gang must be gone entirely before the next begins.
   if (job.spec.kind == wire::JobKind::gang && job.live() > 0) return false;
--- a/src/regions/demand.cpp
+++ b/src/regions/demand.cpp
@@ -25,7 +25,7 @@
   const std::size_t most_live = sched::most_live_tasks(cluster.settings());
   for (const auto& [id, job] : cluster.jobs()) {
     const bool waits =
-        !job.cancelled() && !job.complete() && job.needs_met && job.backoff_until <= now;
+        !job.cancelled() && !job.complete() && job.dependencies_met && job.backoff_until <= now;
     const std::size_t tasks = waits ? placeable_tasks(job, most_live) : 0;
     if (tasks == 0) continue;
     const auto [entry, first] = demands.try_emplace(job.spec.team);
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -171,16 +171,16 @@
     if (p.decided_at == 0) p.decided_at = now;  // by a former leader, who knows when
     attach(put, p);
   }
-  dependencies_.add(id, put.spec.needs);
-  update_needs(put);
+  dependencies_.add(id, put.spec.dependencies);
+  update_dependencies(put);
   if (put.cancelled()) cancel_dependents(put);
   return put;
 }
 
 // What is known of the jobs that it needs, applied to it.
-void ClusterState::update_needs(Job& job) {
+void ClusterState::update_dependencies(Job& job) {
   const auto& id = job.spec.id;
-  job.needs_met = dependencies_.met(id);
+  job.dependencies_met = dependencies_.met(id);
   job.ready_ms = std::max(job.created_ms, dependencies_.met_ms(id));
   if (job.cancelled()) return;
   if (const auto cancellation = dependencies_.cancellation(id)) {
@@ -188,8 +188,8 @@
     return;
   }
   // Guards against a job that arrives when one that it needs is cancelled and not yet over.
-  for (const auto& needed : dependencies_.needs(id)) {
-    const Job* live = this->job(needed);
+  for (const auto& dependency : dependencies_.dependencies_of(id)) {
+    const Job* live = this->job(dependency);
     if (live == nullptr || !live->cancelled()) continue;
     return cancel(job, live->cancelled_at_ms, live->cancelled_since);
   }
@@ -200,13 +200,13 @@
 void ClusterState::cancel_dependents(const Job& cancelled) {
   std::vector<const Job*> next{&cancelled};
   while (!next.empty()) {
-    const Job* needed = next.back();
+    const Job* dependency = next.back();
     next.pop_back();
-    for (const auto& id : dependencies_.dependents(needed->spec.id)) {
+    for (const auto& id : dependencies_.dependents(dependency->spec.id)) {
       Job* dependent = job(id);
       if (dependent == nullptr || dependent->cancelled()) continue;
-      dependent->cancelled_at_ms = needed->cancelled_at_ms;
-      dependent->cancelled_since = needed->cancelled_since;
+      dependent->cancelled_at_ms = dependency->cancelled_at_ms;
+      dependent->cancelled_since = dependency->cancelled_since;
       changed_ = true;
       next.push_back(dependent);
     }
@@ -214,12 +214,12 @@
 }
 
 void ClusterState::note_ending(const std::string& id, const Dependencies::Ending& ending) {
-  if (!dependencies_.is_needed(id)) return;
+  if (!dependencies_.has_dependents(id)) return;
   dependencies_.note_ending(id, ending);
   changed_ = true;
   const auto dependents = dependencies_.dependents(id);  // a copy: what follows may change it
   for (const auto& dependent : dependents) {
-    if (Job* live = job(dependent)) update_needs(*live);
+    if (Job* live = job(dependent)) update_dependencies(*live);
   }
 }
 
@@ -608,7 +608,7 @@
   for (const auto& held : m->tasks) {
     const Job& j = *held.job;
     Placement& p = held.placement();
-    if (j.cancelled() || !p.durable || !j.needs_met) continue;
+    if (j.cancelled() || !p.durable || !j.dependencies_met) continue;
     // Guards against a placement that is stopped while its start is in doubt: nobody would ever see
     // it end. Told here of both, the worker knows the attempt, and the start in doubt has no effect
     // any more.
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -219,7 +219,7 @@
   void allow_silence(const std::string& zone, double until);
   void break_gang(Job& job, std::uint64_t attempt, double now);
   void record_image_use(Machine& machine, const wire::JobSpec& spec);
-  void update_needs(Job& job);
+  void update_dependencies(Job& job);
   void cancel_dependents(const Job& cancelled);
   void attach(Job& job, Placement& placement);
   void detach(Job& job, const Placement& placement, double now);
--- a/src/sched/dependencies.hpp
+++ b/src/sched/dependencies.hpp
@@ -28,15 +28,15 @@
 
   /// A live job and the jobs it needs, which stay the same for as long as it lives. May be
   /// repeated.
-  void add(const std::string& job, const std::vector<std::string>& needs);
+  void add(const std::string& job, const std::vector<std::string>& dependencies);
   /// The job is not live any more. What is known of its own ending is kept for those that need it.
   void remove(const std::string& job);
 
   /// The ending of a job is known to be stored. Of no effect when no live job needs it.
-  void note_ending(const std::string& needed, const Ending& ending);
+  void note_ending(const std::string& dependency, const Ending& ending);
 
-  bool empty() const { return needs_.empty(); }
-  bool is_needed(const std::string& job) const { return needed_.contains(job); }
+  bool empty() const { return dependencies_.empty(); }
+  bool has_dependents(const std::string& job) const { return by_dependency_.contains(job); }
   /// Every job that it needs is known to have ended with `done`.
   bool met(const std::string& job) const;
   /// The ending of a job that it needs and that was cancelled, if any is known.
@@ -46,17 +46,17 @@
   /// The live jobs that need this one, directly.
   const std::set<std::string>& dependents(const std::string& job) const;
   /// The jobs that a live job needs, directly; empty for any other.
-  const std::vector<std::string>& needs(const std::string& job) const;
+  const std::vector<std::string>& dependencies_of(const std::string& job) const;
   /// Needed jobs whose ending is not known.
   std::vector<std::string> unknown() const;
 
  private:
-  struct Needed {
+  struct Dependency {
     std::set<std::string> dependents;
     Ending ending;
   };
-  std::map<std::string, std::vector<std::string>> needs_;  ///< by live job, where it has any
-  std::map<std::string, Needed> needed_;
+  std::map<std::string, std::vector<std::string>> dependencies_;  ///< by live job, where it has any
+  std::map<std::string, Dependency> by_dependency_;
 };
 
 }  // namespace cranklock::sched
--- a/src/sched/inheritance.cpp
+++ b/src/sched/inheritance.cpp
@@ -22,12 +22,12 @@
   return own;
 }
 
-void raise(Job& needed, const Urgency& needed_by) {
-  Urgency& urgency = needed.urgency;
-  urgency.priority = std::min(urgency.priority, needed_by.priority);
-  if (needed_by.start_by_ms == kNoDeadline) return;
+void raise(Job& dependency, const Urgency& dependent) {
+  Urgency& urgency = dependency.urgency;
+  urgency.priority = std::min(urgency.priority, dependent.priority);
+  if (dependent.start_by_ms == kNoDeadline) return;
   urgency.start_by_ms =
-      std::min(urgency.start_by_ms, needed_by.start_by_ms - to_ms(needed.spec.estimate_s));
+      std::min(urgency.start_by_ms, dependent.start_by_ms - to_ms(dependency.spec.estimate_s));
 }
 
 }  // namespace
@@ -45,7 +45,7 @@
     const auto dependents = dependencies.dependents(id).size();
     if (dependents > 0) {
       waiting_for[id] = dependents;
-    } else if (!job.spec.needs.empty()) {
+    } else if (!job.spec.dependencies.empty()) {
       ready.push_back(id);
     }
   }
@@ -53,11 +53,11 @@
     const std::string id = std::move(ready.front());
     ready.pop_front();
     const Job& dependent = *cluster.job(id);
-    for (const auto& needed : dependencies.needs(id)) {
-      const auto entry = waiting_for.find(needed);
+    for (const auto& dependency : dependencies.dependencies_of(id)) {
+      const auto entry = waiting_for.find(dependency);
       if (entry == waiting_for.end()) continue;  // over
-      if (!dependent.cancelled()) raise(*cluster.job(needed), dependent.urgency);
-      if (--entry->second == 0) ready.push_back(needed);
+      if (!dependent.cancelled()) raise(*cluster.job(dependency), dependent.urgency);
+      if (--entry->second == 0) ready.push_back(dependency);
     }
   }
 }
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -95,7 +95,7 @@
   bool guaranteed = false;  ///< as of the last placement pass
   /// All jobs that it needs are known to have been done; until then none of its tasks is placed or
   /// started (invariant 14). Kept by ClusterState.
-  bool needs_met = true;
+  bool dependencies_met = true;
   /// Time of day from which its waiting counts: its submission, or the end of the last job that it
   /// needs if that came later.
   std::int64_t ready_ms = 0;
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -176,7 +176,7 @@
   std::vector<Job*> by_age;
   for (auto& [id, job] : cluster_.jobs()) {
     // A job that waits for others holds no part of its team's guarantee.
-    if (!job.cancelled() && !job.complete() && job.needs_met) by_age.push_back(&job);
+    if (!job.cancelled() && !job.complete() && job.dependencies_met) by_age.push_back(&job);
   }
   std::sort(by_age.begin(), by_age.end(), [](const Job* a, const Job* b) {
     return std::pair(a->ready_ms, a->spec.id) < std::pair(b->ready_ms, b->spec.id);
@@ -212,7 +212,8 @@
 }
 
 bool Pass::may_reschedule(const Job& job, std::uint32_t task, const Slot& slot) const {
-  if (job.cancelled() || !job.needs_met || job.backoff_until > now_ || !job.is_pending(task)) {
+  if (job.cancelled() || !job.dependencies_met || job.backoff_until > now_ ||
+      !job.is_pending(task)) {
     return false;
   }
   return job.live() < most_live_tasks(cluster_.settings()) &&
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -163,11 +163,11 @@
     job.due_s = *due;
   }
   if (find(o, "WaitsOn") != nullptr) {
-    const auto needs = read_texts(o, "WaitsOn");
-    const bool valid = needs && needs->size() <= kMostNeeds &&
-                       std::all_of(needs->begin(), needs->end(), valid_job_id);
+    const auto dependencies = read_texts(o, "WaitsOn");
+    const bool valid = dependencies && dependencies->size() <= kMaxDependencies &&
+                       std::all_of(dependencies->begin(), dependencies->end(), valid_job_id);
     if (!valid) return "WaitsOn: expected a list of at most 256 job ids";
-    job.needs = without_repeats(*needs);
+    job.dependencies = without_repeats(*dependencies);
   }
   return job;
 }
@@ -191,9 +191,9 @@
   w.key("ExpectS").amount(job.estimate_s).key("NotchS").amount(job.checkpoint_s);
   w.key("StowS").amount(job.save_s);
   if (job.due_s) w.key("DueS").amount(*job.due_s);
-  if (!job.needs.empty()) {
+  if (!job.dependencies.empty()) {
     w.key("WaitsOn").list();
-    for (const auto& id : job.needs) w.text(id);
+    for (const auto& id : job.dependencies) w.text(id);
     w.list_end();
   }
   w.end();
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -54,11 +54,11 @@
   double estimate_s = 0, checkpoint_s = 0, save_s = 0;
   std::optional<double> due_s;
   /// Ids of the jobs that must be done before any task of this one starts, each once.
-  std::vector<std::string> needs;
+  std::vector<std::string> dependencies;
 };
 
 inline constexpr std::uint32_t kMostTasks = 100'000;
-inline constexpr std::size_t kMostNeeds = 256;  ///< jobs that one job may name as needed
+inline constexpr std::size_t kMaxDependencies = 256;  ///< jobs that one job may name as needed
 
 /// "j-" and digits, the form that every job id has.
 bool valid_job_id(std::string_view id);
--- a/tests/complete_job.hpp
+++ b/tests/complete_job.hpp
@@ -34,7 +34,7 @@
   job.checkpoint_s = 30.5;
   job.save_s = 4;
   job.due_s = 900;
-  job.needs = {"j-1", "j-22"};
+  job.dependencies = {"j-1", "j-22"};
   return job;
 }
 
@@ -57,7 +57,7 @@
   EXPECT_EQ(job.checkpoint_s, 30.5);
   EXPECT_EQ(job.save_s, 4);
   EXPECT_EQ(job.due_s, 900.0);
-  EXPECT_EQ(job.needs, (std::vector<std::string>{"j-1", "j-22"}));
+  EXPECT_EQ(job.dependencies, (std::vector<std::string>{"j-1", "j-22"}));
 }
 
 }  // namespace cranklock::testing
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -12,9 +12,9 @@
 using wire::JobKind;
 using wire::Priority;
 
-Job dependent(const std::string& id, std::vector<std::string> needs, double gpus = 1) {
+Job dependent(const std::string& id, std::vector<std::string> dependencies, double gpus = 1) {
   Job job = make_job(id, JobKind::job_array, 1, gpus);
-  job.spec.needs = std::move(needs);
+  job.spec.dependencies = std::move(dependencies);
   return job;
 }
 
@@ -56,12 +56,12 @@
   s.add(dependent("j-000002", {"j-000001"}));
   s.cluster.note_ending("j-000001", done_at(0));
   s.add(dependent("j-000002", {"j-000001"}));
-  EXPECT_TRUE(s.cluster.job("j-000002")->needs_met);
+  EXPECT_TRUE(s.cluster.job("j-000002")->dependencies_met);
   // Nothing is kept for a job that is not live any more.
   s.cluster.drop_job("j-000002");
   EXPECT_TRUE(s.cluster.dependencies().empty());
   s.add(dependent("j-000003", {"j-000001"}));
-  EXPECT_FALSE(s.cluster.job("j-000003")->needs_met);
+  EXPECT_FALSE(s.cluster.job("j-000003")->dependencies_met);
 }
 
 TEST(Dependencies, AnEndingIsTakenOnce) {
@@ -117,7 +117,7 @@
   s.written(runs);
   Job waits = make_job("j-000002", JobKind::service, 8, 1);
   waits.spec.priority = Priority::production;
-  waits.spec.needs = {"j-000009"};
+  waits.spec.dependencies = {"j-000009"};
   s.add(std::move(waits));
   const auto result = s.pass(2);
   EXPECT_EQ(result.stopped, 0);
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -12,9 +12,9 @@
 
 using wire::JobKind;
 
-wire::JobSpec stage(int i, const std::vector<int>& needs = {}, std::uint32_t tasks = 1) {
+wire::JobSpec stage(int i, const std::vector<int>& dependencies = {}, std::uint32_t tasks = 1) {
   auto spec = make_job(name(i), JobKind::job_array, tasks, 1).spec;
-  for (const int needed : needs) spec.needs.push_back(name(needed));
+  for (const int needed : dependencies) spec.dependencies.push_back(name(needed));
   return spec;
 }
 
--- a/tests/rule_checker.cpp
+++ b/tests/rule_checker.cpp
@@ -38,7 +38,7 @@
     const auto* described = spec(next.back());
     next.pop_back();
     if (described == nullptr) continue;
-    for (const auto& needed : described->needs) {
+    for (const auto& needed : described->dependencies) {
       if (out.insert(needed).second) next.push_back(needed);
     }
   }
@@ -63,8 +63,8 @@
   });
 }
 
-void RuleChecker::check_needs_done(const std::string& job, const std::string& task) {
-  for (const auto& needed : spec(job)->needs) {
+void RuleChecker::check_dependencies_done(const std::string& job, const std::string& task) {
+  for (const auto& needed : spec(job)->dependencies) {
     const auto* described = spec(needed);
     const bool done = described != nullptr && jobs_.at(needed).done.size() == described->tasks;
     if (!done) breaks("too_early", task + " before " + needed);
@@ -149,7 +149,7 @@
   const auto* job = spec(task.job);
   if (job == nullptr) return breaks("invented", task.job + " runs and was never submitted");
   const std::string name = task.job + "/" + std::to_string(task.task);
-  check_needs_done(task.job, name);
+  check_dependencies_done(task.job, name);
   if (!sched::allows(*job, task.kind)) breaks("wrong_place", name + " in " + task.kind.zone);
   std::uint32_t here = 1;
   for (const auto& other : others) {
--- a/tests/rule_checker.hpp
+++ b/tests/rule_checker.hpp
@@ -76,7 +76,7 @@
   /// When the first of those that it needs was called cancelled; below 0: none was.
   double orphaned_at(const std::string& job) const;
   bool cancel_asked(const std::string& job) const;
-  void check_needs_done(const std::string& job, const std::string& task);
+  void check_dependencies_done(const std::string& job, const std::string& task);
   void breaks(const std::string& rule, const std::string& how);
   const base::Settings& settings_;
   std::map<std::string, Job> jobs_;
--- a/tests/sharing_rule_test.cpp
+++ b/tests/sharing_rule_test.cpp
@@ -80,7 +80,7 @@
   cancelled.cancelled_at_ms = 9;
   fleet.add(cancelled);
   auto dependent = testing::make_job("j-4", wire::JobKind::job_array, 5, 1);
-  dependent.spec.needs = {"j-1"};
+  dependent.spec.dependencies = {"j-1"};
   fleet.add(dependent);
   fleet.add(testing::make_job("j-5", wire::JobKind::service, 2, 1, "blue"));
   auto& running = *fleet.cluster.job("j-5");
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -160,7 +160,7 @@
 TEST(StatusCache, AJobThatWaitsForOthersIsLookedUp) {
   Stored s;
   auto job = testing::make_job("j-000002", wire::JobKind::service, 2, 1, "red");
-  job.spec.needs = {"j-000001"};
+  job.spec.dependencies = {"j-000001"};
   s.write({{job_key("j-000002"), write_record(job, 8192)[0], 0}});
   EXPECT_EQ(s.ask("j-000002").kind, StatusCache::Kind::unknown);
   EXPECT_EQ(s.ask("j-000002").kind, StatusCache::Kind::unknown);
--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -82,7 +82,7 @@
 
 TEST(StoredJob, AJobThatNeedsNoOtherStandsUnderAnotherName) {
   sched::Job job = stored_job();
-  job.spec.needs.clear();
+  job.spec.dependencies.clear();
   job.cancelled_at_ms = 0;
   const auto texts = control::write_record(job, 8192);
   ASSERT_EQ(texts.size(), 1U);
--- a/tests/sweep_test.cpp
+++ b/tests/sweep_test.cpp
@@ -154,7 +154,7 @@
       // Mostly the latest, so that chains come about.
       const int last = static_cast<int>(candidates.size()) - 1;
       const int which = roll() < 0.6 ? last : pick(last + 1);
-      job.needs.push_back(candidates[static_cast<std::size_t>(which)]);
+      job.dependencies.push_back(candidates[static_cast<std::size_t>(which)]);
       candidates.erase(candidates.begin() + which);
     }
   }
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -304,8 +304,8 @@
   cluster.run(8);
   for (int i = 0; i < 14; ++i) {
     auto stage = job(i, 1, JobKind::job_array, 2);
-    if (i > 0) stage.needs.push_back(name((i - 1) / 2));
-    if (i > 4) stage.needs.push_back(name(i - 2));
+    if (i > 0) stage.dependencies.push_back(name((i - 1) / 2));
+    if (i > 4) stage.dependencies.push_back(name(i - 2));
     UserHabits habits;
     if (i == 5) habits.cancels_after = 14.0 + seed;
     cluster.add_user(stage, habits);
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -87,7 +87,7 @@
   auto job = read_record(kProductionRecord, parts);
   ASSERT_TRUE(job);
   EXPECT_EQ(parts, 1);
-  EXPECT_TRUE(job->spec.needs.empty());
+  EXPECT_TRUE(job->spec.dependencies.empty());
   ASSERT_TRUE(control::read_part(kProductionPart, false, *job));
   EXPECT_EQ(job->placements.size(), 2U);
   EXPECT_EQ(job->done.size(), 1U);
@@ -156,13 +156,13 @@
 TEST(Versions, TheOlderVersionLeavesAJobWithNeedsAlone) {
   sched::Job job = long_job(1);
   EXPECT_TRUE(older_reads(write_record(job, 8192)[0]));
-  job.spec.needs = {"j-000007", "j-000008"};
+  job.spec.dependencies = {"j-000007", "j-000008"};
   const auto texts = write_record(job, 8192);
   EXPECT_FALSE(older_reads(texts[0]));
   int parts = 0;
   const auto read = read_record(texts[0], parts);
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->spec.needs, job.spec.needs);
+  EXPECT_EQ(read->spec.dependencies, job.spec.dependencies);
   // It insists on these two fields of an ending, and ignores others.
   const std::string ending = control::write_ending({wire::JobState::done, 3, 1234});
   EXPECT_EQ(ending, R"({"s":"done","n":3,"t":1234})");
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -50,7 +50,7 @@
   job.types.clear();
   job.zone.clear();
   job.due_s.reset();
-  job.needs.clear();
+  job.dependencies.clear();
   const std::string expected =
       R"({"Id":"j-000412","Gear":"train","Crew":"red","Shape":"ensemble","Rank":"high",)"
       R"("Teeth":16,"Cpus":8.5,"Accelerators":2.0,"MemGb":64.25,"Cast":"img-07","SizeGb":6.2,)"
@@ -60,7 +60,7 @@
   EXPECT_TRUE(read.types.empty());
   EXPECT_EQ(read.zone, "");
   EXPECT_FALSE(read.due_s);
-  EXPECT_TRUE(read.needs.empty());
+  EXPECT_TRUE(read.dependencies.empty());
 }
 
 TEST(UserProtocol, EachFlagOfAJobHasItsOwnName) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -27,7 +27,7 @@
   text.replace(text.find("\"Later\":1"), 9, R"("WaitsOn":["j-2","j-1","j-2"])");
   const JsonDocument document(text);
   const auto job = std::get<JobSpec>(parse_job(document.root()));
-  EXPECT_EQ(job.needs, (std::vector<std::string>{"j-2", "j-1"}));
+  EXPECT_EQ(job.dependencies, (std::vector<std::string>{"j-2", "j-1"}));
   for (const char* bad : {R"("j-1")", R"([1])", R"(["x"])", R"({})", "7"}) {
     EXPECT_NE(reason(kJob, "\"Later\":1", std::string("\"WaitsOn\":") + bad).find("WaitsOn"),
               std::string::npos)
@@ -36,7 +36,7 @@
   EXPECT_EQ(reason(kJob, "\"Later\":1", "\"WaitsOn\":null"), "");
   EXPECT_EQ(reason(kJob, "\"Later\":1", "\"WaitsOn\":[]"), "");
   std::string many = "\"WaitsOn\":[\"j-0\"";
-  for (std::size_t i = 1; i <= kMostNeeds; ++i) many += ",\"j-" + std::to_string(i) + "\"";
+  for (std::size_t i = 1; i <= kMaxDependencies; ++i) many += ",\"j-" + std::to_string(i) + "\"";
   EXPECT_NE(reason(kJob, "\"Later\":1", many + "]").find("WaitsOn"), std::string::npos);
 }
 
