--- a/lab/controllers.hpp
+++ b/lab/controllers.hpp
@@ -68,8 +68,8 @@
   };
   std::string log_of(const Controller& controller) const;
   std::uint64_t serving_fencing_token(const Controller& controller) const;
-  std::string path(const std::string& member, const char* ending) const {
-    return folder_ + "/" + member + ending;
+  std::string path(const std::string& member, const char* outcome) const {
+    return folder_ + "/" + member + outcome;
   }
   void write_settings(const Region& region, int index, int regions) const;
   void write_operator_file(const std::vector<std::unique_ptr<Region>>& regions, int region,
--- a/src/control/ending_reader.hpp
+++ b/src/control/ending_reader.hpp
@@ -15,11 +15,11 @@
 /// After a take-over, and for jobs submitted after the end of what they need. Each ending is read
 /// once for all jobs that need it, a few at a time, beside everything else that the leader does. A
 /// job whose needs are not all known waits, and holds up no other (invariant 14).
-class EndingReader {
+class OutcomeReader {
  public:
   /// `changed` is set when an ending has been taken in. All outlive the reader.
-  EndingReader(net::Reactor& reactor, store::Client& store, sched::ClusterState& cluster,
-               net::Signal& changed)
+  OutcomeReader(net::Reactor& reactor, store::Client& store, sched::ClusterState& cluster,
+                net::Signal& changed)
       : reactor_(reactor), store_(store), cluster_(cluster), changed_(changed) {}
 
   /// Begins to read what is not known. To be called again and again: a read that failed is repeated
--- a/src/control/job_follower.cpp
+++ b/src/control/job_follower.cpp
@@ -13,7 +13,7 @@
 using net::Sleep;
 using net::Task;
 using sched::Job;
-using store::Outcome;
+using store::Status;
 
 JobFollower::JobFollower(Services services, LeaderLease& lease, sched::ClusterState& cluster,
                          RecordReloader& reloader, net::Signal& work, Term term)
@@ -30,7 +30,7 @@
   const double sent = now();
   auto reading = services_.store.read_all(kJobsPrefix, kStoreTimeout);
   const auto jobs = co_await reading;
-  if (jobs.outcome != Outcome::ok) co_return false;
+  if (jobs.status != Status::ok) co_return false;
   loaded_revision_ = jobs.page.revision;
   leader_lease_.caught_up(sent);
   for (const auto& item : jobs.page.items) {
@@ -86,7 +86,7 @@
     const double sent = now();
     auto watching = services_.store.watch(kJobsPrefix, since, wait);
     auto result = co_await watching;
-    if (result.outcome == Outcome::ok) {
+    if (result.status == Status::ok) {
       unclear = 0;
       since = std::max(since, result.page.revision);
       note_changes(std::move(result.page.items), sent);
@@ -96,13 +96,13 @@
     // Guards against an answer that is too long to be read, and so would be asked for for ever. In
     // an outage renewals are not answered either.
     const bool served = leader_lease_.confirmed_sent() > sent;
-    unclear = result.outcome == Outcome::unknown && served ? unclear + 1 : 0;
-    if (result.outcome == Outcome::failed || unclear >= 3) {
+    unclear = result.status == Status::unknown && served ? unclear + 1 : 0;
+    if (result.status == Status::failed || unclear >= 3) {
       // Too far behind: read everything again, as changes.
       const double asked = now();
       auto reading = services_.store.read_all(kJobsPrefix, kStoreTimeout);
       auto all = co_await reading;
-      if (all.outcome == Outcome::ok) {
+      if (all.status == Status::ok) {
         unclear = 0;
         since = all.page.revision;
         note_changes(std::move(all.page.items), asked);
--- a/src/control/job_lookup.cpp
+++ b/src/control/job_lookup.cpp
@@ -3,17 +3,17 @@
 namespace cranklock::control {
 
 using net::Task;
-using store::Outcome;
+using store::Status;
 
-const Ending* JobLookup::known_ending(const std::string& id) const {
-  return endings_.find(id);
+const JobOutcome* JobLookup::known_outcome(const std::string& id) const {
+  return outcomes_.find(id);
 }
 
 Task<StoredJob> JobLookup::find(std::string id) {
   StoredJob found;
-  if (const Ending* known = known_ending(id)) {
+  if (const JobOutcome* known = known_outcome(id)) {
     found.kind = StoredJob::Kind::ended;
-    found.ending = *known;
+    found.outcome = *known;
     co_return found;
   }
   // Guards against users who wait for a state service that does not answer this node: they are told
@@ -23,7 +23,7 @@
   // never back, so missing both, in this order, means that it was in neither when asked.
   auto reading = store_.read(job_key(id), kUserTimeout);
   auto live = co_await reading;
-  if (live.outcome == Outcome::ok) {
+  if (live.status == Status::ok) {
     int parts = 0;
     auto job = read_record(live.value.data, parts);
     if (!job) co_return found;
@@ -33,16 +33,16 @@
     found.text = std::move(live.value.data);
     co_return found;
   }
-  if (live.outcome != Outcome::failed) co_return found;
-  auto reading_ended = store_.read(ended_key(id), kUserTimeout);
+  if (live.status != Status::failed) co_return found;
+  auto reading_ended = store_.read(outcome_key(id), kUserTimeout);
   const auto ended = co_await reading_ended;
-  if (ended.outcome == Outcome::failed) found.kind = StoredJob::Kind::absent;
-  if (ended.outcome != Outcome::ok) co_return found;
-  const auto ending = read_ending(ended.value.data);
-  if (!ending) co_return found;
+  if (ended.status == Status::failed) found.kind = StoredJob::Kind::absent;
+  if (ended.status != Status::ok) co_return found;
+  const auto outcome = read_outcome(ended.value.data);
+  if (!outcome) co_return found;
   found.kind = StoredJob::Kind::ended;
-  found.ending = *ending;
-  endings_.put(id, *ending);
+  found.outcome = *outcome;
+  outcomes_.put(id, *outcome);
   co_return found;
 }
 
--- a/src/control/job_lookup.hpp
+++ b/src/control/job_lookup.hpp
@@ -21,7 +21,7 @@
   Kind kind = Kind::unclear;  ///< unclear: the state service did not say
   sched::Job job;             ///< of a live one, without what stands in parts of its record
   std::string text;           ///< the live record as stored
-  Ending ending;
+  JobOutcome outcome;
 
   /// A task of it was placed. It can't have been before all jobs that it needs were done.
   bool started() const {
@@ -29,7 +29,7 @@
   }
   bool cancelled() const {
     return kind == Kind::live ? job.cancelled()
-                              : kind == Kind::ended && ending.state == wire::JobState::cancelled;
+                              : kind == Kind::ended && outcome.state == wire::JobState::cancelled;
   }
 };
 
@@ -38,21 +38,21 @@
  public:
   /// `state_reached` says whether the state service has answered this node lately.
   JobLookup(store::Client& store, std::function<bool()> state_reached)
-      : store_(store), state_reached_(std::move(state_reached)), endings_(kMostEndings) {}
+      : store_(store), state_reached_(std::move(state_reached)), outcomes_(kMaxOutcomes) {}
 
   net::Task<StoredJob> find(std::string id);
   /// Null when it is not remembered.
-  const Ending* known_ending(const std::string& id) const;
+  const JobOutcome* known_outcome(const std::string& id) const;
   bool state_reached() const { return state_reached_(); }
 
  private:
   /// Endings remembered, some 150 bytes each. One that is forgotten costs a read when it is asked
   /// for.
-  static constexpr std::size_t kMostEndings = 4096;
+  static constexpr std::size_t kMaxOutcomes = 4096;
 
   store::Client& store_;
   std::function<bool()> state_reached_;
-  base::RecentMap<Ending> endings_;
+  base::RecentMap<JobOutcome> outcomes_;
 };
 
 }  // namespace cranklock::control
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -14,7 +14,7 @@
 using defrag::DrainRequest;
 using defrag::DropReason;
 using net::Task;
-using store::Outcome;
+using store::Status;
 
 MoveService::MoveService(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
                          net::Signal& work, Term term)
@@ -30,8 +30,8 @@
 Task<bool> MoveService::load() {
   auto reading = services_.store.read(kMovesKey, kStoreTimeout);
   const auto found = co_await reading;
-  if (found.outcome == Outcome::failed) co_return true;
-  if (found.outcome != Outcome::ok) co_return false;
+  if (found.status == Status::failed) co_return true;
+  if (found.status != Status::ok) co_return false;
   revision_ = found.value.revision;
   if (const auto record = defrag::read_move_record(found.value.data)) {
     executor_.load(*record, wall_ms(), now());
@@ -89,15 +89,15 @@
   const auto failed_on = [&](const char* key) {
     return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
   };
-  is_unknown_ = is_unknown_ || result.outcome == Outcome::unknown;
-  if (result.outcome == Outcome::ok) {
+  is_unknown_ = is_unknown_ || result.status == Status::unknown;
+  if (result.status == Status::ok) {
     is_unknown_ = false;
     revision_ = result.revision;
     executor_.note_stored(record);
     due_.set();
-  } else if (result.outcome == Outcome::failed && failed_on(kLeaderKey)) {
+  } else if (result.status == Status::failed && failed_on(kLeaderKey)) {
     term_.lose("the leader's key has changed");
-  } else if (result.outcome == Outcome::failed) {
+  } else if (result.status == Status::failed) {
     if (failed_on(kMovesOffKey)) {
       executor_.drop(DropReason::off, now());
       look_after_ = now() + services_.settings.lease_s;
@@ -114,10 +114,10 @@
 Task<void> MoveService::read_revision() {
   auto reading = services_.store.read(kMovesKey, kStoreTimeout);
   const auto found = co_await reading;
-  if (found.outcome == Outcome::ok) {
+  if (found.status == Status::ok) {
     revision_ = found.value.revision;
     is_unknown_ = true;
-  } else if (found.outcome == Outcome::failed) {
+  } else if (found.status == Status::failed) {
     revision_ = 0;
   }
 }
--- a/src/control/needs_check.cpp
+++ b/src/control/needs_check.cpp
@@ -14,8 +14,8 @@
 
 Task<DependencyCheck::Verdict> DependencyCheck::look_at(std::string id, Progress& progress,
                                                         std::vector<std::string>& dependencies) {
-  if (const Ending* ending = lookup_.known_ending(id)) {
-    co_return ending->state == wire::JobState::done ? Verdict::clear : Verdict::cancelled;
+  if (const JobOutcome* outcome = lookup_.known_outcome(id)) {
+    co_return outcome->state == wire::JobState::done ? Verdict::clear : Verdict::cancelled;
   }
   const double sent = reactor_.now();
   if (const Live* live = live_.find(id); live != nullptr && sent < live->as_of + trusted_s_) {
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -11,7 +11,7 @@
 using net::Response;
 using net::Sleep;
 using net::Task;
-using store::Outcome;
+using store::Status;
 
 Node::Node(Services services)
     : services_(services),
@@ -167,7 +167,7 @@
   std::vector<wire::Change> changes{{kTypesKey, std::move(text), 0}};
   auto writing = services_.store.transact(std::move(conditions), std::move(changes), kStoreTimeout);
   const auto written = co_await writing;
-  co_return written.outcome == Outcome::ok || written.outcome == Outcome::failed;
+  co_return written.status == Status::ok || written.status == Status::failed;
 }
 
 Task<void> Node::learn_types() {
@@ -179,7 +179,7 @@
       // The cloud may be down just when this node starts; another may have kept what it said.
       auto reading = services_.store.read(kTypesKey, kStoreTimeout);
       const auto kept = co_await reading;
-      if (kept.outcome == Outcome::ok) types = wire::parse_machine_types(kept.value.data);
+      if (kept.status == Status::ok) types = wire::parse_machine_types(kept.value.data);
     } else if (!stored) {
       wire::JsonWriter w;
       wire::write_machine_types(w, *types);
@@ -196,7 +196,7 @@
 
 void Node::note_leader(const store::ReadResult& found) {
   leader_.clear();
-  if (found.outcome != Outcome::ok) return;
+  if (found.status != Status::ok) return;
   leader_fencing_token_ = std::max(leader_fencing_token_, found.value.revision);
   if (const auto leader = read_leader(found.value.data)) leader_ = leader->name;
 }
@@ -206,7 +206,7 @@
   for (;;) {
     auto reading = services_.store.read(kLeaderKey, 1.0);
     const auto found = co_await reading;
-    if (found.outcome == Outcome::ok || found.outcome == Outcome::failed) {
+    if (found.status == Status::ok || found.status == Status::failed) {
       state_heard_ = services_.reactor.now();
       note_leader(found);
     }
@@ -232,7 +232,7 @@
     std::vector<wire::Change> changes{{kLeaderKey, text, *lease}};
     auto writing = services_.store.transact(std::move(conditions), std::move(changes), life / 3);
     const auto written = co_await writing;
-    if (written.outcome == Outcome::ok) {
+    if (written.status == Status::ok) {
       taken.ok = true;
       taken.fencing_token = written.revision;
       co_return taken;
@@ -241,7 +241,7 @@
     // condition lets only one of the two through.
     auto reading = services_.store.read(kLeaderKey, life / 3);
     const auto found = co_await reading;
-    if (found.outcome == Outcome::ok) {
+    if (found.status == Status::ok) {
       const auto holder = read_leader(found.value.data);
       if (holder && holder->nonce == record.nonce) {
         taken.ok = true;
@@ -249,7 +249,7 @@
       }
       break;
     }
-    if (written.outcome == Outcome::refused) break;
+    if (written.status == Status::refused) break;
   }
   if (!taken.ok) {
     auto dropping = services_.store.drop_lease(*lease, life / 3);
@@ -263,19 +263,19 @@
   for (;;) {
     auto reading = services_.store.read(kLeaderKey, kStoreTimeout);
     const auto found = co_await reading;
-    if (found.outcome == Outcome::ok) {
+    if (found.status == Status::ok) {
       note_leader(found);
       state_heard_ = services_.reactor.now();
       // A former run of this node may still be named; its lease then ends by itself.
       auto watching = services_.store.watch(kLeaderKey, found.value.revision, 2 * life);
       const auto change = co_await watching;
-      if (change.outcome != Outcome::ok) {
+      if (change.status != Status::ok) {
         Sleep pause(services_.reactor, life / 8);
         co_await pause;
       }
       continue;
     }
-    const bool free = found.outcome == Outcome::failed;
+    const bool free = found.status == Status::failed;
     if (free) note_leader(found);
     if (!free || services_.reactor.now() < abstain_until_) {
       Sleep pause(services_.reactor, life / 8);
@@ -316,10 +316,10 @@
     const double sent = services_.reactor.now();
     auto renewing = services_.store.renew_lease(taken.lease, life / 3);
     const auto renewed = co_await renewing;
-    if (renewed != Outcome::failed) leader_lease_->asked(sent);
-    if (renewed == Outcome::ok) {
+    if (renewed != Status::failed) leader_lease_->asked(sent);
+    if (renewed == Status::ok) {
       leader_lease_->confirm(sent);
-    } else if (renewed == Outcome::failed) {
+    } else if (renewed == Status::failed) {
       spdlog::info("leadership lost, token {}: its lease has ended", taken.fencing_token);
       break;
     }
@@ -329,7 +329,7 @@
       abstain_until_ = services_.reactor.now() + 2 * services_.settings.lease_s;
       break;
     }
-    const bool unconfirmed = renewed != Outcome::ok;
+    const bool unconfirmed = renewed != Status::ok;
     net::Signal::Wait wait(lost_, unconfirmed ? life / 10 : life / 4);
     co_await wait;
   }
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -14,7 +14,7 @@
 using net::Sleep;
 using net::Task;
 using sched::Machine;
-using store::Outcome;
+using store::Status;
 
 PoolScaler::PoolScaler(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
                        net::Signal& work, Term term)
@@ -28,7 +28,7 @@
 Task<bool> PoolScaler::load() {
   auto reading_pools = services_.store.read_all(kPoolsPrefix, kStoreTimeout);
   const auto pools = co_await reading_pools;
-  if (pools.outcome != Outcome::ok) co_return false;
+  if (pools.status != Status::ok) co_return false;
   first_ever_ = pools.page.items.empty();
   for (const auto& item : pools.page.items) {
     const wire::JsonDocument document(item.data);
@@ -203,12 +203,12 @@
   std::vector<wire::Change> changes{{key, w.take(), 0}};
   auto writing = services_.store.transact(std::move(conditions), std::move(changes), kStoreTimeout);
   const auto result = co_await writing;
-  if (result.outcome == Outcome::ok) {
+  if (result.status == Status::ok) {
     pool_revisions_[name] = result.revision;
-  } else if (result.outcome != Outcome::refused) {
+  } else if (result.status != Status::refused) {
     auto reading = services_.store.read(key, kStoreTimeout);
     const auto found = co_await reading;
-    if (found.outcome == Outcome::ok) pool_revisions_[name] = found.value.revision;
+    if (found.status == Status::ok) pool_revisions_[name] = found.value.revision;
   }
 }
 
--- a/src/control/record.cpp
+++ b/src/control/record.cpp
@@ -14,7 +14,7 @@
 std::string job_of_key(const std::string& key) {
   return key.substr(std::string_view(kJobsPrefix).size());
 }
-std::string ended_key(const std::string& id) {
+std::string outcome_key(const std::string& id) {
   return "ended/" + id;
 }
 std::string part_key(const std::string& id, int part) {
@@ -143,24 +143,24 @@
   return std::strtoll(text.c_str() + at + kName.size(), nullptr, 10);
 }
 
-std::string write_ending(const Ending& ending) {
+std::string write_outcome(const JobOutcome& outcome) {
   JsonWriter w;
-  w.begin().key("s").text(ending.state == wire::JobState::done ? "done" : "withdrawn");
-  w.key("n").count(ending.tasks);
-  if (ending.ended_ms != 0) w.key("t").integer(ending.ended_ms);
+  w.begin().key("s").text(outcome.state == wire::JobState::done ? "done" : "withdrawn");
+  w.key("n").count(outcome.tasks);
+  if (outcome.ended_ms != 0) w.key("t").integer(outcome.ended_ms);
   w.end();
   return w.take();
 }
 
-std::optional<Ending> read_ending(const std::string& text) {
+std::optional<JobOutcome> read_outcome(const std::string& text) {
   const JsonDocument document(text);
   if (!document.is_object()) return std::nullopt;
   const auto state = wire::read_text(document.root(), "s");
   const auto tasks = wire::read_count(document.root(), "n");
   if (!state || !tasks || (*state != "done" && *state != "withdrawn")) return std::nullopt;
-  return Ending{*state == "done" ? wire::JobState::done : wire::JobState::cancelled,
-                static_cast<std::uint32_t>(*tasks),
-                static_cast<std::int64_t>(wire::read_amount(document.root(), "t").value_or(0))};
+  return JobOutcome{*state == "done" ? wire::JobState::done : wire::JobState::cancelled,
+                    static_cast<std::uint32_t>(*tasks),
+                    static_cast<std::int64_t>(wire::read_amount(document.root(), "t").value_or(0))};
 }
 
 std::string write_leader(const LeaderRecord& leader) {
--- a/src/control/record.hpp
+++ b/src/control/record.hpp
@@ -24,7 +24,7 @@
 std::string job_key(const std::string& id);
 /// The job whose live record stands under this key.
 std::string job_of_key(const std::string& key);
-std::string ended_key(const std::string& id);
+std::string outcome_key(const std::string& id);
 std::string part_key(const std::string& id, int part);
 
 /// The texts of the main value and of its parts, none longer than `most_bytes`.
@@ -41,15 +41,15 @@
 /// When the job of a stored record was cancelled; 0: it was not.
 std::int64_t read_cancelled_at_ms(const std::string& text);
 
-struct Ending {
+struct JobOutcome {
   wire::JobState state = wire::JobState::done;
   std::uint32_t tasks = 0;  ///< that were done
   /// Time of day of the write, where jobs waited for this one; 0: not kept. Their own times count
   /// from there. Readers of versions from before it ignore it.
   std::int64_t ended_ms = 0;
 };
-std::string write_ending(const Ending& ending);
-std::optional<Ending> read_ending(const std::string& text);
+std::string write_outcome(const JobOutcome& outcome);
+std::optional<JobOutcome> read_outcome(const std::string& text);
 
 struct LeaderRecord {
   std::string name, nonce;
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -9,7 +9,7 @@
 
 using net::Task;
 using sched::Job;
-using store::Outcome;
+using store::Status;
 
 RecordReloader::RecordReloader(net::Reactor& reactor, const base::Settings& settings,
                                store::Client& store, sched::ClusterState& cluster,
@@ -54,7 +54,7 @@
   for (int i = 0; i < parts; ++i) {
     auto reading = store_.read(part_key(job.spec.id, i), kStoreTimeout);
     const auto part = co_await reading;
-    if (part.outcome != Outcome::ok ||
+    if (part.status != Status::ok ||
         !read_part(part.value.data, part.value.revision == revision, job)) {
       co_return false;
     }
@@ -67,11 +67,11 @@
   for (int tries = 0; tries < kTries; ++tries) {
     auto reading = store_.read(job_key(id), kStoreTimeout);
     const auto found = co_await reading;
-    if (found.outcome == Outcome::failed) {
+    if (found.status == Status::failed) {
       cluster_.drop_job(id);
       co_return true;
     }
-    if (found.outcome != Outcome::ok) co_return false;
+    if (found.status != Status::ok) co_return false;
     int parts = 0;
     auto job = read_record(found.value.data, parts);
     if (!job) co_return false;
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -10,7 +10,7 @@
 
 using net::Task;
 using sched::Job;
-using store::Outcome;
+using store::Status;
 
 namespace {
 constexpr double kDoneLag = 3;  ///< seconds; users expect `done` so soon after the last task
@@ -33,7 +33,7 @@
     std::uint64_t revision;
     bool retire;
     int parts;
-    Ending ending;                        ///< of one that is retired
+    JobOutcome outcome;                   ///< of one that is retired
     std::vector<std::string> left_parts;  ///< of one that is retired, for which there was no room
     std::vector<std::pair<std::uint32_t, std::uint64_t>> live, ended, dropped;
   };
@@ -48,9 +48,10 @@
 // Moves a job to its ending. Guards against a record of more parts than a transaction removes, as
 // one stored before the limits fell: what is left is never read again and goes by and by.
 std::vector<wire::Change> RecordWriter::retiring_changes(
-    const Job& job, const Ending& ending, std::vector<std::string>& left_parts) const {
+    const Job& job, const JobOutcome& outcome, std::vector<std::string>& left_parts) const {
   const auto& id = job.spec.id;
-  std::vector<wire::Change> changes{{job_key(id), "", 0}, {ended_key(id), write_ending(ending), 0}};
+  std::vector<wire::Change> changes{{job_key(id), "", 0},
+                                    {outcome_key(id), write_outcome(outcome), 0}};
   for (int i = 0; i < job.stored_parts; ++i) {
     if (changes.size() < store_.txn_changes()) {
       changes.push_back({part_key(id, i), "", 0});
@@ -76,12 +77,12 @@
   const bool over = job.cancelled() ? job.live() == 0 : job.complete();
   if (over) {
     entry.retire = true;
-    entry.ending.state = job.cancelled() ? wire::JobState::cancelled : wire::JobState::done;
-    entry.ending.tasks = job.done.size();
+    entry.outcome.state = job.cancelled() ? wire::JobState::cancelled : wire::JobState::done;
+    entry.outcome.tasks = job.done.size();
     // Kept only for those that wait for it, whose own times count from here.
     const bool has_dependents = cluster_.dependencies().has_dependents(id);
-    if (has_dependents) entry.ending.ended_ms = reactor_.wall_ms();
-    changes = retiring_changes(job, entry.ending, entry.left_parts);
+    if (has_dependents) entry.outcome.ended_ms = reactor_.wall_ms();
+    changes = retiring_changes(job, entry.outcome, entry.left_parts);
   } else {
     auto texts = write_record(job, store_.value_bytes());
     entry.parts = static_cast<int>(texts.size()) - 1;
@@ -192,12 +193,12 @@
   if (batch.changes.empty()) co_return Written::nothing;
   auto writing = store_.transact(batch.conditions, batch.changes, kStoreTimeout);
   const auto result = co_await writing;
-  if (result.outcome == Outcome::ok) {
+  if (result.status == Status::ok) {
     apply_stored(batch, result.revision);
     co_return Written::stored;
   }
   const auto& failed = result.failed;
-  if (result.outcome == Outcome::failed &&
+  if (result.status == Status::failed &&
       std::find(failed.begin(), failed.end(), kLeaderKey) != failed.end()) {
     co_return Written::leadership_lost;
   }
@@ -213,7 +214,7 @@
   stale_parts_.insert(stale_parts_.end(), batch.stale_parts.begin(), batch.stale_parts.end());
   for (const auto& entry : batch.entries) {
     const auto& failed = result.failed;
-    const bool changed = result.outcome == Outcome::failed &&
+    const bool changed = result.status == Status::failed &&
                          (failed.empty() || std::find(failed.begin(), failed.end(),
                                                       job_key(entry.id)) != failed.end());
     if (changed) {
@@ -223,13 +224,13 @@
     Job* job = cluster_.job(entry.id);
     if (job == nullptr) continue;
     job->dirty = true;
-    if (result.outcome != Outcome::unknown) continue;
+    if (result.status != Status::unknown) continue;
     for (const auto& [task, attempt] : entry.live) {
       auto* p = job->find(task, attempt);
-      if (p != nullptr && !p->durable && !p->ended) p->outcome_unknown = true;
+      if (p != nullptr && !p->durable && !p->ended) p->write_unresolved = true;
     }
   }
-  if (result.outcome != Outcome::failed) write_after_ = now() + settings_.heartbeat_interval_s / 8;
+  if (result.status != Status::failed) write_after_ = now() + settings_.heartbeat_interval_s / 8;
 }
 
 void RecordWriter::apply_stored(Batch& batch, std::uint64_t revision) {
@@ -238,7 +239,7 @@
     if (job == nullptr) continue;
     if (entry.retire) {
       stale_parts_.insert(stale_parts_.end(), entry.left_parts.begin(), entry.left_parts.end());
-      note_retired(entry.id, entry.ending);
+      note_retired(entry.id, entry.outcome);
       continue;
     }
     job->revision = revision;
@@ -247,11 +248,11 @@
       auto* p = job->find(task, attempt);
       if (p == nullptr) continue;
       p->durable = true;
-      if (p->outcome_unknown && p->dropped) {  // since it was sent
+      if (p->write_unresolved && p->dropped) {  // since it was sent
         cluster_.resolve_dropped(*job, *p, now());
         job->dirty = true;
       }
-      p->outcome_unknown = false;
+      p->write_unresolved = false;
     }
     for (const auto& which : entry.dropped) {
       auto* p = job->find(which.first, which.second);
@@ -264,22 +265,22 @@
 }
 
 // The write was answered: it is the ending's proof for the jobs that need this one.
-void RecordWriter::note_retired(const std::string& id, const Ending& ending) {
+void RecordWriter::note_retired(const std::string& id, const JobOutcome& outcome) {
   const Job& job = *cluster_.job(id);
-  const bool done = ending.state == wire::JobState::done;
+  const bool done = outcome.state == wire::JobState::done;
   spdlog::info("job {} ended: {}", id, done ? "done" : "cancelled");
-  sched::Dependencies::Ending known;
+  sched::Dependencies::Outcome known;
   if (done) {
-    known.outcome = sched::Dependencies::Outcome::done;
-    known.at_ms = ending.ended_ms;
+    known.resolution = sched::Dependencies::Resolution::done;
+    known.at_ms = outcome.ended_ms;
     dependency_done_ = dependency_done_ || cluster_.dependencies().has_dependents(id);
   } else {
-    known.outcome = sched::Dependencies::Outcome::cancelled;
+    known.resolution = sched::Dependencies::Resolution::cancelled;
     known.at_ms = job.cancelled_at_ms;
     known.since = job.cancelled_since;
   }
   cluster_.drop_job(id);
-  cluster_.note_ending(id, known);
+  cluster_.record_outcome(id, known);
 }
 
 }  // namespace cranklock::control
--- a/src/control/record_writer.hpp
+++ b/src/control/record_writer.hpp
@@ -45,11 +45,11 @@
   Batch next_batch();
   void add_to_batch(sched::Job& job, Batch& batch);
   void add_stale_parts(Batch& batch);
-  std::vector<wire::Change> retiring_changes(const sched::Job& job, const Ending& ending,
+  std::vector<wire::Change> retiring_changes(const sched::Job& job, const JobOutcome& outcome,
                                              std::vector<std::string>& left_parts) const;
   void apply_stored(Batch& batch, std::uint64_t revision);
   void apply_not_stored(const Batch& batch, const store::TxnResult& result);
-  void note_retired(const std::string& id, const Ending& ending);
+  void note_retired(const std::string& id, const JobOutcome& outcome);
   double now() const { return reactor_.now(); }
 
   net::Reactor& reactor_;
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -9,7 +9,7 @@
 namespace cranklock::control {
 
 using net::Task;
-using store::Outcome;
+using store::Status;
 using wire::JobState;
 
 namespace {
@@ -123,7 +123,7 @@
 Task<std::optional<std::uint64_t>> StatusCache::read_stored() {
   auto reading = store_.read_page(kJobsPrefix, *read_after_, kPageItems, kUserTimeout);
   const auto read = co_await reading;
-  if (read.outcome != Outcome::ok) co_return std::nullopt;
+  if (read.status != Status::ok) co_return std::nullopt;
   take_in(read.page.items);
   read_after_.reset();
   if (read.page.more && !read.page.items.empty()) read_after_ = read.page.items.back().key;
@@ -134,15 +134,15 @@
   const double sent = exchange_sent_;
   auto asking = store_.changes(kJobsPrefix, *revision_, kUserTimeout);
   const auto changes = co_await asking;
-  if (changes.outcome == Outcome::ok) {
+  if (changes.status == Status::ok) {
     take_in(changes.page.items);
     revision_ = std::max(*revision_, changes.page.revision);
     caught_up_sent_ = sent;
     co_return;
   }
   // Too far behind, or an answer too long to be read: all is read anew.
-  if (changes.outcome != Outcome::refused) revision_.reset();
-  if (changes.outcome != Outcome::failed) failed_sent_ = sent;
+  if (changes.status != Status::refused) revision_.reset();
+  if (changes.status != Status::failed) failed_sent_ = sent;
 }
 
 // Pages and changes never overlap in time, but a page may be newer than the changes that follow it.
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -16,7 +16,7 @@
 using net::Task;
 using sched::Job;
 using sched::Machine;
-using store::Outcome;
+using store::Status;
 
 Term::Term(Services services, LeaderLease& lease, net::Signal& lost,
            regions::RegionNetwork* regions)
@@ -27,7 +27,7 @@
       work_(services.reactor),
       last_heard_(services.reactor.now()),
       machines_(services, lease, cluster_, work_),
-      endings_(services.reactor, services.store, cluster_, work_),
+      outcomes_(services.reactor, services.store, cluster_, work_),
       reloader_(
           services.reactor, services.settings, services.store, cluster_,
           [this](Job job) { jobs_.put(std::move(job)); }, work_),
@@ -106,11 +106,11 @@
   }
   auto reading = services_.store.read(regions::kFounderKey, kStoreTimeout);
   const auto found = co_await reading;
-  is_unfit_ = found.outcome == Outcome::ok;
+  is_unfit_ = found.status == Status::ok;
   if (is_unfit_) {
     spdlog::error("limits are shared with other regions, and the settings name none: not leading");
   }
-  co_return found.outcome == Outcome::failed;
+  co_return found.status == Status::failed;
 }
 
 // ---- take-over ----
@@ -120,11 +120,11 @@
   if (!co_await loading_shares) co_return false;
   auto reading_types = services_.store.read(kTypesKey, kStoreTimeout);
   const auto types = co_await reading_types;
-  if (types.outcome == Outcome::ok) {
+  if (types.status == Status::ok) {
     if (auto parsed = wire::parse_machine_types(types.value.data)) {
       cluster_.set_types(std::move(*parsed));
     }
-  } else if (types.outcome != Outcome::failed) {
+  } else if (types.status != Status::failed) {
     co_return false;
   }
   auto loading_pools = scaler_.load();
--- a/src/control/term.hpp
+++ b/src/control/term.hpp
@@ -83,7 +83,7 @@
   double last_heard_;
 
   MachineLifecycle machines_;
-  EndingReader endings_;
+  OutcomeReader outcomes_;
   RecordReloader reloader_;
   JobFollower jobs_;
   RecordWriter writer_;
--- a/src/control/term_decide.cpp
+++ b/src/control/term_decide.cpp
@@ -30,7 +30,7 @@
     }
     if (is_lost_) co_return;
     jobs_.apply_changes();
-    endings_.read_unknown();
+    outcomes_.read_unknown();
     const bool overdue = now() - last_pass > services_.settings.heartbeat_interval_s;
     if (!cluster_.types().empty() && (cluster_.take_changed() || overdue)) {
       last_pass = now();
--- a/src/control/users.cpp
+++ b/src/control/users.cpp
@@ -10,7 +10,7 @@
 using net::Request;
 using net::Response;
 using net::Task;
-using store::Outcome;
+using store::Status;
 using wire::JobState;
 
 namespace {
@@ -139,7 +139,7 @@
 Task<std::optional<JobState>> Users::state_to_tell(StoredJob found) {
   constexpr int kTries = 2;  // the record may change meanwhile
   for (int tries = 0; tries < kTries; ++tries) {
-    if (found.kind == StoredJob::Kind::ended) co_return found.ending.state;
+    if (found.kind == StoredJob::Kind::ended) co_return found.outcome.state;
     if (found.kind != StoredJob::Kind::live) co_return std::nullopt;
     const std::string id = found.job.spec.id;
     const bool waits =
@@ -151,7 +151,7 @@
     if (verdict != DependencyCheck::Verdict::cancelled) co_return JobState::queued;
     auto writing = write_cancellation(id, found);
     const auto written = co_await writing;
-    if (written == Outcome::ok) co_return JobState::cancelled;
+    if (written == Status::ok) co_return JobState::cancelled;
     auto looking = lookup_.find(id);
     found = co_await looking;
   }
@@ -200,8 +200,8 @@
     if (!types_known) co_return come_back("the machine types are not known yet");
     co_return plain_answer(422, wire::error_answer(reason));
   }
-  if (const Ending* ending = lookup_.known_ending(*id)) {
-    co_return plain_answer(200, wire::job_answer(*id, ending->state));
+  if (const JobOutcome* outcome = lookup_.known_outcome(*id)) {
+    co_return plain_answer(200, wire::job_answer(*id, outcome->state));
   }
   if (!lookup_.state_reached()) co_return come_back(kNoStateService);
   auto accepting = accept(std::move(std::get<wire::JobSpec>(parsed)),
@@ -220,17 +220,16 @@
   if (texts[0].size() > services_.store.value_bytes()) {
     co_return plain_answer(400, wire::error_answer("the description is too long"));
   }
-  std::vector<wire::Condition> conditions{{job_key(id), 0}, {ended_key(id), 0}};
+  std::vector<wire::Condition> conditions{{job_key(id), 0}, {outcome_key(id), 0}};
   std::vector<wire::Change> changes{{job_key(id), texts[0], 0}};
   auto creating = services_.store.transact(std::move(conditions), std::move(changes), kUserTimeout,
                                            store::Client::Priority::user);
   const auto created = co_await creating;
-  if (created.outcome == Outcome::ok) {
+  if (created.status == Status::ok) {
     const auto state = cancelled ? JobState::cancelled : JobState::queued;
     co_return plain_answer(201, wire::job_answer(id, state));
   }
-  if (created.outcome == Outcome::refused)
-    co_return come_back("the state service is not available");
+  if (created.status == Status::refused) co_return come_back("the state service is not available");
   // Known already, or unanswered: what is stored tells.
   auto looking = lookup_.find(id);
   auto found = co_await looking;
@@ -246,7 +245,7 @@
   const auto no_such = [] { return plain_answer(404, wire::error_answer("no such job")); };
   if (!wire::valid_job_id(id)) co_return no_such();
   const bool share = status_cache_.note_question();
-  if (share && lookup_.known_ending(id) == nullptr && lookup_.state_reached()) {
+  if (share && lookup_.known_outcome(id) == nullptr && lookup_.state_reached()) {
     auto asking = status_cache_.find(id);
     const auto found = co_await asking;
     if (found.kind == StatusCache::Kind::unavailable) co_return come_back(kNoStateService);
@@ -259,7 +258,7 @@
   auto found = co_await looking;
   if (found.kind == StoredJob::Kind::absent) co_return no_such();
   const bool ended = found.kind == StoredJob::Kind::ended;
-  const std::uint64_t done = ended ? found.ending.tasks : found.job.done.size();
+  const std::uint64_t done = ended ? found.outcome.tasks : found.job.done.size();
   const std::uint64_t running = ended ? 0 : found.job.placements.size();
   auto telling = state_to_tell(std::move(found));
   const auto state = co_await telling;
@@ -267,11 +266,11 @@
   co_return plain_answer(200, wire::job_status(id, *state, done, running));
 }
 
-Task<Outcome> Users::write_cancellation(std::string id, const StoredJob& found) {
+Task<Status> Users::write_cancellation(std::string id, const StoredJob& found) {
   // Only the mark is set, so that the parts of a long record stay as they are.
   const std::string mark = "\"w\":0";
   const auto at = found.text.rfind(mark);
-  if (at == std::string::npos) co_return Outcome::refused;
+  if (at == std::string::npos) co_return Status::refused;
   std::string text = found.text;
   text.replace(at, mark.size(), "\"w\":" + std::to_string(services_.reactor.wall_ms()));
   std::vector<wire::Condition> conditions{{job_key(id), found.job.revision}};
@@ -279,7 +278,7 @@
   auto writing = services_.store.transact(std::move(conditions), std::move(changes), kUserTimeout,
                                           store::Client::Priority::user);
   const auto written = co_await writing;
-  co_return written.outcome;
+  co_return written.status;
 }
 
 Task<Response> Users::cancel(std::string id) {
@@ -293,17 +292,17 @@
       co_return plain_answer(404, wire::error_answer("no such job"));
     }
     if (found.kind == StoredJob::Kind::ended) {
-      co_return plain_answer(200, wire::job_answer(id, found.ending.state));
+      co_return plain_answer(200, wire::job_answer(id, found.outcome.state));
     }
     if (found.job.cancelled()) {
       co_return plain_answer(200, wire::job_answer(id, JobState::cancelled));
     }
     auto writing = write_cancellation(id, found);
     const auto written = co_await writing;
-    if (written == Outcome::ok) {
+    if (written == Status::ok) {
       co_return plain_answer(200, wire::job_answer(id, JobState::cancelled));
     }
-    if (written == Outcome::refused) break;
+    if (written == Status::refused) break;
     // The record changed meanwhile, or no answer came: look again.
   }
   co_return come_back(kNoStateService);
--- a/src/control/users.hpp
+++ b/src/control/users.hpp
@@ -42,7 +42,7 @@
   /// Creates the record. `cancelled`: together with a job that it needs.
   net::Task<net::Response> accept(wire::JobSpec spec, bool cancelled);
   /// Marks a live record as cancelled, and changes nothing else in it.
-  net::Task<store::Outcome> write_cancellation(std::string id, const StoredJob& found);
+  net::Task<store::Status> write_cancellation(std::string id, const StoredJob& found);
   /// Why the job can never run; empty if it may.
   std::string impossible(const wire::JobSpec& spec) const;
 
--- a/src/regions/share_book.cpp
+++ b/src/regions/share_book.cpp
@@ -102,7 +102,7 @@
   founder_ = std::move(fresh.founder_);
   founder_revision_ = fresh.founder_revision_;
   under_way_.reset();
-  outcome_unknown_ = guard_sent_ = handed_out_ = reload_needed_ = false;
+  write_unresolved_ = guard_sent_ = handed_out_ = reload_needed_ = false;
   frozen_ = fresh.frozen_;
   if (!founder_ || *founder_ == settings_.operators.regions.founder) return;
   frozen_ = true;
@@ -375,7 +375,7 @@
 std::optional<ShareBook::Transaction> ShareBook::next_transaction(const DemandOf& demand_of,
                                                                   std::size_t most_changes) {
   if (handed_out_ || reload_needed_ || leadership_lost_) return std::nullopt;
-  if (outcome_unknown_) {
+  if (write_unresolved_) {
     // Under the same conditions, so that only one of the two is ever carried out.
     handed_out_ = guard_sent_ = true;
     return Transaction{under_way_->transaction.conditions, {under_way_->guard}};
@@ -391,15 +391,15 @@
   handed_out_ = false;
   if (!under_way_) return false;
   const bool clears = under_way_->kind == Operation::Kind::clear;
-  switch (result.outcome) {
-    case store::Outcome::ok: {
+  switch (result.status) {
+    case store::Status::ok: {
       const Operation operation = *std::exchange(under_way_, std::nullopt);
-      outcome_unknown_ = false;
+      write_unresolved_ = false;
       if (!guard_sent_) return apply(operation, result.revision);
       apply_guard(operation, result.revision);
       return true;  // what was counted as given is held again
     }
-    case store::Outcome::failed: {
+    case store::Status::failed: {
       const auto& failed = result.failed;
       if (std::find(failed.begin(), failed.end(), leader_.key) != failed.end()) {
         leadership_lost_ = true;
@@ -410,14 +410,14 @@
       }
       return false;
     }
-    case store::Outcome::refused:
+    case store::Status::refused:
       // Certainly not carried out; what was sent before it, under the same conditions, may be.
-      if (outcome_unknown_) return false;
+      if (write_unresolved_) return false;
       under_way_.reset();
       return true;
-    case store::Outcome::unknown:
+    case store::Status::unknown:
       // To remove what was acknowledged once more does no harm, however late.
-      outcome_unknown_ = !clears;
+      write_unresolved_ = !clears;
       if (clears) under_way_.reset();
       return false;
   }
--- a/src/regions/share_book.hpp
+++ b/src/regions/share_book.hpp
@@ -135,9 +135,9 @@
   std::optional<std::string> founder_;
   std::uint64_t founder_revision_ = 0;
   std::optional<Operation> under_way_;
-  bool outcome_unknown_ = false;  ///< of what is under way
-  bool guard_sent_ = false;       ///< the last transaction handed out was the guard's
-  bool handed_out_ = false;       ///< a transaction whose end has not been told yet
+  bool write_unresolved_ = false;  ///< of what is under way
+  bool guard_sent_ = false;        ///< the last transaction handed out was the guard's
+  bool handed_out_ = false;        ///< a transaction whose end has not been told yet
   bool reload_needed_ = false;
   bool leadership_lost_ = false;
   bool frozen_ = false;
--- a/src/regions/share_service.cpp
+++ b/src/regions/share_service.cpp
@@ -42,7 +42,7 @@
 net::Task<bool> ShareService::load() {
   auto reading = store_.read_all(kRegionsPrefix, kStoreTimeout);
   const auto stored = co_await reading;
-  if (stored.outcome != store::Outcome::ok) co_return false;
+  if (stored.status != store::Status::ok) co_return false;
   book_.load(stored.page.items);
   co_return true;
 }
@@ -111,7 +111,7 @@
     }
     to_tell_.set();
     const bool decided =
-        result.outcome == store::Outcome::ok || result.outcome == store::Outcome::failed;
+        result.status == store::Status::ok || result.status == store::Status::failed;
     if (decided) continue;
     net::Sleep pause(reactor_, retry_s);
     co_await pause;
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -153,7 +153,7 @@
       p.durable = true;
       // What was dropped before it was stored has never been started.
       p.ended = p.ended || p.dropped;
-      p.outcome_unknown = p.dropped = false;
+      p.write_unresolved = p.dropped = false;
       job.dirty = job.dirty || p.ended;
     }
     for (const auto& p : old->placements) {
@@ -213,9 +213,9 @@
   }
 }
 
-void ClusterState::note_ending(const std::string& id, const Dependencies::Ending& ending) {
+void ClusterState::record_outcome(const std::string& id, const Dependencies::Outcome& outcome) {
   if (!dependencies_.has_dependents(id)) return;
-  dependencies_.note_ending(id, ending);
+  dependencies_.record_outcome(id, outcome);
   changed_ = true;
   const auto dependents = dependencies_.dependents(id);  // a copy: what follows may change it
   for (const auto& dependent : dependents) {
@@ -223,7 +223,7 @@
   }
 }
 
-std::vector<std::string> ClusterState::unknown_endings() const {
+std::vector<std::string> ClusterState::unknown_outcomes() const {
   auto unknown = dependencies_.unknown();
   std::erase_if(unknown, [this](const std::string& id) { return jobs_.contains(id); });
   return unknown;
@@ -267,7 +267,7 @@
   if (placement.ended) return;
   job.dirty = true;
   changed_ = true;
-  if (placement.outcome_unknown) {
+  if (placement.write_unresolved) {
     placement.dropped = true;
     return;
   }
@@ -277,7 +277,7 @@
 
 void ClusterState::resolve_dropped(Job& job, Placement& placement, double now) {
   const bool dirty = job.dirty;
-  placement.outcome_unknown = placement.dropped = false;
+  placement.write_unresolved = placement.dropped = false;
   end_placement(job, placement, now);
   job.dirty = dirty;
 }
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -97,11 +97,11 @@
   void cancel(Job& job, std::int64_t at_ms, double since);
   /// The ending of a job that others may need is known to be stored: they may start, or are
   /// cancelled.
-  void note_ending(const std::string& id, const Dependencies::Ending& ending);
+  void record_outcome(const std::string& id, const Dependencies::Outcome& outcome);
   const Dependencies& dependencies() const { return dependencies_; }
   /// Jobs that live ones need, which are not live themselves and whose ending is not known: it has
   /// to be read.
-  std::vector<std::string> unknown_endings() const;
+  std::vector<std::string> unknown_outcomes() const;
   Job* job(const std::string& id);
   std::map<std::string, Job>& jobs() { return jobs_; }
 
--- a/src/sched/dependencies.cpp
+++ b/src/sched/dependencies.cpp
@@ -21,23 +21,23 @@
   dependencies_.erase(it);
 }
 
-void Dependencies::note_ending(const std::string& dependency, const Ending& ending) {
+void Dependencies::record_outcome(const std::string& dependency, const Outcome& outcome) {
   const auto it = by_dependency_.find(dependency);
-  if (it == by_dependency_.end() || it->second.ending.outcome != Outcome::unknown) return;
-  it->second.ending = ending;
+  if (it == by_dependency_.end() || it->second.outcome.resolution != Resolution::unknown) return;
+  it->second.outcome = outcome;
 }
 
 bool Dependencies::met(const std::string& job) const {
   const auto& list = dependencies_of(job);
   return std::all_of(list.begin(), list.end(), [&](const std::string& dependency) {
-    return by_dependency_.at(dependency).ending.outcome == Outcome::done;
+    return by_dependency_.at(dependency).outcome.resolution == Resolution::done;
   });
 }
 
-std::optional<Dependencies::Ending> Dependencies::cancellation(const std::string& job) const {
+std::optional<Dependencies::Outcome> Dependencies::cancellation(const std::string& job) const {
   for (const auto& dependency : dependencies_of(job)) {
-    const Ending& ending = by_dependency_.at(dependency).ending;
-    if (ending.outcome == Outcome::cancelled) return ending;
+    const Outcome& outcome = by_dependency_.at(dependency).outcome;
+    if (outcome.resolution == Resolution::cancelled) return outcome;
   }
   return std::nullopt;
 }
@@ -45,7 +45,7 @@
 std::int64_t Dependencies::met_ms(const std::string& job) const {
   std::int64_t latest = 0;
   for (const auto& dependency : dependencies_of(job)) {
-    latest = std::max(latest, by_dependency_.at(dependency).ending.at_ms);
+    latest = std::max(latest, by_dependency_.at(dependency).outcome.at_ms);
   }
   return latest;
 }
@@ -65,7 +65,7 @@
 std::vector<std::string> Dependencies::unknown() const {
   std::vector<std::string> out;
   for (const auto& [id, dependency] : by_dependency_) {
-    if (dependency.ending.outcome == Outcome::unknown) out.push_back(id);
+    if (dependency.outcome.resolution == Resolution::unknown) out.push_back(id);
   }
   return out;
 }
--- a/src/sched/dependencies.hpp
+++ b/src/sched/dependencies.hpp
@@ -18,9 +18,9 @@
 /// memory; the graph may hold any cycle, as nothing here follows it by recursion.
 class Dependencies {
  public:
-  enum class Outcome { unknown, done, cancelled };
-  struct Ending {
-    Outcome outcome = Outcome::unknown;
+  enum class Resolution { unknown, done, cancelled };
+  struct Outcome {
+    Resolution resolution = Resolution::unknown;
     /// Time of day at which it ended, or was cancelled; 0: not known.
     std::int64_t at_ms = 0;
     double since = 0;  ///< the same on the steady clock, at the earliest, of a cancellation
@@ -33,14 +33,14 @@
   void remove(const std::string& job);
 
   /// The ending of a job is known to be stored. Of no effect when no live job needs it.
-  void note_ending(const std::string& dependency, const Ending& ending);
+  void record_outcome(const std::string& dependency, const Outcome& outcome);
 
   bool empty() const { return dependencies_.empty(); }
   bool has_dependents(const std::string& job) const { return by_dependency_.contains(job); }
   /// Every job that it needs is known to have ended with `done`.
   bool met(const std::string& job) const;
   /// The ending of a job that it needs and that was cancelled, if any is known.
-  std::optional<Ending> cancellation(const std::string& job) const;
+  std::optional<Outcome> cancellation(const std::string& job) const;
   /// When the last of the jobs that it needs ended, as far as that is known; 0 otherwise.
   std::int64_t met_ms(const std::string& job) const;
   /// The live jobs that need this one, directly.
@@ -53,7 +53,7 @@
  private:
   struct Dependency {
     std::set<std::string> dependents;
-    Ending ending;
+    Outcome outcome;
   };
   std::map<std::string, std::vector<std::string>> dependencies_;  ///< by live job, where it has any
   std::map<std::string, Dependency> by_dependency_;
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -38,7 +38,7 @@
   bool ended = false;
   /// A write that names it was not answered, and may yet be carried out: until a later write of the
   /// record succeeds, or is found to have been forestalled, its room is not free for others.
-  bool outcome_unknown = false;
+  bool write_unresolved = false;
   bool dropped = false;  ///< not wanted any more, its outcome being unknown
   bool stop = false;     ///< to be stopped, saving if grace_s allows
   double grace_s = 0;
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -103,22 +103,22 @@
 
 namespace {
 /// For answers that carry no result of their own.
-Outcome outcome_of(const net::Reply& reply) {
-  if (reply.kind == net::Reply::Kind::not_sent) return Outcome::refused;
-  if (!reply.answered()) return Outcome::unknown;
+Status status_of_reply(const net::Reply& reply) {
+  if (reply.kind == net::Reply::Kind::not_sent) return Status::refused;
+  if (!reply.answered()) return Status::unknown;
   switch (reply.response.status) {
     case 200:
-      return Outcome::ok;
+      return Status::ok;
     case 404:
     case 409:
     case 410:
-      return Outcome::failed;
+      return Status::failed;
     case 400:
     case 429:
     case 503:
-      return Outcome::refused;
+      return Status::refused;
     default:
-      return Outcome::unknown;
+      return Status::unknown;
   }
 }
 }  // namespace
@@ -141,15 +141,15 @@
   auto sending = send(std::move(request), timeout_s, charge);
   const auto reply = co_await sending;
   TxnResult result;
-  result.outcome = outcome_of(reply);
+  result.status = status_of_reply(reply);
   const bool leased = std::any_of(changes.begin(), changes.end(),
                                   [](const wire::Change& change) { return change.lease != 0; });
   // With a lease it may as well be the lease that has ended.
   if (reply.status() == 400 && !leased) lower_limits();
-  if (result.outcome == Outcome::ok || result.outcome == Outcome::failed) {
+  if (result.status == Status::ok || result.status == Status::failed) {
     const auto answer = wire::parse_txn_answer(reply.response.body);
     if (!answer) {
-      result.outcome = Outcome::unknown;  // a malformed answer tells nothing
+      result.status = Status::unknown;  // a malformed answer tells nothing
     } else {
       result.revision = answer->revision;
       result.failed = answer->failed;
@@ -163,16 +163,16 @@
   auto sending = send(std::move(request), timeout_s, {});
   const auto reply = co_await sending;
   ReadResult result;
-  result.outcome = outcome_of(reply);
-  if (result.outcome == Outcome::ok) {
+  result.status = status_of_reply(reply);
+  if (result.status == Status::ok) {
     auto value = wire::parse_stored(reply.response.body);
     if (!value || value->key != key) {
-      result.outcome = Outcome::unknown;
+      result.status = Status::unknown;
     } else {
       result.value = std::move(*value);
     }
-  } else if (result.outcome == Outcome::failed && !wire::parse_revision(reply.response.body)) {
-    result.outcome = Outcome::unknown;  // only the service's own 404 says that a key is absent
+  } else if (result.status == Status::failed && !wire::parse_revision(reply.response.body)) {
+    result.status = Status::unknown;  // only the service's own 404 says that a key is absent
   }
   co_return result;
 }
@@ -183,13 +183,13 @@
   auto sending = send(std::move(request), timeout_s, {});
   const auto reply = co_await sending;
   RangeResult result;
-  result.outcome = outcome_of(reply);
-  if (result.outcome != Outcome::ok) co_return result;
+  result.status = status_of_reply(reply);
+  if (result.status != Status::ok) co_return result;
   auto page = wire::parse_range(reply.response.body);
   if (page) {
     result.page = std::move(*page);
   } else {
-    result.outcome = Outcome::unknown;
+    result.status = Status::unknown;
   }
   co_return result;
 }
@@ -201,8 +201,8 @@
   for (;;) {
     auto reading = read_page(prefix, after, kPageItems, timeout_s);
     auto read = co_await reading;
-    result.outcome = read.outcome;
-    if (result.outcome != Outcome::ok) co_return result;
+    result.status = read.status;
+    if (result.status != Status::ok) co_return result;
     if (after.empty()) result.page.revision = read.page.revision;
     for (auto& item : read.page.items) result.page.items.push_back(std::move(item));
     if (!read.page.more || read.page.items.empty()) co_return result;
@@ -212,13 +212,13 @@
 
 RangeResult Client::changes_in(const net::Reply& reply) {
   RangeResult result;
-  result.outcome = outcome_of(reply);
-  if (result.outcome != Outcome::ok) return result;
+  result.status = status_of_reply(reply);
+  if (result.status != Status::ok) return result;
   auto page = wire::parse_watch(reply.response.body);
   if (page) {
     result.page = std::move(*page);
   } else {
-    result.outcome = Outcome::unknown;
+    result.status = Status::unknown;
   }
   return result;
 }
@@ -249,11 +249,11 @@
   co_return wire::parse_lease(reply.response.body);
 }
 
-net::Task<Outcome> Client::renew_lease(std::uint64_t lease, double timeout_s) {
+net::Task<Status> Client::renew_lease(std::uint64_t lease, double timeout_s) {
   net::Request request{"POST", "/leases/" + std::to_string(lease) + "/renew", "", "{}", true};
   auto sending = send(std::move(request), timeout_s, {0, 0, true});
   const auto reply = co_await sending;
-  co_return outcome_of(reply);
+  co_return status_of_reply(reply);
 }
 
 net::Task<void> Client::drop_lease(std::uint64_t lease, double timeout_s) {
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -33,7 +33,7 @@
   double rate_ = 0, capacity_ = 0, level_ = 0, at_ = 0;
 };
 
-enum class Outcome {
+enum class Status {
   ok,       ///< done, or found
   failed,   ///< conditions not met, or not found
   refused,  ///< certainly not executed: try again later
@@ -41,18 +41,18 @@
 };
 
 struct TxnResult {
-  Outcome outcome = Outcome::unknown;
+  Status status = Status::unknown;
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
 };
 
 struct ReadResult {
-  Outcome outcome = Outcome::unknown;
+  Status status = Status::unknown;
   wire::StoredValue value;
 };
 
 struct RangeResult {
-  Outcome outcome = Outcome::unknown;
+  Status status = Status::unknown;
   wire::RangePage page;
 };
 
@@ -85,7 +85,7 @@
   /// `failed` when the revision is too old.
   net::Task<RangeResult> watch(std::string prefix, std::uint64_t since, double wait_s);
   net::Task<std::optional<std::uint64_t>> grant_lease(double life_s, double timeout_s);
-  net::Task<Outcome> renew_lease(std::uint64_t lease, double timeout_s);
+  net::Task<Status> renew_lease(std::uint64_t lease, double timeout_s);
   net::Task<void> drop_lease(std::uint64_t lease, double timeout_s);
 
   /// Limits of a value and of a transaction: those of the settings, or less once the service has
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -78,7 +78,7 @@
   }
   EXPECT_FALSE(leaving.advisor.look(60));
   Halves in_doubt;
-  for (auto* job : {&in_doubt.array, &in_doubt.second}) job->placements[0].outcome_unknown = true;
+  for (auto* job : {&in_doubt.array, &in_doubt.second}) job->placements[0].write_unresolved = true;
   EXPECT_FALSE(in_doubt.advisor.look(60));
 }
 
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -452,7 +452,7 @@
   Fleet s;
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 1, 4));
   Placement& placement = s.cluster.add_placement(job, 0, 1, "n-1", 1);
-  placement.outcome_unknown = true;
+  placement.write_unresolved = true;
   s.cluster.remove_machine("n-1", 2);
   EXPECT_EQ(s.cluster.team_allocation("red").gpus, 4);
   EXPECT_TRUE(job.pending(9).empty());
@@ -467,7 +467,7 @@
 TEST(ClusterState, ADroppedPlaceThatWasStoredAfterAllIsNeverStarted) {
   Fleet s;
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 1, 4));
-  s.cluster.add_placement(job, 0, 1, "n-1", 1).outcome_unknown = true;
+  s.cluster.add_placement(job, 0, 1, "n-1", 1).write_unresolved = true;
   s.cluster.end_placement(job, job.placements.front(), 2);
   EXPECT_EQ(s.cluster.team_allocation("red").gpus, 4);
   auto stored = make_job("j-000001", wire::JobKind::job_array, 1, 4);
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -18,23 +18,23 @@
   return job;
 }
 
-Dependencies::Ending done_at(std::int64_t at_ms) {
-  return {Dependencies::Outcome::done, at_ms, 0};
+Dependencies::Outcome done_at(std::int64_t at_ms) {
+  return {Dependencies::Resolution::done, at_ms, 0};
 }
 
-Dependencies::Ending cancelled_at(std::int64_t at_ms) {
-  return {Dependencies::Outcome::cancelled, at_ms, 5};
+Dependencies::Outcome cancelled_at(std::int64_t at_ms) {
+  return {Dependencies::Resolution::cancelled, at_ms, 5};
 }
 
 TEST(Dependencies, AJobStartsOnlyWhenAllThatItNeedsIsKnownToBeDone) {
   Fleet s;
   s.add(dependent("j-000003", {"j-000001", "j-000002"}));
-  EXPECT_EQ(s.cluster.unknown_endings(), (std::vector<std::string>{"j-000001", "j-000002"}));
+  EXPECT_EQ(s.cluster.unknown_outcomes(), (std::vector<std::string>{"j-000001", "j-000002"}));
   EXPECT_EQ(s.pass().placed, 0);
-  s.cluster.note_ending("j-000001", done_at(2000));
+  s.cluster.record_outcome("j-000001", done_at(2000));
   EXPECT_EQ(s.pass().placed, 0);
-  s.cluster.note_ending("j-000002", done_at(3000));
-  EXPECT_TRUE(s.cluster.unknown_endings().empty());
+  s.cluster.record_outcome("j-000002", done_at(3000));
+  EXPECT_TRUE(s.cluster.unknown_outcomes().empty());
   EXPECT_EQ(s.pass().placed, 1);
   EXPECT_EQ(s.cluster.job("j-000003")->ready_ms, 3000);
 }
@@ -48,13 +48,13 @@
   EXPECT_EQ(s.pass().placed, 0);
   s.cluster.drop_job("j-000001");
   EXPECT_EQ(s.pass().placed, 0);
-  EXPECT_EQ(s.cluster.unknown_endings(), std::vector<std::string>{"j-000001"});
+  EXPECT_EQ(s.cluster.unknown_outcomes(), std::vector<std::string>{"j-000001"});
 }
 
 TEST(Dependencies, WhatIsKnownOutlivesAReloadOfTheRecord) {
   Fleet s;
   s.add(dependent("j-000002", {"j-000001"}));
-  s.cluster.note_ending("j-000001", done_at(0));
+  s.cluster.record_outcome("j-000001", done_at(0));
   s.add(dependent("j-000002", {"j-000001"}));
   EXPECT_TRUE(s.cluster.job("j-000002")->dependencies_met);
   // Nothing is kept for a job that is not live any more.
@@ -67,8 +67,8 @@
 TEST(Dependencies, AnEndingIsTakenOnce) {
   Fleet s;
   s.add(dependent("j-000002", {"j-000001"}));
-  s.cluster.note_ending("j-000001", done_at(0));
-  s.cluster.note_ending("j-000001", cancelled_at(100));
+  s.cluster.record_outcome("j-000001", done_at(0));
+  s.cluster.record_outcome("j-000001", cancelled_at(100));
   EXPECT_FALSE(s.cluster.job("j-000002")->cancelled());
 }
 
@@ -85,7 +85,7 @@
   s.add(dependent("j-000005", {"j-000003"}));
   EXPECT_EQ(s.cluster.job("j-000005")->cancelled_at_ms, 777);
   // And by an ending that is read.
-  s.cluster.note_ending("j-000009", cancelled_at(888));
+  s.cluster.record_outcome("j-000009", cancelled_at(888));
   EXPECT_EQ(s.cluster.job("j-000004")->cancelled_at_ms, 888);
   s.add(dependent("j-000006", {"j-000009"}));
   EXPECT_TRUE(s.cluster.job("j-000006")->cancelled());
--- a/tests/ops_troubles_test.cpp
+++ b/tests/ops_troubles_test.cpp
@@ -506,7 +506,7 @@
   w.add_user(home);
   EXPECT_TRUE(wait_for(w, 8, [&] { return w.running("j-000002") == 12; }));
   EXPECT_TRUE(wait_for(w, 240, [&] { return all_over(w); }));
-  EXPECT_EQ(w.rules.ending("j-000001"), "done");
+  EXPECT_EQ(w.rules.outcome("j-000001"), "done");
 }
 
 /// An array of thousands of short tasks, a quarter of a processor each, among other teams' work.
@@ -543,7 +543,7 @@
   EXPECT_TRUE(wait_for(
       w, 8, [&] { return w.rules.is_completed("j-000002", 3) || w.running("j-000002") == 4; }));
   EXPECT_TRUE(wait_for(w, 800, [&] { return all_over(w); }));
-  EXPECT_EQ(w.rules.ending("j-000001"), "done");
+  EXPECT_EQ(w.rules.outcome("j-000001"), "done");
 }
 
 TEST(OpsTroubles, AGreatArrayIsCancelledAtHalf) {
@@ -567,7 +567,7 @@
   w.run(20);
   w.state_slow_s = 0;
   EXPECT_TRUE(wait_for(w, 600, [&] { return all_over(w); }));
-  EXPECT_EQ(w.rules.ending("j-000001"), "done");
+  EXPECT_EQ(w.rules.outcome("j-000001"), "done");
 }
 
 // Four jobs of one task a second for a minute, a quarter of them cancelled, the leader killed: none
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -514,7 +514,7 @@
     const auto accepted = w.rules.accepted();
     return static_cast<int>(accepted.size()) == next &&
            std::all_of(accepted.begin(), accepted.end(),
-                       [&](const auto& id) { return !w.rules.ending(id).empty(); });
+                       [&](const auto& id) { return !w.rules.outcome(id).empty(); });
   }));
 }
 
--- a/tests/rule_checker.cpp
+++ b/tests/rule_checker.cpp
@@ -21,9 +21,9 @@
   return out;
 }
 
-std::string RuleChecker::ending(const std::string& job) const {
+std::string RuleChecker::outcome(const std::string& job) const {
   const auto it = jobs_.find(job);
-  return it == jobs_.end() ? "" : it->second.ending;
+  return it == jobs_.end() ? "" : it->second.outcome;
 }
 
 double RuleChecker::cancelled_at(const std::string& job) const {
@@ -98,7 +98,7 @@
   }
   if (const auto it = jobs_.find(q.job); it != jobs_.end()) {
     q.told = it->second.told;
-    q.ending = it->second.ending;
+    q.outcome = it->second.outcome;
   }
   return q;
 }
@@ -117,10 +117,10 @@
   const wire::JsonDocument document(body);
   const auto state = wire::read_text(document.root(), "Stance").value_or("?");
   const bool over = state == "done" || state == "withdrawn";
-  if (q.told == 2 && state != q.ending) {
-    breaks("went_back", q.job + " was " + q.ending + " and is called " + state);
+  if (q.told == 2 && state != q.outcome) {
+    breaks("went_back", q.job + " was " + q.outcome + " and is called " + state);
   }
-  if (over && job.told == 2 && job.ending != state) {
+  if (over && job.told == 2 && job.outcome != state) {
     breaks("went_back", q.job + " is called both done and withdrawn");
   }
   const double orphaned = orphaned_at(q.job);
@@ -134,7 +134,7 @@
     breaks("not_done", q.job + ": " + std::to_string(job.done.size()) + " tasks are");
   }
   if (state == "withdrawn" && job.cancelled_at < 0) job.cancelled_at = now;
-  if (over && job.told < 2) job.ending = state;
+  if (over && job.told < 2) job.outcome = state;
   job.told = std::max(job.told, over ? 2 : 1);
 }
 
--- a/tests/rule_checker.hpp
+++ b/tests/rule_checker.hpp
@@ -37,8 +37,8 @@
     enum class Kind { submit, status, cancel, other };
     Kind kind = Kind::other;
     std::string job;
-    int told = 0;        ///< when it was asked: 0 nothing, 1 accepted, 2 over
-    std::string ending;  ///< as told by then
+    int told = 0;         ///< when it was asked: 0 nothing, 1 accepted, 2 over
+    std::string outcome;  ///< as told by then
   };
   Question ask(const std::string& method, const std::string& path, const std::string& body);
   void answered(const Question& question, int status, const std::string& body, double now);
@@ -59,14 +59,14 @@
   const wire::JobSpec* spec(const std::string& job) const;
   std::vector<std::string> accepted() const;
   /// "" while nobody was told of an end.
-  std::string ending(const std::string& job) const;
+  std::string outcome(const std::string& job) const;
   double cancelled_at(const std::string& job) const;
 
  private:
   struct Job {
     bool submitted = false, described = false, cancel_asked = false;
     int told = 0;
-    std::string ending;
+    std::string outcome;
     double cancelled_at = -1;
     wire::JobSpec spec;
     std::set<std::uint32_t> done;
--- a/tests/share_book_test.cpp
+++ b/tests/share_book_test.cpp
@@ -69,7 +69,7 @@
 
 // A leader may end between any two steps of either side, and the next one has only what is stored.
 TEST(ShareBook, ALeaderEndsBetweenEachTwoSteps) {
-  for (const std::string ending : {"a", "b"}) {
+  for (const std::string outcome : {"a", "b"}) {
     for (int last = 0; last <= 8; ++last) {
       for (const Fate fate : {Fate::answered, Fate::applied_mute, Fate::lost}) {
         TwoRegions two;
@@ -77,7 +77,7 @@
         int step = 0;
         const auto next = [&](const std::function<void(Fate)>& action) {
           action(step == last ? fate : Fate::answered);
-          if (step++ == last) two.change_leader(ending);
+          if (step++ == last) two.change_leader(outcome);
           two.check();
         };
         next([&](Fate) { two.exchange("b"); });    // the request
@@ -89,7 +89,7 @@
         next([&](Fate) { two.exchange("a"); });
         next([&](Fate f) { two.write("b", f); });
         two.settle(10);
-        EXPECT_EQ(two.work("b").used, 9) << ending << " after step " << last;
+        EXPECT_EQ(two.work("b").used, 9) << outcome << " after step " << last;
         EXPECT_EQ(two.held("a") + two.held("b"), 12);
       }
     }
--- a/tests/share_simulation.cpp
+++ b/tests/share_simulation.cpp
@@ -17,7 +17,7 @@
   for (const auto& condition : transaction.conditions) {
     if (revision_of(condition.key) != condition.revision) result.failed.push_back(condition.key);
   }
-  result.outcome = result.failed.empty() ? store::Outcome::ok : store::Outcome::failed;
+  result.status = result.failed.empty() ? store::Status::ok : store::Status::failed;
   result.revision = revision_;
   if (!result.failed.empty()) return result;
   result.revision = ++revision_;
@@ -100,7 +100,7 @@
   if (fate == Fate::answered) result = region.store.apply(*transaction);
   if (fate == Fate::applied_mute) region.store.apply(*transaction);
   if (fate == Fate::late) region.late.push_back(*transaction);
-  if (fate == Fate::refused) result.outcome = store::Outcome::refused;
+  if (fate == Fate::refused) result.status = store::Status::refused;
   book.finish_transaction(result);
   return true;
 }
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -87,7 +87,7 @@
   ASSERT_EQ(s.ask("j-000001").status.state, wire::JobState::queued);
   s.put("j-000001", true);
   EXPECT_EQ(s.ask("j-000001").status.state, wire::JobState::cancelled);
-  s.write({{job_key("j-000001"), "", 0}, {ended_key("j-000001"), "{}", 0}});
+  s.write({{job_key("j-000001"), "", 0}, {outcome_key("j-000001"), "{}", 0}});
   EXPECT_EQ(s.ask("j-000001").kind, StatusCache::Kind::unknown);
 }
 
--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -47,7 +47,7 @@
   EXPECT_EQ(control::job_key("j-000412"), "jobs/j-000412");
   EXPECT_EQ(control::job_of_key("jobs/j-000412"), "j-000412");
   EXPECT_EQ(control::part_key("j-000412", 2), "parts/j-000412/2");
-  EXPECT_EQ(control::ended_key("j-000412"), "ended/j-000412");
+  EXPECT_EQ(control::outcome_key("j-000412"), "ended/j-000412");
 }
 
 TEST(StorageKeys, LeaderMachineTypesPoolsAndMovesHaveTheirKeys) {
@@ -135,15 +135,15 @@
 
 TEST(StoredEnding, EveryFieldAndStateIsWrittenAndRead) {
   const std::string done = R"({"s":"done","n":16,"t":1700000000003})";
-  EXPECT_EQ(control::write_ending({wire::JobState::done, 16, 1700000000003}), done);
-  const auto done_ending = control::read_ending(done);
+  EXPECT_EQ(control::write_outcome({wire::JobState::done, 16, 1700000000003}), done);
+  const auto done_ending = control::read_outcome(done);
   ASSERT_TRUE(done_ending);
   EXPECT_EQ(done_ending->state, wire::JobState::done);
   EXPECT_EQ(done_ending->tasks, 16U);
   EXPECT_EQ(done_ending->ended_ms, 1700000000003);
   const std::string cancelled = R"({"s":"withdrawn","n":2})";
-  EXPECT_EQ(control::write_ending({wire::JobState::cancelled, 2, 0}), cancelled);
-  const auto withdrawn_ending = control::read_ending(cancelled);
+  EXPECT_EQ(control::write_outcome({wire::JobState::cancelled, 2, 0}), cancelled);
+  const auto withdrawn_ending = control::read_outcome(cancelled);
   ASSERT_TRUE(withdrawn_ending);
   EXPECT_EQ(withdrawn_ending->state, wire::JobState::cancelled);
   EXPECT_EQ(withdrawn_ending->tasks, 2U);
--- a/tests/sweep_test.cpp
+++ b/tests/sweep_test.cpp
@@ -194,13 +194,13 @@
     const double served = pipelines ? 1.5 * kServed : kServed;
     const auto over = [this] {
       int n = 0;
-      for (const auto& id : w.rules.accepted()) n += w.rules.ending(id).empty() ? 0 : 1;
+      for (const auto& id : w.rules.accepted()) n += w.rules.outcome(id).empty() ? 0 : 1;
       return n;
     };
     for (double t = 0; t < served && over() < jobs; ++t) w.run(1);
     std::string waiting;
     for (const auto& id : w.rules.accepted()) {
-      if (w.rules.ending(id).empty()) waiting += "\n" + w.state_service.values["jobs/" + id].data;
+      if (w.rules.outcome(id).empty()) waiting += "\n" + w.state_service.values["jobs/" + id].data;
     }
     EXPECT_EQ(over(), jobs) << "not served:" << waiting;
   }
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -320,7 +320,7 @@
 
 void TestCluster::cancel(int node, const std::string& id) {
   ASSERT_EQ(ask(node, "POST", "/v1/jobs/" + id + "/withdraw").status, 200);
-  ASSERT_EQ(rules.ending(id), "withdrawn");
+  ASSERT_EQ(rules.outcome(id), "withdrawn");
 }
 
 std::string TestCluster::state_of(int node, const std::string& id) {
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -301,7 +301,7 @@
 inline bool all_over(const TestCluster& w) {
   const auto accepted = w.rules.accepted();
   return std::all_of(accepted.begin(), accepted.end(),
-                     [&](const std::string& id) { return !w.rules.ending(id).empty(); });
+                     [&](const std::string& id) { return !w.rules.outcome(id).empty(); });
 }
 
 /// Ids of jobs by number.
--- a/tests/two_troubles_test.cpp
+++ b/tests/two_troubles_test.cpp
@@ -795,13 +795,13 @@
     const auto other = other_than(w, w.leader());
     EXPECT_EQ(w.ask(other, "POST", "/v1/jobs/j-000001/withdraw").status, 200);
     for (int node = 0; node < 3; ++node) {
-      EXPECT_EQ(w.state_of(node, "j-000001"), w.rules.ending("j-000001"));
+      EXPECT_EQ(w.state_of(node, "j-000001"), w.rules.outcome("j-000001"));
     }
     w.run(5);
     for (int node = 0; node < 3; ++node) {
-      EXPECT_EQ(w.state_of(node, "j-000001"), w.rules.ending("j-000001"));
+      EXPECT_EQ(w.state_of(node, "j-000001"), w.rules.outcome("j-000001"));
     }
-    (w.rules.ending("j-000001") == "done" ? done : cancelled) += 1;
+    (w.rules.outcome("j-000001") == "done" ? done : cancelled) += 1;
   }
   EXPECT_GT(done, 0);
   EXPECT_GT(cancelled, 0);
@@ -824,7 +824,7 @@
   EXPECT_TRUE(wait_for(w, 25, [&] { return w.running("j-000001") == 2; }));
   EXPECT_TRUE(wait_for(w, 200, [&] {
     int over = 0;
-    for (int i = 0; i < 10; ++i) over += w.rules.ending(name(i)) == "done" ? 1 : 0;
+    for (int i = 0; i < 10; ++i) over += w.rules.outcome(name(i)) == "done" ? 1 : 0;
     return over == 10;
   }));
 }
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -91,10 +91,10 @@
   ASSERT_TRUE(control::read_part(kProductionPart, false, *job));
   EXPECT_EQ(job->placements.size(), 2U);
   EXPECT_EQ(job->done.size(), 1U);
-  const auto ending = control::read_ending(R"({"s":"done","n":3})");
-  ASSERT_TRUE(ending);
-  EXPECT_EQ(ending->tasks, 3U);
-  EXPECT_EQ(ending->ended_ms, 0);
+  const auto outcome = control::read_outcome(R"({"s":"done","n":3})");
+  ASSERT_TRUE(outcome);
+  EXPECT_EQ(outcome->tasks, 3U);
+  EXPECT_EQ(outcome->ended_ms, 0);
 }
 
 TEST(Versions, ARecordWithoutNeedsIsWrittenAsInProduction) {
@@ -111,7 +111,7 @@
                    placements + R"(,[2,3,"n-000008"])");
   expected.replace(expected.find("\"parts\":1"), 9, "\"parts\":0");
   EXPECT_EQ(texts[0], expected);
-  EXPECT_EQ(control::write_ending({wire::JobState::done, 3, 0}), R"({"s":"done","n":3})");
+  EXPECT_EQ(control::write_outcome({wire::JobState::done, 3, 0}), R"({"s":"done","n":3})");
 }
 
 // A record as large as the present limits allow is written again within the coming ones.
@@ -164,9 +164,9 @@
   ASSERT_TRUE(read);
   EXPECT_EQ(read->spec.dependencies, job.spec.dependencies);
   // It insists on these two fields of an ending, and ignores others.
-  const std::string ending = control::write_ending({wire::JobState::done, 3, 1234});
-  EXPECT_EQ(ending, R"({"s":"done","n":3,"t":1234})");
-  EXPECT_EQ(control::read_ending(ending)->ended_ms, 1234);
+  const std::string outcome = control::write_outcome({wire::JobState::done, 3, 1234});
+  EXPECT_EQ(outcome, R"({"s":"done","n":3,"t":1234})");
+  EXPECT_EQ(control::read_outcome(outcome)->ended_ms, 1234);
 }
 
 // The older version drops a link on which a frame has another version, kind or length.
