--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -80,11 +80,12 @@
   if (!wanted && !is_unknown_) co_return;
   // After a write without an answer whatever is wanted now is written, so that one of the two wins.
   const defrag::MoveRecord record = wanted ? *wanted : executor_.wanted();
-  std::vector<wire::Condition> conditions{{kLeaderKey, leader_lease_.fencing_token()},
-                                          {kMovesKey, revision_}};
-  if (record.plan) conditions.push_back({kMovesOffKey, 0});
-  std::vector<wire::Change> changes{{kMovesKey, defrag::write_move_record(record), 0}};
-  auto writing = services_.store.transact(std::move(conditions), std::move(changes), kStoreTimeout);
+  std::vector<wire::Compare> compares{{kLeaderKey, leader_lease_.fencing_token()},
+                                      {kMovesKey, revision_}};
+  if (record.plan) compares.push_back({kMovesOffKey, 0});
+  std::vector<wire::Mutation> mutations{{kMovesKey, defrag::write_move_record(record), 0}};
+  auto writing =
+      services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeout);
   const auto result = co_await writing;
   const auto failed_on = [&](const char* key) {
     return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -163,9 +163,10 @@
 // For nodes that start while the cloud is down. True when there is nothing more to do.
 Task<bool> Node::store_types(std::string text) {
   if (text.size() > services_.store.value_bytes()) co_return true;  // done without
-  std::vector<wire::Condition> conditions{{kTypesKey, 0}};
-  std::vector<wire::Change> changes{{kTypesKey, std::move(text), 0}};
-  auto writing = services_.store.transact(std::move(conditions), std::move(changes), kStoreTimeout);
+  std::vector<wire::Compare> compares{{kTypesKey, 0}};
+  std::vector<wire::Mutation> mutations{{kTypesKey, std::move(text), 0}};
+  auto writing =
+      services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeout);
   const auto written = co_await writing;
   co_return written.status == Status::ok || written.status == Status::failed;
 }
@@ -215,27 +216,28 @@
   }
 }
 
-Task<Node::Taken> Node::acquire_leadership() {
-  Taken taken;
+Task<Node::LeadershipGrant> Node::acquire_leadership() {
+  LeadershipGrant grant;
   const double life = LeaderLease::lease_life(services_.settings);
-  taken.sent = services_.reactor.now();
+  grant.sent = services_.reactor.now();
   auto granting = services_.store.grant_lease(life, life / 3);
   const auto lease = co_await granting;
-  if (!lease) co_return taken;
-  taken.lease = *lease;
+  if (!lease) co_return grant;
+  grant.lease = *lease;
   const LeaderRecord record{services_.settings.name, std::to_string(services_.reactor.wall_ms()) +
                                                          "-" + std::to_string(++nonce_) + "-" +
                                                          std::to_string(*lease)};
   const std::string text = write_leader(record);
   for (int tries = 0; tries < 3; ++tries) {
-    std::vector<wire::Condition> conditions{{kLeaderKey, 0}};
-    std::vector<wire::Change> changes{{kLeaderKey, text, *lease}};
-    auto writing = services_.store.transact(std::move(conditions), std::move(changes), life / 3);
+    std::vector<wire::Compare> compares{{kLeaderKey, 0}};
+    std::vector<wire::Mutation> mutations{{kLeaderKey, text, *lease}};
+    auto writing =
+        services_.store.compare_and_swap(std::move(compares), std::move(mutations), life / 3);
     const auto written = co_await writing;
     if (written.status == Status::ok) {
-      taken.ok = true;
-      taken.fencing_token = written.revision;
-      co_return taken;
+      grant.ok = true;
+      grant.fencing_token = written.revision;
+      co_return grant;
     }
     // Unanswered, it may be applied later: what is stored decides, and asking again under the same
     // condition lets only one of the two through.
@@ -244,18 +246,18 @@
     if (found.status == Status::ok) {
       const auto holder = read_leader(found.value.data);
       if (holder && holder->nonce == record.nonce) {
-        taken.ok = true;
-        taken.fencing_token = found.value.revision;
+        grant.ok = true;
+        grant.fencing_token = found.value.revision;
       }
       break;
     }
     if (written.status == Status::refused) break;
   }
-  if (!taken.ok) {
+  if (!grant.ok) {
     auto dropping = services_.store.drop_lease(*lease, life / 3);
     co_await dropping;
   }
-  co_return taken;
+  co_return grant;
 }
 
 Task<void> Node::run() {
@@ -283,49 +285,49 @@
       continue;
     }
     auto taking = acquire_leadership();
-    const auto taken = co_await taking;
-    if (!taken.ok) {
+    const auto grant = co_await taking;
+    if (!grant.ok) {
       Sleep pause(services_.reactor, life / 8);
       co_await pause;
       continue;
     }
-    auto serving = serve_term(taken);
+    auto serving = serve_term(grant);
     co_await serving;
   }
 }
 
-Task<void> Node::serve_term(Taken taken) {
+Task<void> Node::serve_term(LeadershipGrant grant) {
   const double life = LeaderLease::lease_life(services_.settings);
-  spdlog::info("leadership acquired, token {}", taken.fencing_token);
+  spdlog::info("leadership acquired, token {}", grant.fencing_token);
   leader_ = services_.settings.name;
   services_.store.set_leading(true);
   leader_lease_ =
-      std::make_unique<LeaderLease>(services_.settings, taken.fencing_token, taken.sent);
+      std::make_unique<LeaderLease>(services_.settings, grant.fencing_token, grant.sent);
   term_ = std::make_unique<Term>(services_, *leader_lease_, lost_, region_network_);
   auto loading = term_->load();
   bool keeps = co_await loading;
   if (keeps) {
     serving_ = true;
     term_->start(duties_);
-    spdlog::info("serving with token {}: {} jobs", taken.fencing_token,
+    spdlog::info("serving with token {}: {} jobs", grant.fencing_token,
                  term_->cluster().jobs().size());
   }
   // Leaves the leadership to a node that may have it.
   if (term_->is_unfit()) abstain_until_ = services_.reactor.now() + 2 * services_.settings.lease_s;
   while (keeps && !term_->is_lost()) {
     const double sent = services_.reactor.now();
-    auto renewing = services_.store.renew_lease(taken.lease, life / 3);
+    auto renewing = services_.store.renew_lease(grant.lease, life / 3);
     const auto renewed = co_await renewing;
     if (renewed != Status::failed) leader_lease_->asked(sent);
     if (renewed == Status::ok) {
       leader_lease_->confirm(sent);
     } else if (renewed == Status::failed) {
-      spdlog::info("leadership lost, token {}: its lease has ended", taken.fencing_token);
+      spdlog::info("leadership lost, token {}: its lease has ended", grant.fencing_token);
       break;
     }
     if (cut_off_from_workers()) {
       // Another node may hear the workers where this one can't.
-      spdlog::info("leadership given up, token {}: no worker is heard", taken.fencing_token);
+      spdlog::info("leadership given up, token {}: no worker is heard", grant.fencing_token);
       abstain_until_ = services_.reactor.now() + 2 * services_.settings.lease_s;
       break;
     }
@@ -339,7 +341,7 @@
   term_.reset();
   leader_lease_.reset();
   services_.store.set_leading(false);
-  auto dropping = services_.store.drop_lease(taken.lease, life / 3);
+  auto dropping = services_.store.drop_lease(grant.lease, life / 3);
   co_await dropping;
 }
 
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -53,13 +53,13 @@
   Term* term() { return term_.get(); }
 
  private:
-  struct Taken {
+  struct LeadershipGrant {
     bool ok = false;
     std::uint64_t lease = 0, fencing_token = 0;
     double sent = 0;
   };
-  net::Task<Taken> acquire_leadership();
-  net::Task<void> serve_term(Taken taken);
+  net::Task<LeadershipGrant> acquire_leadership();
+  net::Task<void> serve_term(LeadershipGrant grant);
   net::Task<net::Response> checkin(net::Request request);
   net::Task<bool> store_types(std::string text);
   void heard_hello(const peer::Hello& hello);
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -198,10 +198,11 @@
       .integer(pool.state.scaled_ms)
       .end();
   const std::string key = kPoolsPrefix + name;
-  std::vector<wire::Condition> conditions{{kLeaderKey, leader_lease_.fencing_token()},
-                                          {key, pool_revisions_[name]}};
-  std::vector<wire::Change> changes{{key, w.take(), 0}};
-  auto writing = services_.store.transact(std::move(conditions), std::move(changes), kStoreTimeout);
+  std::vector<wire::Compare> compares{{kLeaderKey, leader_lease_.fencing_token()},
+                                      {key, pool_revisions_[name]}};
+  std::vector<wire::Mutation> mutations{{key, w.take(), 0}};
+  auto writing =
+      services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeout);
   const auto result = co_await writing;
   if (result.status == Status::ok) {
     pool_revisions_[name] = result.revision;
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -37,8 +37,8 @@
     std::vector<std::string> left_parts;  ///< of one that is retired, for which there was no room
     std::vector<std::pair<std::uint32_t, std::uint64_t>> live, ended, dropped;
   };
-  std::vector<wire::Condition> conditions;
-  std::vector<wire::Change> changes;
+  std::vector<wire::Compare> compares;
+  std::vector<wire::Mutation> mutations;
   std::vector<Entry> entries;
   std::vector<std::string> stale_parts;  ///< of jobs that are over, removed by the way
   std::size_t bytes = 0;
@@ -47,24 +47,24 @@
 
 // Moves a job to its ending. Guards against a record of more parts than a transaction removes, as
 // one stored before the limits fell: what is left is never read again and goes by and by.
-std::vector<wire::Change> RecordWriter::retiring_changes(
+std::vector<wire::Mutation> RecordWriter::retiring_changes(
     const Job& job, const JobOutcome& outcome, std::vector<std::string>& left_parts) const {
   const auto& id = job.spec.id;
-  std::vector<wire::Change> changes{{job_key(id), "", 0},
-                                    {outcome_key(id), write_outcome(outcome), 0}};
+  std::vector<wire::Mutation> mutations{{job_key(id), "", 0},
+                                        {outcome_key(id), write_outcome(outcome), 0}};
   for (int i = 0; i < job.stored_parts; ++i) {
-    if (changes.size() < store_.txn_changes()) {
-      changes.push_back({part_key(id, i), "", 0});
+    if (mutations.size() < store_.txn_changes()) {
+      mutations.push_back({part_key(id, i), "", 0});
     } else {
       left_parts.push_back(part_key(id, i));
     }
   }
-  return changes;
+  return mutations;
 }
 
 void RecordWriter::add_stale_parts(Batch& batch) {
-  while (!stale_parts_.empty() && batch.changes.size() < store_.txn_changes()) {
-    batch.changes.push_back({stale_parts_.front(), "", 0});
+  while (!stale_parts_.empty() && batch.mutations.size() < store_.txn_changes()) {
+    batch.mutations.push_back({stale_parts_.front(), "", 0});
     batch.stale_parts.push_back(std::move(stale_parts_.front()));
     stale_parts_.pop_front();
   }
@@ -73,7 +73,7 @@
 void RecordWriter::add_to_batch(Job& job, Batch& batch) {
   const auto& id = job.spec.id;
   Batch::Entry entry{id, job.revision, false, 0, {}, {}, {}, {}, {}};
-  std::vector<wire::Change> changes;
+  std::vector<wire::Mutation> mutations;
   const bool over = job.cancelled() ? job.live() == 0 : job.complete();
   if (over) {
     entry.retire = true;
@@ -82,24 +82,24 @@
     // Kept only for those that wait for it, whose own times count from here.
     const bool has_dependents = cluster_.dependencies().has_dependents(id);
     if (has_dependents) entry.outcome.ended_ms = reactor_.wall_ms();
-    changes = retiring_changes(job, entry.outcome, entry.left_parts);
+    mutations = retiring_changes(job, entry.outcome, entry.left_parts);
   } else {
     auto texts = write_record(job, store_.value_bytes());
     entry.parts = static_cast<int>(texts.size()) - 1;
-    changes.push_back({job_key(id), std::move(texts[0]), 0});
+    mutations.push_back({job_key(id), std::move(texts[0]), 0});
     for (int i = 0; i < std::max(entry.parts, job.stored_parts); ++i) {
-      changes.push_back({part_key(id, i),
-                         i < entry.parts ? std::move(texts[static_cast<std::size_t>(i) + 1]) : "",
-                         0});
+      mutations.push_back({part_key(id, i),
+                           i < entry.parts ? std::move(texts[static_cast<std::size_t>(i) + 1]) : "",
+                           0});
     }
   }
   std::size_t bytes = 100, longest = 0;
-  for (const auto& c : changes) {
+  for (const auto& c : mutations) {
     bytes += c.data.size() + c.key.size() + 40;
     longest = std::max(longest, c.data.size());
   }
   const bool too_long = longest > store_.value_bytes();  // a description as it was stored
-  if (too_long || batch.changes.size() + changes.size() > store_.txn_changes() ||
+  if (too_long || batch.mutations.size() + mutations.size() > store_.txn_changes() ||
       batch.bytes + bytes > kTxnBytes) {
     // Guards against one record that fits no transaction, which must not hold up all others.
     batch.full = !too_long && !batch.entries.empty();
@@ -113,8 +113,8 @@
     list.emplace_back(p.task, p.attempt);
   }
   batch.bytes += bytes;
-  batch.conditions.push_back({job_key(id), job.revision});
-  for (auto& c : changes) batch.changes.push_back(std::move(c));
+  batch.compares.push_back({job_key(id), job.revision});
+  for (auto& c : mutations) batch.mutations.push_back(std::move(c));
   batch.entries.push_back(std::move(entry));
   job.dirty = false;
   job.dirty_since = 0;
@@ -178,7 +178,7 @@
 
 RecordWriter::Batch RecordWriter::next_batch() {
   Batch batch;
-  batch.conditions.push_back({kLeaderKey, fencing_token_});
+  batch.compares.push_back({kLeaderKey, fencing_token_});
   for (Job* job : jobs_to_write()) {
     if (batch.full) break;
     add_to_batch(*job, batch);
@@ -190,8 +190,8 @@
 Task<RecordWriter::Written> RecordWriter::write_next() {
   if (now() < write_after_) co_return Written::nothing;
   Batch batch = next_batch();
-  if (batch.changes.empty()) co_return Written::nothing;
-  auto writing = store_.transact(batch.conditions, batch.changes, kStoreTimeout);
+  if (batch.mutations.empty()) co_return Written::nothing;
+  auto writing = store_.compare_and_swap(batch.compares, batch.mutations, kStoreTimeout);
   const auto result = co_await writing;
   if (result.status == Status::ok) {
     apply_stored(batch, result.revision);
@@ -210,7 +210,7 @@
 // what was not answered: it may be carried out late, but conditions let only one of the two
 // through. Guards against room that is given to others meanwhile: were what is stored now taken for
 // the last word, a team would be beyond its limit when the late write makes its placements good.
-void RecordWriter::apply_not_stored(const Batch& batch, const store::TxnResult& result) {
+void RecordWriter::apply_not_stored(const Batch& batch, const store::CompareAndSwapResult& result) {
   stale_parts_.insert(stale_parts_.end(), batch.stale_parts.begin(), batch.stale_parts.end());
   for (const auto& entry : batch.entries) {
     const auto& failed = result.failed;
--- a/src/control/record_writer.hpp
+++ b/src/control/record_writer.hpp
@@ -45,10 +45,10 @@
   Batch next_batch();
   void add_to_batch(sched::Job& job, Batch& batch);
   void add_stale_parts(Batch& batch);
-  std::vector<wire::Change> retiring_changes(const sched::Job& job, const JobOutcome& outcome,
-                                             std::vector<std::string>& left_parts) const;
+  std::vector<wire::Mutation> retiring_changes(const sched::Job& job, const JobOutcome& outcome,
+                                               std::vector<std::string>& left_parts) const;
   void apply_stored(Batch& batch, std::uint64_t revision);
-  void apply_not_stored(const Batch& batch, const store::TxnResult& result);
+  void apply_not_stored(const Batch& batch, const store::CompareAndSwapResult& result);
   void note_retired(const std::string& id, const JobOutcome& outcome);
   double now() const { return reactor_.now(); }
 
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -132,7 +132,7 @@
 
 Task<void> StatusCache::catch_up() {
   const double sent = exchange_sent_;
-  auto asking = store_.changes(kJobsPrefix, *revision_, kUserTimeout);
+  auto asking = store_.changes_since(kJobsPrefix, *revision_, kUserTimeout);
   const auto changes = co_await asking;
   if (changes.status == Status::ok) {
     take_in(changes.page.items);
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -44,7 +44,7 @@
   if (regions == nullptr) return;
   shares_ = std::make_unique<regions::ShareService>(
       services.reactor, services.settings, services.store, *regions,
-      wire::Condition{kLeaderKey, lease.fencing_token()}, share_duties());
+      wire::Compare{kLeaderKey, lease.fencing_token()}, share_duties());
   cluster_.set_team_shares(&shares_->book());
 }
 
--- a/src/control/users.cpp
+++ b/src/control/users.cpp
@@ -220,10 +220,10 @@
   if (texts[0].size() > services_.store.value_bytes()) {
     co_return plain_answer(400, wire::error_answer("the description is too long"));
   }
-  std::vector<wire::Condition> conditions{{job_key(id), 0}, {outcome_key(id), 0}};
-  std::vector<wire::Change> changes{{job_key(id), texts[0], 0}};
-  auto creating = services_.store.transact(std::move(conditions), std::move(changes), kUserTimeout,
-                                           store::Client::Priority::user);
+  std::vector<wire::Compare> compares{{job_key(id), 0}, {outcome_key(id), 0}};
+  std::vector<wire::Mutation> mutations{{job_key(id), texts[0], 0}};
+  auto creating = services_.store.compare_and_swap(std::move(compares), std::move(mutations),
+                                                   kUserTimeout, store::Client::Priority::user);
   const auto created = co_await creating;
   if (created.status == Status::ok) {
     const auto state = cancelled ? JobState::cancelled : JobState::queued;
@@ -273,10 +273,10 @@
   if (at == std::string::npos) co_return Status::refused;
   std::string text = found.text;
   text.replace(at, mark.size(), "\"w\":" + std::to_string(services_.reactor.wall_ms()));
-  std::vector<wire::Condition> conditions{{job_key(id), found.job.revision}};
-  std::vector<wire::Change> changes{{job_key(id), std::move(text), 0}};
-  auto writing = services_.store.transact(std::move(conditions), std::move(changes), kUserTimeout,
-                                          store::Client::Priority::user);
+  std::vector<wire::Compare> compares{{job_key(id), found.job.revision}};
+  std::vector<wire::Mutation> mutations{{job_key(id), std::move(text), 0}};
+  auto writing = services_.store.compare_and_swap(std::move(compares), std::move(mutations),
+                                                  kUserTimeout, store::Client::Priority::user);
   const auto written = co_await writing;
   co_return written.status;
 }
--- a/src/regions/share_book.cpp
+++ b/src/regions/share_book.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-ShareBook::ShareBook(const base::Settings& settings, wire::Condition leader)
+ShareBook::ShareBook(const base::Settings& settings, wire::Compare leader)
     : settings_(settings), leader_(std::move(leader)) {
   for (const auto& team : settings.teams) teams_.emplace(team.name, team);
   const auto& regions = settings.operators.regions;
@@ -200,7 +200,7 @@
                                       std::string guard_data, std::uint64_t guard_revision) const {
   Operation operation;
   operation.kind = kind;
-  operation.transaction.conditions = {leader_, {guard_key, guard_revision}};
+  operation.transaction.compares = {leader_, {guard_key, guard_revision}};
   operation.guard = {guard_key, std::move(guard_data), 0};
   return operation;
 }
@@ -210,8 +210,8 @@
   const auto stored = shares_.find(team);
   const std::uint64_t revision = stored == shares_.end() ? 0 : stored->second.revision;
   operation.shares[team] = amounts;
-  operation.transaction.conditions.push_back({share_key(team), revision});
-  operation.transaction.changes.push_back({share_key(team), write_share(amounts), 0});
+  operation.transaction.compares.push_back({share_key(team), revision});
+  operation.transaction.mutations.push_back({share_key(team), write_share(amounts), 0});
 }
 
 void ShareBook::add_transfer(Operation& operation, const std::string& region,
@@ -219,7 +219,7 @@
   auto& to_send = operation.to_send[region];
   const std::uint64_t sequence = partners_.at(region).sent.value + to_send.size() + 1;
   to_send.push_back({sequence, team, amounts});
-  operation.transaction.changes.push_back(
+  operation.transaction.mutations.push_back(
       {out_key(region, sequence), write_transfer(to_send.back()), 0});
 }
 
@@ -227,9 +227,9 @@
   for (const auto& [region, transfers] : operation.to_send) {
     const Counter& sent = partners_.at(region).sent;
     if (operation.guard.key != sent_key(region)) {
-      operation.transaction.conditions.push_back({sent_key(region), sent.revision});
+      operation.transaction.compares.push_back({sent_key(region), sent.revision});
     }
-    operation.transaction.changes.push_back(
+    operation.transaction.mutations.push_back(
         {sent_key(region), write_counter(sent.value + transfers.size()), 0});
   }
 }
@@ -258,15 +258,15 @@
   Operation operation =
       begin(Operation::Kind::found, kFounderKey, write_founder(settings_.operators.regions.founder),
             founder_revision_);
-  operation.transaction.changes.push_back(operation.guard);
+  operation.transaction.mutations.push_back(operation.guard);
   const std::size_t counters = partners_.size();
   const std::size_t for_a_team = 1 + partners_.size();
   // Where a transaction has no room for gifts, the others ask for what they need.
   const bool with_gifts = 1 + for_a_team + counters <= most_changes;
   for (const auto& [name, team] : teams_) {
     if (shares_.contains(name)) continue;
-    const std::size_t changes = operation.transaction.changes.size() + for_a_team + counters;
-    if (!operation.shares.empty() && changes > most_changes) break;
+    const std::size_t mutations = operation.transaction.mutations.size() + for_a_team + counters;
+    if (!operation.shares.empty() && mutations > most_changes) break;
     found_team(operation, team, demand_of(name), with_gifts);
   }
   if (operation.shares.empty()) return std::nullopt;
@@ -294,11 +294,11 @@
     }
     if (shares.empty()) continue;
     for (const auto& [team, amounts] : shares) change_share(operation, team, amounts);
-    auto& changes = operation.transaction.changes;
-    changes.push_back({received_key(region), write_counter(operation.through), 0});
+    auto& mutations = operation.transaction.mutations;
+    mutations.push_back({received_key(region), write_counter(operation.through), 0});
     if (!founder_) {
-      operation.transaction.conditions.push_back({kFounderKey, founder_revision_});
-      changes.push_back({kFounderKey, write_founder(settings_.operators.regions.founder), 0});
+      operation.transaction.compares.push_back({kFounderKey, founder_revision_});
+      mutations.push_back({kFounderKey, write_founder(settings_.operators.regions.founder), 0});
     }
     return operation;
   }
@@ -327,8 +327,8 @@
                                 write_counter(to.sent.value), to.sent.revision);
     auto& requests = to.requests;
     while (!requests.empty()) {
-      const std::size_t changes = operation.transaction.changes.size() + kChangesEach + 1;
-      if (!operation.shares.empty() && changes > most_changes) break;
+      const std::size_t mutations = operation.transaction.mutations.size() + kChangesEach + 1;
+      if (!operation.shares.empty() && mutations > most_changes) break;
       const ShareRequest request = std::move(requests.begin()->second);
       requests.erase(requests.begin());
       const Amounts granted = decide_request(region, request, demand_of(request.team));
@@ -352,10 +352,11 @@
     Operation operation;
     operation.kind = Operation::Kind::clear;
     operation.region = region;
-    operation.transaction.conditions = {leader_};
+    operation.transaction.compares = {leader_};
     for (const auto& [sequence, transfer] : to.out) {
-      if (sequence > to.acknowledged || operation.transaction.changes.size() == most_changes) break;
-      operation.transaction.changes.push_back({out_key(region, sequence), "", 0});
+      if (sequence > to.acknowledged || operation.transaction.mutations.size() == most_changes)
+        break;
+      operation.transaction.mutations.push_back({out_key(region, sequence), "", 0});
       operation.through = sequence;
     }
     return operation;
@@ -378,7 +379,7 @@
   if (write_unresolved_) {
     // Under the same conditions, so that only one of the two is ever carried out.
     handed_out_ = guard_sent_ = true;
-    return Transaction{under_way_->transaction.conditions, {under_way_->guard}};
+    return Transaction{under_way_->transaction.compares, {under_way_->guard}};
   }
   under_way_ = prepare(demand_of, most_changes);
   if (!under_way_) return std::nullopt;
@@ -387,7 +388,7 @@
   return under_way_->transaction;
 }
 
-bool ShareBook::finish_transaction(const store::TxnResult& result) {
+bool ShareBook::finish_transaction(const store::CompareAndSwapResult& result) {
   handed_out_ = false;
   if (!under_way_) return false;
   const bool clears = under_way_->kind == Operation::Kind::clear;
--- a/src/regions/share_book.hpp
+++ b/src/regions/share_book.hpp
@@ -32,7 +32,7 @@
   using DemandOf = std::function<TeamDemand(const std::string& team)>;
 
   /// `leader` is the condition that only this term's transactions meet.
-  ShareBook(const base::Settings& settings, wire::Condition leader);
+  ShareBook(const base::Settings& settings, wire::Compare leader);
 
   /// Replaces everything by what is stored under kRegionsPrefix. A malformed record is logged and
   /// left alone: nothing is held by it, and nothing is moved any more (is_frozen).
@@ -54,15 +54,15 @@
   void note_receipt(const std::string& region, const ShareReceipt& receipt);
 
   struct Transaction {
-    std::vector<wire::Condition> conditions;
-    std::vector<wire::Change> changes;
+    std::vector<wire::Compare> compares;
+    std::vector<wire::Mutation> mutations;
   };
   /// The next transaction to carry out, with at most `most_changes` changes; nothing when there is
   /// none, or one was handed out whose end is not known. `demand_of` tells what is in use now.
   std::optional<Transaction> next_transaction(const DemandOf& demand_of, std::size_t most_changes);
   /// How the transaction that was handed out last has ended. Returns whether what this region
   /// holds has changed.
-  bool finish_transaction(const store::TxnResult& result);
+  bool finish_transaction(const store::CompareAndSwapResult& result);
   /// Another transaction than this term's has changed the records: read them again and load().
   bool reload_needed() const { return reload_needed_; }
   bool leadership_lost() const { return leadership_lost_; }
@@ -95,7 +95,7 @@
     Kind kind = Kind::clear;
     Transaction transaction;
     /// Written again as it is to decide whether the transaction was carried out.
-    wire::Change guard;
+    wire::Mutation guard;
     std::map<std::string, Amounts> shares;                      ///< as they will be, by team
     std::map<std::string, Amounts> taken_off;                   ///< of what is held until it ends
     std::map<std::string, std::vector<ShareTransfer>> to_send;  ///< by region
@@ -128,7 +128,7 @@
   Amounts whole(const std::string& team) const;
 
   const base::Settings& settings_;
-  wire::Condition leader_;
+  wire::Compare leader_;
   std::map<std::string, base::Team> teams_;
   std::map<std::string, StoredShare> shares_;
   std::map<std::string, Partner> partners_;
--- a/src/regions/share_service.cpp
+++ b/src/regions/share_service.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 ShareService::ShareService(net::Reactor& reactor, const base::Settings& settings,
-                           store::Client& store, RegionNetwork& network, wire::Condition leader,
+                           store::Client& store, RegionNetwork& network, wire::Compare leader,
                            Term term)
     : reactor_(reactor),
       settings_(settings),
@@ -101,7 +101,8 @@
       co_await wait;
       continue;
     }
-    auto writing = store_.transact(transaction->conditions, transaction->changes, kStoreTimeout);
+    auto writing =
+        store_.compare_and_swap(transaction->compares, transaction->mutations, kStoreTimeout);
     const auto result = co_await writing;
     if (book_.finish_transaction(result)) term_.shares_changed();
     if (!founded_ && book_.all_founded()) {
--- a/src/regions/share_service.hpp
+++ b/src/regions/share_service.hpp
@@ -42,7 +42,7 @@
   };
 
   ShareService(net::Reactor& reactor, const base::Settings& settings, store::Client& store,
-               RegionNetwork& network, wire::Condition leader, Term term);
+               RegionNetwork& network, wire::Compare leader, Term term);
 
   /// Reads what this region holds; false when the state service did not let it. Until then nothing
   /// is held.
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -127,12 +127,13 @@
 constexpr double kUserRequestOverdraft = 0.25;  ///< of a second's worth
 }
 
-net::Task<TxnResult> Client::transact(std::vector<wire::Condition> conditions,
-                                      std::vector<wire::Change> changes, double timeout_s,
-                                      Priority priority) {
-  net::Request request{"POST", "/txn", "", wire::txn_request(conditions, changes), true};
+net::Task<CompareAndSwapResult> Client::compare_and_swap(std::vector<wire::Compare> compares,
+                                                         std::vector<wire::Mutation> mutations,
+                                                         double timeout_s, Priority priority) {
+  net::Request request{"POST", "/txn", "", wire::compare_and_swap_request(compares, mutations),
+                       true};
   Charge charge;
-  charge.writes = static_cast<double>(changes.size());
+  charge.writes = static_cast<double>(mutations.size());
   if (priority == Priority::user) {
     charge.overdraft = user_overdraft_;
     // Guards against a submission or cancellation that waits behind questions.
@@ -140,14 +141,14 @@
   }
   auto sending = send(std::move(request), timeout_s, charge);
   const auto reply = co_await sending;
-  TxnResult result;
+  CompareAndSwapResult result;
   result.status = status_of_reply(reply);
-  const bool leased = std::any_of(changes.begin(), changes.end(),
-                                  [](const wire::Change& change) { return change.lease != 0; });
+  const bool leased = std::any_of(mutations.begin(), mutations.end(),
+                                  [](const wire::Mutation& change) { return change.lease != 0; });
   // With a lease it may as well be the lease that has ended.
   if (reply.status() == 400 && !leased) lower_limits();
   if (result.status == Status::ok || result.status == Status::failed) {
-    const auto answer = wire::parse_txn_answer(reply.response.body);
+    const auto answer = wire::parse_compare_and_swap_response(reply.response.body);
     if (!answer) {
       result.status = Status::unknown;  // a malformed answer tells nothing
     } else {
@@ -231,7 +232,8 @@
   co_return changes_in(reply);
 }
 
-net::Task<RangeResult> Client::changes(std::string prefix, std::uint64_t since, double timeout_s) {
+net::Task<RangeResult> Client::changes_since(std::string prefix, std::uint64_t since,
+                                             double timeout_s) {
   net::Request request{"GET", "/follow", wire::watch_query(prefix, since, 0), "", true};
   Charge charge;
   charge.urgent = true;
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -40,7 +40,7 @@
   unknown,  ///< may have been executed, or may yet be
 };
 
-struct TxnResult {
+struct CompareAndSwapResult {
   Status status = Status::unknown;
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
@@ -67,9 +67,10 @@
   /// Users wait for the answer to a transaction of theirs, and may go before those in the
   /// background that are written by the dozen.
   enum class Priority { background, user };
-  net::Task<TxnResult> transact(std::vector<wire::Condition> conditions,
-                                std::vector<wire::Change> changes, double timeout_s,
-                                Priority priority = Priority::background);
+  net::Task<CompareAndSwapResult> compare_and_swap(std::vector<wire::Compare> compares,
+                                                   std::vector<wire::Mutation> mutations,
+                                                   double timeout_s,
+                                                   Priority priority = Priority::background);
   net::Task<ReadResult> read(std::string key, double timeout_s);
   /// Everything under a prefix, page by page; `revision` is that of the first page, so that a watch
   /// from there misses nothing.
@@ -79,7 +80,7 @@
                                    double timeout_s);
   /// Every change after the revision, at once. Does not wait for the budget, since many share the
   /// answer: whoever asks keeps the pace. `failed` when the revision is too old.
-  net::Task<RangeResult> changes(std::string prefix, std::uint64_t since, double timeout_s);
+  net::Task<RangeResult> changes_since(std::string prefix, std::uint64_t since, double timeout_s);
   /// Requests a second that this node may make.
   double request_rate() const { return requests_.rate(); }
   /// `failed` when the revision is too old.
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -394,14 +394,13 @@
   return q;
 }
 
-std::string txn_request(const std::vector<Condition>& conditions,
-                        const std::vector<Change>& changes) {
+std::string compare_and_swap_request(const std::vector<Compare>& compares,
+                                     const std::vector<Mutation>& mutations) {
   JsonWriter w;
   w.begin().key("If").list();
-  for (const auto& c : conditions)
-    w.begin().key("K").text(c.key).key("Mark").count(c.revision).end();
+  for (const auto& c : compares) w.begin().key("K").text(c.key).key("Mark").count(c.revision).end();
   w.list_end().key("Then").list();
-  for (const auto& c : changes) {
+  for (const auto& c : mutations) {
     w.begin();
     if (c.data.empty()) {
       w.key("Remove").text(c.key);
@@ -415,11 +414,12 @@
   return w.take();
 }
 
-std::optional<TxnAnswer> parse_txn_answer(std::string_view body) {
-  return with_object(body, [](const Json& o) -> std::optional<TxnAnswer> {
+std::optional<CompareAndSwapResponse> parse_compare_and_swap_response(std::string_view body) {
+  return with_object(body, [](const Json& o) -> std::optional<CompareAndSwapResponse> {
     const auto revision = read_count(o, "LedgerTurn");
     if (!revision) return std::nullopt;
-    return TxnAnswer{*revision, read_texts(o, "failed").value_or(std::vector<std::string>{})};
+    return CompareAndSwapResponse{*revision,
+                                  read_texts(o, "failed").value_or(std::vector<std::string>{})};
   });
 }
 
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -162,16 +162,16 @@
   std::string data;  ///< JSON; empty: removed
   std::uint64_t revision = 0;
 };
-struct Condition {
+struct Compare {
   std::string key;
   std::uint64_t revision = 0;
 };
-struct Change {
+struct Mutation {
   std::string key;
   std::string data;  ///< JSON; empty: remove
   std::uint64_t lease = 0;
 };
-struct TxnAnswer {
+struct CompareAndSwapResponse {
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
 };
@@ -180,9 +180,9 @@
   bool more = false;
   std::uint64_t revision = 0;
 };
-std::string txn_request(const std::vector<Condition>& conditions,
-                        const std::vector<Change>& changes);
-std::optional<TxnAnswer> parse_txn_answer(std::string_view body);
+std::string compare_and_swap_request(const std::vector<Compare>& compares,
+                                     const std::vector<Mutation>& mutations);
+std::optional<CompareAndSwapResponse> parse_compare_and_swap_response(std::string_view body);
 std::optional<StoredValue> parse_stored(std::string_view body);
 std::optional<std::uint64_t> parse_revision(std::string_view body);
 std::optional<RangePage> parse_range(std::string_view body);
--- a/tests/share_simulation.cpp
+++ b/tests/share_simulation.cpp
@@ -12,16 +12,16 @@
 using regions::Resource;
 using regions::ShareBook;
 
-store::TxnResult KeyStore::apply(const ShareBook::Transaction& transaction) {
-  store::TxnResult result;
-  for (const auto& condition : transaction.conditions) {
+store::CompareAndSwapResult KeyStore::apply(const ShareBook::Transaction& transaction) {
+  store::CompareAndSwapResult result;
+  for (const auto& condition : transaction.compares) {
     if (revision_of(condition.key) != condition.revision) result.failed.push_back(condition.key);
   }
   result.status = result.failed.empty() ? store::Status::ok : store::Status::failed;
   result.revision = revision_;
   if (!result.failed.empty()) return result;
   result.revision = ++revision_;
-  for (const auto& change : transaction.changes) {
+  for (const auto& change : transaction.mutations) {
     if (change.data.empty()) {
       values_.erase(change.key);
     } else {
@@ -67,7 +67,7 @@
   const auto taken =
       region.store.apply({{}, {{kLeaderKey, "{}", 0}}});  // the former leader's lease has ended
   region.book =
-      std::make_unique<ShareBook>(region.settings, wire::Condition{kLeaderKey, taken.revision});
+      std::make_unique<ShareBook>(region.settings, wire::Compare{kLeaderKey, taken.revision});
   region.book->load(region.store.under(regions::kRegionsPrefix));
 }
 
@@ -95,8 +95,8 @@
   const auto transaction = book.next_transaction(
       [&](const std::string& team) { return demand(region, team); }, kMostChanges);
   if (!transaction) return false;
-  EXPECT_LE(transaction->changes.size(), kMostChanges);
-  store::TxnResult result;  // unknown
+  EXPECT_LE(transaction->mutations.size(), kMostChanges);
+  store::CompareAndSwapResult result;  // unknown
   if (fate == Fate::answered) result = region.store.apply(*transaction);
   if (fate == Fate::applied_mute) region.store.apply(*transaction);
   if (fate == Fate::late) region.late.push_back(*transaction);
--- a/tests/share_simulation.hpp
+++ b/tests/share_simulation.hpp
@@ -30,7 +30,7 @@
     std::string data;
     std::uint64_t revision = 0;
   };
-  store::TxnResult apply(const regions::ShareBook::Transaction& transaction);
+  store::CompareAndSwapResult apply(const regions::ShareBook::Transaction& transaction);
   std::vector<wire::StoredValue> under(const std::string& prefix) const;
   const std::map<std::string, Value>& values() const { return values_; }
   std::uint64_t revision_of(const std::string& key) const;
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -47,8 +47,10 @@
     job.cancelled_at_ms = cancelled ? 1 : 0;
     write({{job_key(id), write_record(job, 8192)[0], 0}});
   }
-  void write(const std::vector<wire::Change>& changes) {
-    ASSERT_EQ(state.handle({"POST", "/txn", "", wire::txn_request({}, changes), true}).status, 200);
+  void write(const std::vector<wire::Mutation>& changes) {
+    ASSERT_EQ(state.handle({"POST", "/txn", "", wire::compare_and_swap_request({}, changes), true})
+                  .status,
+              200);
   }
   StatusCache::Found ask(const std::string& id) {
     auto task = cache.find(id);
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -320,20 +320,22 @@
 // The state service.
 
 TEST(StateProtocol, ATransactionNamesItsConditionsWritesAndRemovals) {
-  EXPECT_EQ(wire::txn_request({{"leader", 7}, {"jobs/j-1", 0}}, {{"jobs/j-1", R"({"x":1})", 0},
-                                                                 {"leader", R"({"node":"n0"})", 9},
-                                                                 {"parts/j-1/1", "", 0}}),
+  EXPECT_EQ(wire::compare_and_swap_request({{"leader", 7}, {"jobs/j-1", 0}},
+                                           {{"jobs/j-1", R"({"x":1})", 0},
+                                            {"leader", R"({"node":"n0"})", 9},
+                                            {"parts/j-1/1", "", 0}}),
             R"({"If":[{"K":"leader","Mark":7},{"K":"jobs/j-1","Mark":0}],)"
             R"("Then":[{"Write":"jobs/j-1","Data":{"x":1}},)"
             R"({"Write":"leader","Data":{"node":"n0"},"Hold":9},{"Remove":"parts/j-1/1"}]})");
 }
 
 TEST(StateProtocol, AnswersOfTransactionsAreRead) {
-  const auto done = wire::parse_txn_answer(R"({"LedgerTurn":18})");
+  const auto done = wire::parse_compare_and_swap_response(R"({"LedgerTurn":18})");
   ASSERT_TRUE(done);
   EXPECT_EQ(done->revision, 18U);
   EXPECT_TRUE(done->failed.empty());
-  const auto failed = wire::parse_txn_answer(R"({"LedgerTurn":19,"failed":["leader","a"]})");
+  const auto failed =
+      wire::parse_compare_and_swap_response(R"({"LedgerTurn":19,"failed":["leader","a"]})");
   ASSERT_TRUE(failed);
   EXPECT_EQ(failed->revision, 19U);
   EXPECT_EQ(failed->failed, (Texts{"leader", "a"}));
@@ -433,14 +435,15 @@
 
 TEST(StateProtocol, EachOperationHasItsMethodAndPath) {
   Clients c;
-  EXPECT_EQ(c.request_of(c.store->transact({}, {}, 1)), R"(state:1 POST /txn {"If":[],"Then":[]})");
+  EXPECT_EQ(c.request_of(c.store->compare_and_swap({}, {}, 1)),
+            R"(state:1 POST /txn {"If":[],"Then":[]})");
   EXPECT_EQ(c.request_of(c.store->read("jobs/j-1", 1)), "state:1 GET /store/jobs/j-1");
   EXPECT_EQ(c.request_of(c.store->read_page("jobs/", "jobs/j-1", 7, 1)),
             "state:1 GET /store?Under=jobs/&Most=7&Since=jobs/j-1");
   EXPECT_EQ(c.request_of(c.store->read_all("jobs/", 1)), "state:1 GET /store?Under=jobs/&Most=200");
   EXPECT_EQ(c.request_of(c.store->watch("jobs/", 18, 2.5)),
             "state:1 GET /follow?Under=jobs/&Since=18&HoldMs=2500");
-  EXPECT_EQ(c.request_of(c.store->changes("jobs/", 18, 1)),
+  EXPECT_EQ(c.request_of(c.store->changes_since("jobs/", 18, 1)),
             "state:1 GET /follow?Under=jobs/&Since=18&HoldMs=0");
   EXPECT_EQ(c.request_of(c.store->grant_lease(9.5, 1)), R"(state:1 POST /leases {"LifeMs":9500})");
   EXPECT_EQ(c.request_of(c.store->renew_lease(77, 1)), "state:1 POST /leases/77/renew {}");
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -134,7 +134,7 @@
   EXPECT_FALSE(parse_heartbeat(
       R"({"Rig":"n-1","Address":"a","Frame":"g","Yard":"a","Loaners":true,"Shift":1,"Tick":1,
           "KeyTurn":0,"Teeth":[{"Tooth":"j-1","Crank":1,"Stance":"running"}]})"));
-  EXPECT_FALSE(parse_txn_answer("{}"));
+  EXPECT_FALSE(parse_compare_and_swap_response("{}"));
   EXPECT_FALSE(parse_watch(R"({"LedgerTurn":1,"News":[{"Write":"a","Mark":1}]})"));
   EXPECT_FALSE(parse_machine_page(R"({"Rigs":[{"Id":"n-1"}]})"));
   EXPECT_FALSE(parse_rented(R"({"Rigs":[1]})"));
