--- a/lab/chats.cpp
+++ b/lab/chats.cpp
@@ -88,7 +88,7 @@
 Task<Response> Chats::serve_router(Request request) {
   look_at_replicas();
   if (request.path == kDrainPath) co_return router_.handle(request, reactor_.now());
-  if (request.path != kChatPath) co_return control::plain_answer(404, "{}");
+  if (request.path != kChatPath) co_return control::make_response(404, "{}");
   auto forwarding = forward(std::move(request));
   auto response = co_await forwarding;
   co_return response;
@@ -99,15 +99,15 @@
   const auto chat = static_cast<int>(wire::read_count(document.root(), "chat").value_or(0));
   const auto job = wire::read_text(document.root(), "job").value_or("");
   const auto replica = router_.begin_request(chat, job, reactor_.now());
-  if (!replica) co_return control::plain_answer(503, R"({"error":"no replica serves"})");
+  if (!replica) co_return control::make_response(503, R"({"error":"no replica serves"})");
   Request turn{"POST", kChatPath, "", write_replica_turn(*replica), true};
   auto calling = client_.call(replica->address, std::move(turn), kTimeout);
   const auto reply = co_await calling;
   router_.end_request(chat);
-  if (reply.status() == 200) co_return control::plain_answer(200, "{}");
-  co_return control::plain_answer(502, R"({"error":"the replica did not answer: )" +
-                                           wire::to_string(replica->task) + " on " +
-                                           replica->machine + "\"}");
+  if (reply.status() == 200) co_return control::make_response(200, "{}");
+  co_return control::make_response(502, R"({"error":"the replica did not answer: )" +
+                                            wire::to_string(replica->task) + " on " +
+                                            replica->machine + "\"}");
 }
 
 // ---- replicas ----
@@ -120,7 +120,7 @@
   const bool ran = runs(worker, task, attempt);
   Sleep thinking(reactor_, plan_.turn_s);
   co_await thinking;
-  co_return control::plain_answer(ran && runs(worker, task, attempt) ? 200 : 503, "{}");
+  co_return control::make_response(ran && runs(worker, task, attempt) ? 200 : 503, "{}");
 }
 
 // ---- users ----
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -20,7 +20,7 @@
 constexpr double kMaxBody = 4 * 1024 * 1024;
 
 Response answer(int status, std::string body = "{}") {
-  return control::plain_answer(status, std::move(body));
+  return control::make_response(status, std::move(body));
 }
 
 }  // namespace
@@ -307,9 +307,9 @@
     worker.changed = worker.changed || fencing_token > stand_in.fencing_token;
     stand_in.fencing_token = fencing_token;
     stand_in.answered_sent = sent;
-    const auto& orders = document.root()["Orders"];
-    worker.changed = worker.changed || orders.Size() > 0;
-    stand_in.execute(orders, surroundings_, reactor_.now());
+    const auto& commands = document.root()["Orders"];
+    worker.changed = worker.changed || commands.Size() > 0;
+    stand_in.execute(commands, surroundings_, reactor_.now());
     return;
   }
   const auto named = wire::read_text(document.root(), "Foreman").value_or("");
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -40,7 +40,7 @@
 }
 }  // namespace
 
-void CommandSender::send_orders() {
+void CommandSender::send_commands() {
   const double at = now();
   if (term_.is_lost()) return;
   const Allowed allowed{leader_lease_.may_start(at), leader_lease_.valid(at)};
@@ -62,38 +62,38 @@
 }
 
 // What is due to the worker. Starts are in doubt from here on, until they are answered.
-std::vector<wire::Order> CommandSender::take_due_orders(Machine& machine) {
-  std::vector<wire::Order> orders;
+std::vector<wire::Command> CommandSender::take_due_commands(Machine& machine) {
+  std::vector<wire::Command> commands;
   const Allowed allowed{leader_lease_.may_start(now()), leader_lease_.valid(now())};
   for (const auto& held : machine.tasks) {
     const Job& job = *held.job;
     sched::Placement& placement = held.placement();
     const wire::TaskName task{job.spec.id, placement.task};
     if (start_due(job, placement, allowed)) {
-      orders.push_back({wire::Verb::start, task, placement.attempt, 0});
+      commands.push_back({wire::CommandKind::start, task, placement.attempt, 0});
       placement.unconfirmed_start_epoch = machine.agent_epoch;
       machine.unconfirmed_starts.insert({task, placement.attempt});
     } else if (stop_due(job, placement, allowed)) {
       const double grace_s = job.cancelled() ? 0 : placement.grace_s;
-      orders.push_back({wire::Verb::stop, task, placement.attempt, grace_s});
+      commands.push_back({wire::CommandKind::stop, task, placement.attempt, grace_s});
       placement.stop_sent = true;
     }
   }
-  return orders;
+  return commands;
 }
 
 // `heartbeat` is the worker's where it executed the orders; otherwise they were certainly not
 // executed.
 void CommandSender::confirm_starts(Machine& machine, std::uint64_t agent_epoch,
-                                   const std::vector<wire::Order>& orders,
+                                   const std::vector<wire::Command>& commands,
                                    const std::optional<wire::Heartbeat>& heartbeat) {
-  for (const auto& order : orders) {
-    if (order.verb != wire::Verb::start) continue;
+  for (const auto& command : commands) {
+    if (command.kind != wire::CommandKind::start) continue;
     if (machine.agent_epoch == agent_epoch) {
-      machine.unconfirmed_starts.erase({order.task, order.attempt});
+      machine.unconfirmed_starts.erase({command.task, command.attempt});
     }
-    Job* job = cluster_.job(order.task.job);
-    auto* placement = job != nullptr ? job->find(order.task.index, order.attempt) : nullptr;
+    Job* job = cluster_.job(command.task.job);
+    auto* placement = job != nullptr ? job->find(command.task.index, command.attempt) : nullptr;
     if (placement == nullptr) continue;
     placement->unconfirmed_start_epoch = 0;
     if (!heartbeat) continue;
@@ -105,13 +105,13 @@
 Task<void> CommandSender::send_to(std::string id) {
   Machine* machine = cluster_.machine(id);
   const std::uint64_t agent_epoch = machine->agent_epoch;
-  const auto orders = take_due_orders(*machine);
-  if (orders.empty()) {
+  const auto commands = take_due_commands(*machine);
+  if (commands.empty()) {
     calling_.erase(id);
     co_return;
   }
   net::Request request{"POST", "/commands", "",
-                       wire::orders_command(leader_lease_.fencing_token(), agent_epoch, orders),
+                       wire::commands_request(leader_lease_.fencing_token(), agent_epoch, commands),
                        true};
   auto calling = services_.transport.call(machine->address, std::move(request),
                                           services_.settings.heartbeat_interval_s);
@@ -126,7 +126,7 @@
   if (reply.answered() && (!heartbeat || heartbeat->machine != id)) co_return;  // tells nothing
   machine = cluster_.machine(id);
   if (machine == nullptr) co_return;
-  confirm_starts(*machine, agent_epoch, orders, reply.status() == 200 ? heartbeat : std::nullopt);
+  confirm_starts(*machine, agent_epoch, commands, reply.status() == 200 ? heartbeat : std::nullopt);
   if (!heartbeat) co_return;
   if (heartbeat->fencing_token > leader_lease_.fencing_token()) {
     term_.lose("a worker has seen a higher token");
@@ -171,7 +171,7 @@
     if (m == nullptr || !leader_lease_.valid(now())) break;
     if (m->agent_epoch != 0) agent_epoch = m->agent_epoch;
     net::Request request{"POST", "/commands", "",
-                         wire::orders_command(leader_lease_.fencing_token(), agent_epoch, {}),
+                         wire::commands_request(leader_lease_.fencing_token(), agent_epoch, {}),
                          true};
     auto calling = services_.transport.call(m->address, std::move(request),
                                             services_.settings.heartbeat_interval_s);
--- a/src/control/command_sender.hpp
+++ b/src/control/command_sender.hpp
@@ -35,16 +35,16 @@
                 net::Signal& work, Term term);
 
   /// Sends what is due to each worker that is not being called already.
-  void send_orders();
+  void send_commands();
   /// Shows our token to workers that have not shown it, for ever. From then on they drop a former
   /// leader's answers, and their leases are ours to time.
   net::Task<void> announce_fencing_token();
 
  private:
   net::Task<void> send_to(std::string machine);
-  std::vector<wire::Order> take_due_orders(sched::Machine& machine);
+  std::vector<wire::Command> take_due_commands(sched::Machine& machine);
   void confirm_starts(sched::Machine& machine, std::uint64_t agent_epoch,
-                      const std::vector<wire::Order>& orders,
+                      const std::vector<wire::Command>& commands,
                       const std::optional<wire::Heartbeat>& heartbeat);
   net::Task<void> send_fencing_token(std::string machine);
   double now() const { return services_.reactor.now(); }
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -349,7 +349,7 @@
   auto heartbeat = wire::parse_heartbeat(request.body);
   if (!heartbeat) {
     spdlog::error("a malformed report was refused");
-    co_return plain_answer(400, wire::error_answer("malformed report"));
+    co_return make_response(400, wire::error_response("malformed report"));
   }
   workers_heard_ = services_.reactor.now();
   if (leads()) {
@@ -357,11 +357,11 @@
     const auto forwarder = forwarder_for(*heartbeat);
     if (!forwarder.empty()) {
       spdlog::debug("worker {} is handed over to {}", heartbeat->machine, forwarder);
-      co_return plain_answer(421, wire::misdirected_answer(forwarder));
+      co_return make_response(421, wire::redirect_response(forwarder));
     }
     co_return term_->handle_heartbeat(*heartbeat);
   }
-  if (term_ != nullptr) co_return come_back("taking over");
+  if (term_ != nullptr) co_return retry_later("taking over");
   heartbeat->tasks.clear();  // of no use here: the leader reads them from the text
   if (forwarder_.may_forward(*heartbeat)) {
     auto forwarding =
@@ -375,14 +375,14 @@
   const auto leader = believed_leader();
   if (!leader.empty()) forwarder_.note_sent_away(*heartbeat);
   spdlog::debug("worker {} is sent to {}", heartbeat->machine, leader.empty() ? "nobody" : leader);
-  co_return plain_answer(421, wire::misdirected_answer(leader));
+  co_return make_response(421, wire::redirect_response(leader));
 }
 
 Task<Response> Node::handle(Request request) {
   constexpr std::string_view kJobs = "/v1/jobs";
   const auto& path = request.path;
   const auto only = [&](const char* method) {
-    Response r = plain_answer(405, wire::error_answer("method not allowed"));
+    Response r = make_response(405, wire::error_response("method not allowed"));
     r.allow = method;
     return r;
   };
@@ -394,15 +394,15 @@
   }
   if (path == "/ready") {
     if (request.method != "GET") co_return only("GET");
-    if (!ready()) co_return come_back("not ready");
-    co_return plain_answer(200, "{}");
+    if (!ready()) co_return retry_later("not ready");
+    co_return make_response(200, "{}");
   }
   if (path.starts_with(kJobs) && (path.size() == kJobs.size() || path[kJobs.size()] == '/')) {
     auto work = users_.handle(std::move(request));
     auto response = co_await work;
     co_return response;
   }
-  co_return plain_answer(404, wire::error_answer("no such path"));
+  co_return make_response(404, wire::error_response("no such path"));
 }
 
 }  // namespace cranklock::control
--- a/src/control/report_forwarder.cpp
+++ b/src/control/report_forwarder.cpp
@@ -153,7 +153,7 @@
       spdlog::info("answering the zone's workers in the leader's stead, token {}", fencing_token_);
     }
     answered_alone_at_ = reactor_.now();
-    response.body = wire::orders_answer(fencing_token_, {});
+    response.body = wire::heartbeat_response(fencing_token_, {});
     co_return response;
   }
   response.status = 421;
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -62,7 +62,7 @@
 }
 
 JobFollower::Term Term::job_duties() {
-  return {[this] { pass_awaited_ = true; }, [this] { commands_.send_orders(); }};
+  return {[this] { pass_awaited_ = true; }, [this] { commands_.send_commands(); }};
 }
 
 CommandSender::Term Term::command_duties() {
@@ -155,7 +155,7 @@
   if (heartbeat.fencing_token > leader_lease_.fencing_token()) {
     lose("a worker has seen a higher token");
     response.status = 421;
-    response.body = wire::misdirected_answer("");
+    response.body = wire::redirect_response("");
     return response;
   }
   // Judged now, at the moment of answering: the process may have been held up.
@@ -184,12 +184,12 @@
                     at - p->decided_at, at - job->known_since);
     }
   }
-  std::vector<wire::Order> orders;
+  std::vector<wire::Command> commands;
   if (freshness == sched::ClusterState::Freshness::fresh) {
-    orders = cluster_.orders(heartbeat, leader_lease_.may_start(at), at);
+    commands = cluster_.commands_for(heartbeat, leader_lease_.may_start(at), at);
   }
   cluster_.note_answered(heartbeat.machine, at);
-  response.body = wire::orders_answer(leader_lease_.fencing_token(), orders);
+  response.body = wire::heartbeat_response(leader_lease_.fencing_token(), commands);
   work_.set();
   return response;
 }
--- a/src/control/term_decide.cpp
+++ b/src/control/term_decide.cpp
@@ -56,7 +56,7 @@
     advise_on_moves();
     auto writing = write_jobs();
     co_await writing;
-    commands_.send_orders();
+    commands_.send_commands();
   }
 }
 
@@ -72,7 +72,7 @@
     const auto written = co_await writing;
     if (written == RecordWriter::Written::leadership_lost) lose("the leader's key has changed");
     if (written != RecordWriter::Written::stored) co_return;
-    commands_.send_orders();
+    commands_.send_commands();
     jobs_.apply_changes();
     if (writer_.take_dependency_done()) pass_awaited_ = true;
     if (pass_awaited_ && now() >= next_pass_at_) {
--- a/src/control/users.cpp
+++ b/src/control/users.cpp
@@ -19,15 +19,15 @@
 constexpr const char* kNoStateService = "the state service does not answer";
 }  // namespace
 
-Response plain_answer(int status, std::string body) {
+Response make_response(int status, std::string body) {
   Response r;
   r.status = status;
   r.body = std::move(body);
   return r;
 }
 
-Response come_back(std::string_view why) {
-  Response r = plain_answer(503, wire::error_answer(why));
+Response retry_later(std::string_view why) {
+  Response r = make_response(503, wire::error_response(why));
   r.retry_after_s = 1;
   return r;
 }
@@ -44,7 +44,7 @@
 
 Task<Response> Users::handle(Request request) {
   net::Limiter& limiter = is_question(request) ? question_limiter_ : limiter_;
-  if (!limiter.try_enter()) co_return come_back("too many requests in progress");
+  if (!limiter.try_enter()) co_return retry_later("too many requests in progress");
   struct Leave {
     net::Limiter& limiter;
     net::Reactor& reactor;
@@ -60,7 +60,7 @@
 Task<Response> Users::route(Request request) {
   constexpr std::string_view kJobs = "/v1/jobs", kCancelSuffix = "/withdraw";
   const auto refuse_method = [](const char* allowed) {
-    Response r = plain_answer(405, wire::error_answer("method not allowed"));
+    Response r = make_response(405, wire::error_response("method not allowed"));
     r.allow = allowed;
     return r;
   };
@@ -75,14 +75,14 @@
   if (rest.ends_with(kCancelSuffix)) {
     rest.resize(rest.size() - kCancelSuffix.size());
     if (rest.find('/') != std::string::npos)
-      co_return plain_answer(404, wire::error_answer("no such path"));
+      co_return make_response(404, wire::error_response("no such path"));
     if (request.method != "POST") co_return refuse_method("POST");
     auto work = cancel(std::move(rest));
     auto response = co_await work;
     co_return response;
   }
   if (rest.find('/') != std::string::npos)
-    co_return plain_answer(404, wire::error_answer("no such path"));
+    co_return make_response(404, wire::error_response("no such path"));
   if (request.method != "GET") co_return refuse_method("GET");
   auto work = status(std::move(rest));
   auto response = co_await work;
@@ -161,18 +161,18 @@
 Task<Response> Users::known_job(std::string id, StoredJob found) {
   auto telling = state_to_tell(std::move(found));
   const auto state = co_await telling;
-  if (!state) co_return come_back(kNoStateService);
-  co_return plain_answer(200, wire::job_answer(id, *state));
+  if (!state) co_return retry_later(kNoStateService);
+  co_return make_response(200, wire::job_response(id, *state));
 }
 
 Task<Response> Users::submit(std::string body) {
   auto submission = parse_submission(body);
   body = std::string();  // its memory too
   if (!submission.is_object)
-    co_return plain_answer(400, wire::error_answer("expected a JSON object"));
+    co_return make_response(400, wire::error_response("expected a JSON object"));
   auto& parsed = submission.spec;
   const auto& id = submission.id;
-  if (!id) co_return plain_answer(400, wire::error_answer(std::get<std::string>(parsed)));
+  if (!id) co_return make_response(400, wire::error_response(std::get<std::string>(parsed)));
   const bool malformed = std::holds_alternative<std::string>(parsed);
   // As they are known now: they may be learnt while what is stored is looked up, and a refusal that
   // rests on nothing would be final.
@@ -182,7 +182,7 @@
   if (!malformed && types_known && reason.empty()) {
     auto checking = dependency_check_.check(std::get<wire::JobSpec>(parsed).dependencies);
     dependencies = co_await checking;
-    if (dependencies == DependencyCheck::Verdict::unclear) co_return come_back(kNoStateService);
+    if (dependencies == DependencyCheck::Verdict::unclear) co_return retry_later(kNoStateService);
     if (dependencies == DependencyCheck::Verdict::never_accepted)
       reason = "needs a job that nobody accepted";
   }
@@ -190,20 +190,21 @@
     // A repeat of an accepted job is answered with its state, whatever it says now.
     auto looking = lookup_.find(*id);
     auto found = co_await looking;
-    if (found.kind == StoredJob::Kind::unclear) co_return come_back(kNoStateService);
+    if (found.kind == StoredJob::Kind::unclear) co_return retry_later(kNoStateService);
     if (found.kind != StoredJob::Kind::absent) {
       auto answering = known_job(*id, std::move(found));
       auto response = co_await answering;
       co_return response;
     }
-    if (malformed) co_return plain_answer(400, wire::error_answer(std::get<std::string>(parsed)));
-    if (!types_known) co_return come_back("the machine types are not known yet");
-    co_return plain_answer(422, wire::error_answer(reason));
+    if (malformed)
+      co_return make_response(400, wire::error_response(std::get<std::string>(parsed)));
+    if (!types_known) co_return retry_later("the machine types are not known yet");
+    co_return make_response(422, wire::error_response(reason));
   }
   if (const JobOutcome* outcome = lookup_.known_outcome(*id)) {
-    co_return plain_answer(200, wire::job_answer(*id, outcome->state));
+    co_return make_response(200, wire::job_response(*id, outcome->state));
   }
-  if (!lookup_.state_reached()) co_return come_back(kNoStateService);
+  if (!lookup_.state_reached()) co_return retry_later(kNoStateService);
   auto accepting = accept(std::move(std::get<wire::JobSpec>(parsed)),
                           dependencies == DependencyCheck::Verdict::cancelled);
   auto response = co_await accepting;
@@ -218,7 +219,7 @@
   if (cancelled) job.cancelled_at_ms = job.created_ms;
   const auto texts = write_record(job, services_.store.value_bytes());
   if (texts[0].size() > services_.store.value_bytes()) {
-    co_return plain_answer(400, wire::error_answer("the description is too long"));
+    co_return make_response(400, wire::error_response("the description is too long"));
   }
   std::vector<wire::Compare> compares{{job_key(id), 0}, {outcome_key(id), 0}};
   std::vector<wire::Mutation> mutations{{job_key(id), texts[0], 0}};
@@ -227,14 +228,15 @@
   const auto created = co_await creating;
   if (created.status == Status::ok) {
     const auto state = cancelled ? JobState::cancelled : JobState::queued;
-    co_return plain_answer(201, wire::job_answer(id, state));
+    co_return make_response(201, wire::job_response(id, state));
   }
-  if (created.status == Status::refused) co_return come_back("the state service is not available");
+  if (created.status == Status::refused)
+    co_return retry_later("the state service is not available");
   // Known already, or unanswered: what is stored tells.
   auto looking = lookup_.find(id);
   auto found = co_await looking;
   if (found.kind != StoredJob::Kind::live && found.kind != StoredJob::Kind::ended) {
-    co_return come_back(kNoStateService);
+    co_return retry_later(kNoStateService);
   }
   auto answering = known_job(id, std::move(found));
   auto response = co_await answering;
@@ -242,16 +244,16 @@
 }
 
 Task<Response> Users::status(std::string id) {
-  const auto no_such = [] { return plain_answer(404, wire::error_answer("no such job")); };
+  const auto no_such = [] { return make_response(404, wire::error_response("no such job")); };
   if (!wire::valid_job_id(id)) co_return no_such();
   const bool share = status_cache_.note_question();
   if (share && lookup_.known_outcome(id) == nullptr && lookup_.state_reached()) {
     auto asking = status_cache_.find(id);
     const auto found = co_await asking;
-    if (found.kind == StatusCache::Kind::unavailable) co_return come_back(kNoStateService);
+    if (found.kind == StatusCache::Kind::unavailable) co_return retry_later(kNoStateService);
     if (found.kind == StatusCache::Kind::known) {
       const auto& status = found.status;
-      co_return plain_answer(200, wire::job_status(id, status.state, status.done, status.running));
+      co_return make_response(200, wire::job_status(id, status.state, status.done, status.running));
     }
   }
   auto looking = lookup_.find(id);
@@ -262,8 +264,8 @@
   const std::uint64_t running = ended ? 0 : found.job.placements.size();
   auto telling = state_to_tell(std::move(found));
   const auto state = co_await telling;
-  if (!state) co_return come_back(kNoStateService);
-  co_return plain_answer(200, wire::job_status(id, *state, done, running));
+  if (!state) co_return retry_later(kNoStateService);
+  co_return make_response(200, wire::job_status(id, *state, done, running));
 }
 
 Task<Status> Users::write_cancellation(std::string id, const StoredJob& found) {
@@ -282,30 +284,30 @@
 }
 
 Task<Response> Users::cancel(std::string id) {
-  if (!wire::valid_job_id(id)) co_return plain_answer(404, wire::error_answer("no such job"));
+  if (!wire::valid_job_id(id)) co_return make_response(404, wire::error_response("no such job"));
   const double until = services_.reactor.now() + 2 * kUserTimeout;
   while (services_.reactor.now() < until) {
     auto looking = lookup_.find(id);
     const auto found = co_await looking;
     if (found.kind == StoredJob::Kind::unclear) break;
     if (found.kind == StoredJob::Kind::absent) {
-      co_return plain_answer(404, wire::error_answer("no such job"));
+      co_return make_response(404, wire::error_response("no such job"));
     }
     if (found.kind == StoredJob::Kind::ended) {
-      co_return plain_answer(200, wire::job_answer(id, found.outcome.state));
+      co_return make_response(200, wire::job_response(id, found.outcome.state));
     }
     if (found.job.cancelled()) {
-      co_return plain_answer(200, wire::job_answer(id, JobState::cancelled));
+      co_return make_response(200, wire::job_response(id, JobState::cancelled));
     }
     auto writing = write_cancellation(id, found);
     const auto written = co_await writing;
     if (written == Status::ok) {
-      co_return plain_answer(200, wire::job_answer(id, JobState::cancelled));
+      co_return make_response(200, wire::job_response(id, JobState::cancelled));
     }
     if (written == Status::refused) break;
     // The record changed meanwhile, or no answer came: look again.
   }
-  co_return come_back(kNoStateService);
+  co_return retry_later(kNoStateService);
 }
 
 }  // namespace cranklock::control
--- a/src/control/users.hpp
+++ b/src/control/users.hpp
@@ -55,8 +55,8 @@
   std::vector<wire::MachineType> types_;
 };
 
-net::Response plain_answer(int status, std::string body);
+net::Response make_response(int status, std::string body);
 /// Not now: says at once when to come back.
-net::Response come_back(std::string_view why);
+net::Response retry_later(std::string_view why);
 
 }  // namespace cranklock::control
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -577,9 +577,9 @@
 }
 }  // namespace
 
-std::vector<wire::Order> ClusterState::orders(const wire::Heartbeat& r, bool may_start,
-                                              double now) {
-  std::vector<wire::Order> out;
+std::vector<wire::Command> ClusterState::commands_for(const wire::Heartbeat& r, bool may_start,
+                                                      double now) {
+  std::vector<wire::Command> out;
   Machine* m = machine(r.machine);
   if (m == nullptr) return out;
   std::set<std::pair<wire::TaskName, std::uint64_t>> reported_attempts;
@@ -592,15 +592,15 @@
       // A placement still kept has not been written as ended yet: `done` is durable before
       // `forget`. A start in doubt would run once more if it came after a forget.
       if (!ours && !m->unconfirmed_starts.contains({t.task, t.attempt})) {
-        out.push_back({wire::Verb::forget, t.task, t.attempt, 0});
+        out.push_back({wire::CommandKind::forget, t.task, t.attempt, 0});
       }
     } else if (!ours || p->ended || j->cancelled()) {
-      out.push_back({wire::Verb::stop, t.task, t.attempt, 0});
+      out.push_back({wire::CommandKind::stop, t.task, t.attempt, 0});
     } else if (p->stop && may_send_stop(*p, now)) {
       // Past its grace it is ended for good.
       const bool late = now > p->stop_since + p->grace_s + 2 * settings_.heartbeat_interval_s;
       if (t.state != TaskState::saving || late) {
-        out.push_back({wire::Verb::stop, t.task, t.attempt, late ? 0 : p->grace_s});
+        out.push_back({wire::CommandKind::stop, t.task, t.attempt, late ? 0 : p->grace_s});
       }
     }
   }
@@ -614,8 +614,8 @@
     // any more.
     if (p.stop && p.unconfirmed_start_epoch != r.agent_epoch) continue;
     if (reported_attempts.contains({{j.spec.id, p.task}, p.attempt})) continue;
-    out.push_back({wire::Verb::start, {j.spec.id, p.task}, p.attempt, 0});
-    if (p.stop) out.push_back({wire::Verb::stop, {j.spec.id, p.task}, p.attempt, 0});
+    out.push_back({wire::CommandKind::start, {j.spec.id, p.task}, p.attempt, 0});
+    if (p.stop) out.push_back({wire::CommandKind::stop, {j.spec.id, p.task}, p.attempt, 0});
     p.start_epoch = r.agent_epoch;
     p.start_sequence = r.sequence;
   }
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -136,7 +136,8 @@
   /// absence is concluded. A late copy changes nothing.
   Freshness reconcile_heartbeat(const wire::Heartbeat& heartbeat, bool is_heartbeat, double now);
   /// What to tell a worker in the answer to this report. Starts only while `may_start`.
-  std::vector<wire::Order> orders(const wire::Heartbeat& heartbeat, bool may_start, double now);
+  std::vector<wire::Command> commands_for(const wire::Heartbeat& heartbeat, bool may_start,
+                                          double now);
   void note_answered(const std::string& machine, double now);
 
   /// What a forwarder's hello proves: that it answers no worker in our stead before `quiet_until`,
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -34,8 +34,8 @@
                                    {Cause::insufficient_resources, "no_room"},
                                    {Cause::busy, "busy"},
                                    {Cause::unknown, "no_such"}}};
-constexpr Names<Verb, 3> kVerbs{
-    {{Verb::start, "start"}, {Verb::stop, "kill"}, {Verb::forget, "forget"}}};
+constexpr Names<CommandKind, 3> kCommandKinds{
+    {{CommandKind::start, "start"}, {CommandKind::stop, "kill"}, {CommandKind::forget, "forget"}}};
 constexpr Names<MachineState, 3> kMachineStates{{{MachineState::booting, "booting"},
                                                  {MachineState::running, "running"},
                                                  {MachineState::failed, "failed"}}};
@@ -199,7 +199,7 @@
   w.end();
 }
 
-std::string job_answer(std::string_view id, JobState state) {
+std::string job_response(std::string_view id, JobState state) {
   JsonWriter w;
   w.begin().key("Id").text(id).key("Stance").text(name_of(kJobStates, state)).end();
   return w.take();
@@ -213,7 +213,7 @@
   return w.take();
 }
 
-std::string error_answer(std::string_view why) {
+std::string error_response(std::string_view why) {
   JsonWriter w;
   w.begin().key("error").text(why).end();
   return w.take();
@@ -269,36 +269,36 @@
 }
 
 namespace {
-void write_orders(JsonWriter& w, const std::vector<Order>& orders) {
+void write_commands(JsonWriter& w, const std::vector<Command>& commands) {
   w.key("Orders").list();
-  for (const auto& order : orders) {
-    w.begin().key("Verb").text(name_of(kVerbs, order.verb));
-    w.key("Tooth").text(to_string(order.task)).key("Crank").count(order.attempt);
-    if (order.verb == Verb::stop) w.key("SlackS").amount(order.grace_s);
+  for (const auto& command : commands) {
+    w.begin().key("Verb").text(name_of(kCommandKinds, command.kind));
+    w.key("Tooth").text(to_string(command.task)).key("Crank").count(command.attempt);
+    if (command.kind == CommandKind::stop) w.key("SlackS").amount(command.grace_s);
     w.end();
   }
   w.list_end();
 }
 }  // namespace
 
-std::string orders_answer(std::uint64_t fencing_token, const std::vector<Order>& orders) {
+std::string heartbeat_response(std::uint64_t fencing_token, const std::vector<Command>& commands) {
   JsonWriter w;
   w.begin().key("KeyTurn").count(fencing_token);
-  write_orders(w, orders);
+  write_commands(w, commands);
   w.end();
   return w.take();
 }
 
-std::string orders_command(std::uint64_t fencing_token, std::uint64_t agent_epoch,
-                           const std::vector<Order>& orders) {
+std::string commands_request(std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                             const std::vector<Command>& commands) {
   JsonWriter w;
   w.begin().key("KeyTurn").count(fencing_token).key("Shift").count(agent_epoch);
-  write_orders(w, orders);
+  write_commands(w, commands);
   w.end();
   return w.take();
 }
 
-std::string misdirected_answer(std::string_view leader) {
+std::string redirect_response(std::string_view leader) {
   JsonWriter w;
   w.begin();
   if (!leader.empty()) w.key("Foreman").text(leader);
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -68,10 +68,10 @@
 void write_job(JsonWriter& w, const JobSpec& job);
 
 enum class JobState { queued, running, done, cancelled };
-std::string job_answer(std::string_view id, JobState state);
+std::string job_response(std::string_view id, JobState state);
 std::string job_status(std::string_view id, JobState state, std::uint64_t done,
                        std::uint64_t running);
-std::string error_answer(std::string_view why);
+std::string error_response(std::string_view why);
 
 struct TaskName {
   std::string job;
@@ -111,18 +111,18 @@
 };
 std::optional<Heartbeat> parse_heartbeat(std::string_view body);
 
-enum class Verb { start, stop, forget };
-struct Order {
-  Verb verb = Verb::start;
+enum class CommandKind { start, stop, forget };
+struct Command {
+  CommandKind kind = CommandKind::start;
   TaskName task;
   std::uint64_t attempt = 0;
   double grace_s = 0;
 };
-std::string orders_answer(std::uint64_t fencing_token, const std::vector<Order>& orders);
-std::string orders_command(std::uint64_t fencing_token, std::uint64_t agent_epoch,
-                           const std::vector<Order>& orders);
+std::string heartbeat_response(std::uint64_t fencing_token, const std::vector<Command>& commands);
+std::string commands_request(std::uint64_t fencing_token, std::uint64_t agent_epoch,
+                             const std::vector<Command>& commands);
 /// For a node that is not entitled; `leader` may be empty.
-std::string misdirected_answer(std::string_view leader);
+std::string redirect_response(std::string_view leader);
 
 struct MachineType {
   std::string name;
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -14,8 +14,8 @@
 using testing::make_job;
 using testing::task;
 using wire::Cause;
+using wire::CommandKind;
 using wire::TaskState;
-using wire::Verb;
 
 /// One service task placed on n-1 and written.
 struct Placed : Fleet {
@@ -33,20 +33,20 @@
 TEST(ClusterState, NothingStartsBeforeItsPlaceIsDurable) {
   Placed s;
   s.placement().durable = false;
-  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), true, 2).empty());
+  EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2).empty());
   s.placement().durable = true;
-  ASSERT_EQ(s.cluster.orders(heartbeat("n-1", 1, 2), true, 2).size(), 1u);
+  ASSERT_EQ(s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2).size(), 1u);
 }
 
 TEST(ClusterState, NothingStartsWithoutACertainLeaderLease) {
   Placed s;
-  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), false, 2).empty());
+  EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 2), false, 2).empty());
 }
 
 TEST(ClusterState, AnAbsenceCountsOnlyInAReportNewerThanTheOneThatCarriedTheStart) {
   Placed s;
   s.checkin(heartbeat("n-1", 1, 2));
-  s.cluster.orders(heartbeat("n-1", 1, 2), true, 2);
+  s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2);
   ClusterState::request_stop(s.placement(), 0, 2);
   // A copy of the same report proves nothing, nor does a direct answer that crossed the start.
   EXPECT_EQ(s.checkin(heartbeat("n-1", 1, 2)), ClusterState::Freshness::late_copy);
@@ -82,7 +82,7 @@
       heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)});
   s.checkin(exited);
   s.written(s.job);
-  EXPECT_TRUE(s.cluster.orders(exited, true, 3).empty());
+  EXPECT_TRUE(s.cluster.commands_for(exited, true, 3).empty());
 }
 
 TEST(ClusterState, DoneIsDurableBeforeForget) {
@@ -91,11 +91,11 @@
       heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)});
   s.checkin(exited);
   EXPECT_TRUE(s.job.complete());
-  EXPECT_TRUE(s.cluster.orders(exited, true, 3).empty());
+  EXPECT_TRUE(s.cluster.commands_for(exited, true, 3).empty());
   s.written(s.job);
-  const auto orders = s.cluster.orders(exited, true, 3);
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].verb, Verb::forget);
+  const auto commands_for = s.cluster.commands_for(exited, true, 3);
+  ASSERT_EQ(commands_for.size(), 1u);
+  EXPECT_EQ(commands_for[0].kind, CommandKind::forget);
 }
 
 // Guards against machines that report and hear nothing: idle for ever, they would swallow whatever
@@ -105,7 +105,7 @@
   const auto says_nothing_of_it = [&](std::uint64_t sequence) {
     const auto r = heartbeat("n-1", 1, sequence);
     s.checkin(r, static_cast<double>(sequence));
-    s.cluster.orders(r, true, static_cast<double>(sequence));
+    s.cluster.commands_for(r, true, static_cast<double>(sequence));
     s.cluster.note_answered("n-1", static_cast<double>(sequence));
   };
   says_nothing_of_it(2);
@@ -136,7 +136,7 @@
   for (std::uint64_t sequence = 2; sequence < 9; ++sequence) {
     const auto r = heartbeat("n-1", 1, sequence);
     s.checkin(r, 2);
-    s.cluster.orders(r, true, 2);
+    s.cluster.commands_for(r, true, 2);
   }
   EXPECT_FALSE(s.placement().ended);
 }
@@ -202,12 +202,12 @@
 TEST(ClusterState, ACancelledJobIsStoppedAndNeverStarted) {
   Placed s;
   s.job.cancelled_at_ms = 99;
-  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), true, 2).empty());
+  EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2).empty());
   const auto running = heartbeat("n-1", 1, 3, {task("j-000001", 0, 1, TaskState::running)});
   s.checkin(running);
-  const auto orders = s.cluster.orders(running, true, 3);
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].verb, Verb::stop);
+  const auto commands_for = s.cluster.commands_for(running, true, 3);
+  ASSERT_EQ(commands_for.size(), 1u);
+  EXPECT_EQ(commands_for[0].kind, CommandKind::stop);
 }
 
 TEST(ClusterState, AReloadedRecordDropsWhatWasNeverWrittenAndKeepsWhatWasLearnt) {
@@ -479,7 +479,7 @@
   EXPECT_TRUE(put.placements.front().ended);
   EXPECT_TRUE(put.dirty);  // and so is written without it
   EXPECT_EQ(s.cluster.team_allocation("red").gpus, 0);
-  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 2), true, 3).empty());
+  EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 3).empty());
 }
 
 // Guards against a stored placement being taken for a remembered one on another machine: the record
@@ -540,18 +540,19 @@
   ClusterState::request_stop(s.placement(), 5, 3);
   s.checkin(heartbeat("n-1", 1, 3), 3);
   EXPECT_FALSE(s.placement().ended);  // it may still come
-  const auto orders = s.cluster.orders(heartbeat("n-1", 1, 3), true, 3);
-  ASSERT_EQ(orders.size(), 2U);
-  EXPECT_EQ(orders[0].verb, Verb::start);
-  EXPECT_EQ(orders[1].verb, Verb::stop);
-  EXPECT_TRUE(s.cluster.orders(heartbeat("n-1", 1, 3), false, 3).empty());
+  const auto commands_for = s.cluster.commands_for(heartbeat("n-1", 1, 3), true, 3);
+  ASSERT_EQ(commands_for.size(), 2U);
+  EXPECT_EQ(commands_for[0].kind, CommandKind::start);
+  EXPECT_EQ(commands_for[1].kind, CommandKind::stop);
+  EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 3), false, 3).empty());
   const auto attempt = s.placement().attempt;
   const auto ended =
       heartbeat("n-1", 1, 4, {task("j-000001", 0, attempt, TaskState::exited, Cause::stopped)});
   s.checkin(ended, 4);
   EXPECT_EQ(s.job.live(), 0U);
   s.written(s.job);
-  EXPECT_TRUE(s.cluster.orders(ended, true, 4).empty());  // nor is it forgotten in this session
+  EXPECT_TRUE(
+      s.cluster.commands_for(ended, true, 4).empty());  // nor is it forgotten in this session
 }
 
 }  // namespace
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -274,9 +274,10 @@
     const auto heartbeat = testing::heartbeat(
         machine.id, 1, machine.sequence + 1,
         {testing::task(move().task.job, move().task.index, 1, wire::TaskState::running)});
-    const auto orders = cluster.orders(heartbeat, true, halves.now);
-    return std::any_of(orders.begin(), orders.end(),
-                       [](const wire::Order& order) { return order.verb == wire::Verb::stop; });
+    const auto commands_for = cluster.commands_for(heartbeat, true, halves.now);
+    return std::any_of(commands_for.begin(), commands_for.end(), [](const wire::Command& order) {
+      return order.kind == wire::CommandKind::stop;
+    });
   }
 };
 
--- a/tests/router_stand_in.cpp
+++ b/tests/router_stand_in.cpp
@@ -111,7 +111,7 @@
 
 net::Response RouterStandIn::handle(const net::Request& request, double now) {
   const auto asked = defrag::read_drain_request(request.body);
-  if (!asked) return control::plain_answer(400, wire::error_answer("malformed drain request"));
+  if (!asked) return control::make_response(400, wire::error_response("malformed drain request"));
   ++drains_asked_;
   defrag::DrainAnswer answer;
   answer.task = asked->task;
@@ -120,7 +120,7 @@
   answer.open_requests = chats_at(asked->task, true);
   const bool refused = answer.state == DrainState::refused && asked->lease_s > 0;
   drains_refused_ += refused ? 1 : 0;
-  return control::plain_answer(200, defrag::write_drain_answer(answer));
+  return control::make_response(200, defrag::write_drain_answer(answer));
 }
 
 }  // namespace cranklock::testing
--- a/tests/state_stand_in.cpp
+++ b/tests/state_stand_in.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kMostEvents = 10'000;
 
 Response answer(int status, std::string body = "{}") {
-  return control::plain_answer(status, std::move(body));
+  return control::make_response(status, std::move(body));
 }
 
 void write_row(JsonWriter& w, const std::string& key, const StateStandIn::Stored& stored) {
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -25,7 +25,7 @@
     ++calls;
     net::Sleep there(reactor, 0.001);
     co_await there;
-    if (status != 0) co_return net::Reply{net::Reply::Kind::answered, plain_answer(status, "{}")};
+    if (status != 0) co_return net::Reply{net::Reply::Kind::answered, make_response(status, "{}")};
     auto response = state.handle(request);
     net::Sleep back(reactor, 0.001);
     co_await back;
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -49,7 +49,7 @@
 };
 
 Response answer(int status, std::string body = "{}") {
-  return control::plain_answer(status, std::move(body));
+  return control::make_response(status, std::move(body));
 }
 
 }  // namespace
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -137,17 +137,18 @@
 }
 
 TEST(UserProtocol, AnswersNameEveryStateOfAJob) {
-  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::queued), R"({"Id":"j-1","Stance":"queued"})");
-  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::running), R"({"Id":"j-1","Stance":"running"})");
-  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::done), R"({"Id":"j-1","Stance":"done"})");
-  EXPECT_EQ(wire::job_answer("j-1", wire::JobState::cancelled),
+  EXPECT_EQ(wire::job_response("j-1", wire::JobState::queued), R"({"Id":"j-1","Stance":"queued"})");
+  EXPECT_EQ(wire::job_response("j-1", wire::JobState::running),
+            R"({"Id":"j-1","Stance":"running"})");
+  EXPECT_EQ(wire::job_response("j-1", wire::JobState::done), R"({"Id":"j-1","Stance":"done"})");
+  EXPECT_EQ(wire::job_response("j-1", wire::JobState::cancelled),
             R"({"Id":"j-1","Stance":"withdrawn"})");
   EXPECT_EQ(wire::job_status("j-1", wire::JobState::running, 3, 5),
             R"({"Id":"j-1","Stance":"running","done":3,"running":5})");
 }
 
 TEST(UserProtocol, AnErrorIsAnsweredWithItsReason) {
-  EXPECT_EQ(wire::error_answer("unknown \"team\""), R"({"error":"unknown \"team\""})");
+  EXPECT_EQ(wire::error_response("unknown \"team\""), R"({"error":"unknown \"team\""})");
 }
 
 // Workers.
@@ -220,20 +221,20 @@
 }
 
 TEST(WorkerProtocol, OrdersAreWrittenInAnswersAndInCommands) {
-  const std::vector<wire::Order> orders = {{wire::Verb::start, {"j-000412", 3}, 14, 0},
-                                           {wire::Verb::stop, {"j-000413", 0}, 15, 2.5},
-                                           {wire::Verb::forget, {"j-000414", 7}, 16, 0}};
+  const std::vector<wire::Command> commands = {{wire::CommandKind::start, {"j-000412", 3}, 14, 0},
+                                               {wire::CommandKind::stop, {"j-000413", 0}, 15, 2.5},
+                                               {wire::CommandKind::forget, {"j-000414", 7}, 16, 0}};
   const std::string list = R"("Orders":[{"Verb":"start","Tooth":"j-000412/3","Crank":14},)"
                            R"({"Verb":"kill","Tooth":"j-000413/0","Crank":15,"SlackS":2.5},)"
                            R"({"Verb":"forget","Tooth":"j-000414/7","Crank":16}]})";
-  EXPECT_EQ(wire::orders_answer(41, orders), R"({"KeyTurn":41,)" + list);
-  EXPECT_EQ(wire::orders_command(41, 11, orders), R"({"KeyTurn":41,"Shift":11,)" + list);
-  EXPECT_EQ(wire::orders_answer(41, {}), R"({"KeyTurn":41,"Orders":[]})");
+  EXPECT_EQ(wire::heartbeat_response(41, commands), R"({"KeyTurn":41,)" + list);
+  EXPECT_EQ(wire::commands_request(41, 11, commands), R"({"KeyTurn":41,"Shift":11,)" + list);
+  EXPECT_EQ(wire::heartbeat_response(41, {}), R"({"KeyTurn":41,"Orders":[]})");
 }
 
 TEST(WorkerProtocol, AMisdirectedReportIsAnsweredWithTheLeaderIfThereIsOne) {
-  EXPECT_EQ(wire::misdirected_answer("n2"), R"({"Foreman":"n2"})");
-  EXPECT_EQ(wire::misdirected_answer(""), "{}");
+  EXPECT_EQ(wire::redirect_response("n2"), R"({"Foreman":"n2"})");
+  EXPECT_EQ(wire::redirect_response(""), "{}");
 }
 
 TEST(WorkerProtocol, ATaskIsNamedByItsJobAndItsIndex) {
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -69,18 +69,19 @@
   return changed;
 }
 
-void WorkerStandIn::execute(const Json& orders, Surroundings& surroundings, double now) {
-  for (const auto& order : orders.GetArray()) {
-    const std::string verb = order["Verb"].GetString(), name = order["Tooth"].GetString();
-    const auto attempt = order["Crank"].GetUint64();
+void WorkerStandIn::execute(const Json& commands, Surroundings& surroundings, double now) {
+  for (const auto& command : commands.GetArray()) {
+    const std::string command_kind = command["Verb"].GetString(),
+                      name = command["Tooth"].GetString();
+    const auto attempt = command["Crank"].GetUint64();
     const auto it = tasks.find(name);
     const bool held = it != tasks.end() && it->second.attempt == attempt;
-    if (verb == "start" && !held) {
+    if (command_kind == "start" && !held) {
       surroundings.told_to_start(*wire::parse_task(name));
       tasks[name] = {attempt, TaskState::fetching, Cause::none, now};
-    } else if (verb == "kill" && held && it->second.state != TaskState::exited) {
+    } else if (command_kind == "kill" && held && it->second.state != TaskState::exited) {
       it->second = {attempt, TaskState::exited, Cause::stopped, now};
-    } else if (verb == "forget" && held && it->second.state == TaskState::exited) {
+    } else if (command_kind == "forget" && held && it->second.state == TaskState::exited) {
       tasks.erase(it);
     }
   }
@@ -112,11 +113,11 @@
   const JsonDocument document(request.body);
   const auto told = document.root()["KeyTurn"].GetUint64();
   if (told < fencing_token || document.root()["Shift"].GetUint64() != agent_epoch) {
-    return control::plain_answer(409, heartbeat());
+    return control::make_response(409, heartbeat());
   }
   fencing_token = told;
   execute(document.root()["Orders"], surroundings, now);
-  return control::plain_answer(200, heartbeat());
+  return control::make_response(200, heartbeat());
 }
 
 }  // namespace cranklock::testing
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -56,7 +56,7 @@
   bool lease_over(double lease_s, double now) const { return now - answered_sent > lease_s; }
   /// Kills and forgets everything if its lease is over.
   void end_lease(double lease_s, double now);
-  void execute(const wire::Json& orders, Surroundings& surroundings, double now);
+  void execute(const wire::Json& commands, Surroundings& surroundings, double now);
   /// The next report's body.
   std::string heartbeat();
   /// Answers POST /commands.
