--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -190,8 +190,9 @@
   // Its work moves while it still runs: what saves is told to save.
   for (const auto& held : m.tasks) {
     const auto& spec = held.job->spec;
-    if (spec.checkpoint_s > 0 && *m.taken_at - at < 2 * spec.save_s + 3 * s.heartbeat_interval_s) {
-      sched::ClusterState::request_stop(held.placement(), spec.save_s, at);
+    if (spec.checkpoint_interval_s > 0 &&
+        *m.taken_at - at < 2 * spec.checkpoint_save_s + 3 * s.heartbeat_interval_s) {
+      sched::ClusterState::request_stop(held.placement(), spec.checkpoint_save_s, at);
     }
   }
 }
--- a/src/defrag/fleet_view.cpp
+++ b/src/defrag/fleet_view.cpp
@@ -33,7 +33,7 @@
     return cluster.settings().lease_s / 2 + restart_s;
   }
   if (job.spec.kind != wire::JobKind::job_array) return std::nullopt;
-  if (job.spec.checkpoint_s > 0) return job.spec.save_s + restart_s;
+  if (job.spec.checkpoint_interval_s > 0) return job.spec.checkpoint_save_s + restart_s;
   return std::max(now - placement.running_since, 0.0) + restart_s;
 }
 
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -256,7 +256,8 @@
         ClusterState::request_drained_stop(*placement, progress_[i].drained_until, now);
       }
     } else {
-      ClusterState::request_stop(*placement, spec.checkpoint_s > 0 ? spec.save_s : 0, now);
+      ClusterState::request_stop(*placement,
+                                 spec.checkpoint_interval_s > 0 ? spec.checkpoint_save_s : 0, now);
     }
     acted_ = acted_ || placement->stop != was_stopping;
   }
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -4,7 +4,7 @@
 
 namespace cranklock::sched {
 
-using wire::Cause;
+using wire::ExitReason;
 using wire::TaskState;
 
 namespace {
@@ -409,26 +409,26 @@
   placement.seen = true;
   placement.state = TaskState::exited;
   const auto attempt = placement.attempt;
-  switch (t.cause) {
-    case Cause::done:
+  switch (t.exit_reason) {
+    case ExitReason::completed:
       job.done.add(placement.task);
       job.succeeded = true;
       note_works(job);
       m.failed_jobs.clear();
       break;
-    case Cause::error:
+    case ExitReason::error:
       if (!job.cancelled()) task_failed(job, m, now);
       break;
-    case Cause::insufficient_resources:
-    case Cause::busy:
-    case Cause::unknown:
+    case ExitReason::insufficient_resources:
+    case ExitReason::other_attempt_present:
+    case ExitReason::unknown_task:
       job.backoff_until = now + settings_.heartbeat_interval_s;
       break;
     default:
       break;
   }
   end_placement(job, placement, now);
-  if (t.cause != Cause::done) break_gang(job, attempt, now);
+  if (t.exit_reason != ExitReason::completed) break_gang(job, attempt, now);
 }
 
 ClusterState::Freshness ClusterState::reconcile_heartbeat(const wire::Heartbeat& r,
@@ -518,7 +518,7 @@
     // same attempt may have been started again since. Only that it is done stays true.
     if (acknowledges_token) {
       task_exited(job, placement, t, m, now);
-    } else if (t.cause == Cause::done && !job.done.contains(placement.task)) {
+    } else if (t.exit_reason == ExitReason::completed && !job.done.contains(placement.task)) {
       job.done.add(placement.task);
       job.dirty = true;
       changed_ = true;
@@ -599,7 +599,7 @@
     } else if (p->stop && may_send_stop(*p, now)) {
       // Past its grace it is ended for good.
       const bool late = now > p->stop_since + p->grace_s + 2 * settings_.heartbeat_interval_s;
-      if (t.state != TaskState::saving || late) {
+      if (t.state != TaskState::checkpointing || late) {
         out.push_back({wire::CommandKind::stop, t.task, t.attempt, late ? 0 : p->grace_s});
       }
     }
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -557,7 +557,7 @@
 double Pass::loss_of(const Job& victim, const Placement& placement) const {
   if (victim.spec.kind == JobKind::service) return cluster_.settings().cancel_s;
   const double ran = placement.running_since > 0 ? now_ - placement.running_since : 0;
-  return victim.spec.checkpoint_s > 0 ? std::min(ran, victim.spec.save_s) : ran;
+  return victim.spec.checkpoint_interval_s > 0 ? std::min(ran, victim.spec.checkpoint_save_s) : ran;
 }
 
 std::optional<Pass::Choice> Pass::choose_room(const Job& job, const ZoneCount& zones,
@@ -591,8 +591,9 @@
 void Pass::stop_victims(const Job& job, const Choice& choice) {
   choice.slot->free -= job.spec.resources;
   for (const auto& v : choice.victims) {
-    ClusterState::request_stop(*v.placement, v.job->spec.checkpoint_s > 0 ? v.job->spec.save_s : 0,
-                               now_);
+    ClusterState::request_stop(
+        *v.placement, v.job->spec.checkpoint_interval_s > 0 ? v.job->spec.checkpoint_save_s : 0,
+        now_);
     choice.slot->leaving += v.job->spec.resources;
     ++result_.stopped;
   }
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -24,16 +24,16 @@
 constexpr Names<TaskState, 5> kTaskStates{{{TaskState::fetching, "fetching"},
                                            {TaskState::waiting, "waiting"},
                                            {TaskState::running, "running"},
-                                           {TaskState::saving, "flushing"},
+                                           {TaskState::checkpointing, "flushing"},
                                            {TaskState::exited, "exited"}}};
-constexpr Names<Cause, 8> kCauses{{{Cause::done, "done"},
-                                   {Cause::stopped, "halted"},
-                                   {Cause::peers, "peers"},
-                                   {Cause::alone, "incomplete"},
-                                   {Cause::error, "error"},
-                                   {Cause::insufficient_resources, "no_room"},
-                                   {Cause::busy, "busy"},
-                                   {Cause::unknown, "no_such"}}};
+constexpr Names<ExitReason, 8> kExitReasons{{{ExitReason::completed, "done"},
+                                             {ExitReason::stopped, "halted"},
+                                             {ExitReason::gang_peer_lost, "peers"},
+                                             {ExitReason::gang_incomplete, "incomplete"},
+                                             {ExitReason::error, "error"},
+                                             {ExitReason::insufficient_resources, "no_room"},
+                                             {ExitReason::other_attempt_present, "busy"},
+                                             {ExitReason::unknown_task, "no_such"}}};
 constexpr Names<CommandKind, 3> kCommandKinds{
     {{CommandKind::start, "start"}, {CommandKind::stop, "kill"}, {CommandKind::forget, "forget"}}};
 constexpr Names<MachineState, 3> kMachineStates{{{MachineState::booting, "booting"},
@@ -128,8 +128,9 @@
        {Amount{"Cpus", &job.resources.cpus, false},
         Amount{"Accelerators", &job.resources.gpus, false},
         Amount{"MemGb", &job.resources.memory_gb, false}, Amount{"SizeGb", &job.image_gb, false},
-        Amount{"ExpectS", &job.estimate_s, false}, Amount{"NotchS", &job.checkpoint_s, false},
-        Amount{"StowS", &job.save_s, false}}) {
+        Amount{"ExpectS", &job.estimate_s, false},
+        Amount{"NotchS", &job.checkpoint_interval_s, false},
+        Amount{"StowS", &job.checkpoint_save_s, false}}) {
     const auto v = read_amount(o, name);
     if (!v || *v < 0 || (positive && *v == 0)) {
       return std::string(name) + ": expected a number of at least 0";
@@ -188,8 +189,8 @@
   }
   if (!job.zone.empty()) w.key("Yard").text(job.zone);
   w.key("OneZone").flag(job.one_zone).key("Apart").flag(job.spread).key("Loaners").flag(job.spot);
-  w.key("ExpectS").amount(job.estimate_s).key("NotchS").amount(job.checkpoint_s);
-  w.key("StowS").amount(job.save_s);
+  w.key("ExpectS").amount(job.estimate_s).key("NotchS").amount(job.checkpoint_interval_s);
+  w.key("StowS").amount(job.checkpoint_save_s);
   if (job.due_s) w.key("DueS").amount(*job.due_s);
   if (!job.dependencies.empty()) {
     w.key("WaitsOn").list();
@@ -259,9 +260,9 @@
       const auto attempt = read_count(t, "Crank");
       const auto state = named(kTaskStates, t, "Stance");
       if (!task || !attempt || !state) return std::nullopt;
-      const auto cause = named(kCauses, t, "Cause");
-      if (*state == TaskState::exited && !cause) return std::nullopt;
-      r.tasks.push_back({*task, *attempt, *state, cause.value_or(Cause::none),
+      const auto exit_reason = named(kExitReasons, t, "Cause");
+      if (*state == TaskState::exited && !exit_reason) return std::nullopt;
+      r.tasks.push_back({*task, *attempt, *state, exit_reason.value_or(ExitReason::none),
                          read_flag(t, "Kept").value_or(false)});
     }
     return r;
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -51,7 +51,7 @@
   std::vector<std::string> types;  ///< empty: any
   std::string zone;                ///< empty: any
   bool one_zone = false, spread = false, spot = false;
-  double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+  double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_save_s = 0;
   std::optional<double> due_s;
   /// Ids of the jobs that must be done before any task of this one starts, each once.
   std::vector<std::string> dependencies;
@@ -81,25 +81,25 @@
 std::string to_string(const TaskName& name);
 std::optional<TaskName> parse_task(std::string_view text);
 
-enum class TaskState { fetching, waiting, running, saving, exited };
-enum class Cause {
+enum class TaskState { fetching, waiting, running, checkpointing, exited };
+enum class ExitReason {
   none,
-  done,
-  stopped,
-  peers,
-  alone,
-  error,
-  insufficient_resources,
-  busy,
-  unknown
+  completed,
+  stopped,                 ///< by a command
+  gang_peer_lost,          ///< another task of the gang is gone
+  gang_incomplete,         ///< the gang was not complete in time
+  error,                   ///< the task failed
+  insufficient_resources,  ///< refused: the machine has not enough free
+  other_attempt_present,   ///< refused: the machine holds another attempt of the task
+  unknown_task,            ///< refused: there is no such job or task
 };
 
 struct TaskStatus {
   TaskName task;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
-  Cause cause = Cause::none;
-  bool saved = false;
+  ExitReason exit_reason = ExitReason::none;
+  bool checkpoint_saved = false;
 };
 
 struct Heartbeat {
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -23,8 +23,8 @@
 
   sched::Job& put(const std::string& id, wire::JobKind kind, double gpus) {
     auto job = make_job(id, kind, 1, gpus);
-    job.spec.checkpoint_s = kind == wire::JobKind::job_array ? 10 : 0;
-    job.spec.save_s = 3;
+    job.spec.checkpoint_interval_s = kind == wire::JobKind::job_array ? 10 : 0;
+    job.spec.checkpoint_save_s = 3;
     return fleet.add(std::move(job));
   }
   Halves() {
@@ -67,7 +67,7 @@
 
 TEST(Advisor, WhatMayNotPauseOrCostsMoreThanABootStays) {
   Halves dear;
-  dear.array.spec.checkpoint_s = dear.second.spec.checkpoint_s = 0;
+  dear.array.spec.checkpoint_interval_s = dear.second.spec.checkpoint_interval_s = 0;
   EXPECT_FALSE(dear.advisor.look(60));  // a minute's work each
   Halves services;
   services.array.spec.kind = services.second.spec.kind = wire::JobKind::service;
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -13,8 +13,8 @@
 using testing::kFencingToken;
 using testing::make_job;
 using testing::task;
-using wire::Cause;
 using wire::CommandKind;
+using wire::ExitReason;
 using wire::TaskState;
 
 /// One service task placed on n-1 and written.
@@ -79,7 +79,7 @@
   Placed s;
   s.cluster.machine("n-1")->unconfirmed_starts.insert({{"j-000001", 0}, 1});
   const auto exited =
-      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)});
+      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
   s.checkin(exited);
   s.written(s.job);
   EXPECT_TRUE(s.cluster.commands_for(exited, true, 3).empty());
@@ -88,7 +88,7 @@
 TEST(ClusterState, DoneIsDurableBeforeForget) {
   Placed s;
   const auto exited =
-      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)});
+      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
   s.checkin(exited);
   EXPECT_TRUE(s.job.complete());
   EXPECT_TRUE(s.cluster.commands_for(exited, true, 3).empty());
@@ -212,7 +212,8 @@
 
 TEST(ClusterState, AReloadedRecordDropsWhatWasNeverWrittenAndKeepsWhatWasLearnt) {
   Placed s;
-  s.checkin(heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, Cause::done)}));
+  s.checkin(
+      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)}));
   // The write of `done` got lost; the stored record still names the placement.
   auto stored = make_job("j-000001", wire::JobKind::service, 1, 4);
   stored.last_attempt = 1;
@@ -236,7 +237,7 @@
   std::vector<wire::TaskStatus> failed;
   for (const char* id : {"j-000001", "j-000002"}) {
     s.written(*s.cluster.job(id));
-    failed.push_back(task(id, 0, 1, TaskState::exited, Cause::error));
+    failed.push_back(task(id, 0, 1, TaskState::exited, ExitReason::error));
   }
   s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 2, failed), true, 2);
   EXPECT_TRUE(s.cluster.machine("n-1")->quarantined);
@@ -251,7 +252,7 @@
   for (auto& p : job.placements) {
     s.cluster.reconcile_heartbeat(
         heartbeat(p.machine, 1, 2,
-                  {task("j-000001", p.task, p.attempt, TaskState::exited, Cause::error)}),
+                  {task("j-000001", p.task, p.attempt, TaskState::exited, ExitReason::error)}),
         true, 2);
   }
   EXPECT_GT(job.backoff_until, 2);
@@ -271,7 +272,7 @@
       failed += fails ? 1 : 0;
       reports[p.machine].push_back(task(id, p.task, p.attempt,
                                         fails ? TaskState::exited : TaskState::running,
-                                        fails ? Cause::error : Cause::none));
+                                        fails ? ExitReason::error : ExitReason::none));
     }
   }
   for (const auto& [machine, tasks] : reports) {
@@ -311,8 +312,8 @@
   for (const auto& [id, job] : s.cluster.jobs()) {
     for (const auto& p : job.placements) {
       const bool works = id == "j-000001" && p.machine == "n-2";
-      reports[p.machine].push_back(
-          task(id, p.task, p.attempt, TaskState::exited, works ? Cause::done : Cause::error));
+      reports[p.machine].push_back(task(id, p.task, p.attempt, TaskState::exited,
+                                        works ? ExitReason::completed : ExitReason::error));
     }
   }
   ASSERT_EQ(reports.size(), 2U);
@@ -349,7 +350,7 @@
   const auto p = job.placements.front();
   s.cluster.reconcile_heartbeat(
       heartbeat(p.machine, 1, 3,
-                {task("j-000001", p.task, p.attempt, TaskState::exited, Cause::done)}),
+                {task("j-000001", p.task, p.attempt, TaskState::exited, ExitReason::completed)}),
       true, 11);
   EXPECT_EQ(job.failures, 0);
   EXPECT_TRUE(job.failed_on.empty());
@@ -516,11 +517,12 @@
   }
   Job& job = s.add(std::move(stored));
   const auto exited = wire::TaskState::exited;
-  s.cluster.reconcile_heartbeat(heartbeat("n-7", 1, 9,
-                                          {task("j-000001", 0, 1, exited, wire::Cause::stopped),
-                                           task("j-000001", 1, 2, exited, wire::Cause::done)},
-                                          kFencingToken - 1),
-                                true, 1);
+  s.cluster.reconcile_heartbeat(
+      heartbeat("n-7", 1, 9,
+                {task("j-000001", 0, 1, exited, wire::ExitReason::stopped),
+                 task("j-000001", 1, 2, exited, wire::ExitReason::completed)},
+                kFencingToken - 1),
+      true, 1);
   EXPECT_EQ(job.live(), 2U);
   EXPECT_TRUE(job.done.contains(1));  // what is done stays done
   EXPECT_FALSE(usable(s.cluster, *s.cluster.machine("n-7")));
@@ -546,8 +548,8 @@
   EXPECT_EQ(commands_for[1].kind, CommandKind::stop);
   EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 3), false, 3).empty());
   const auto attempt = s.placement().attempt;
-  const auto ended =
-      heartbeat("n-1", 1, 4, {task("j-000001", 0, attempt, TaskState::exited, Cause::stopped)});
+  const auto ended = heartbeat(
+      "n-1", 1, 4, {task("j-000001", 0, attempt, TaskState::exited, ExitReason::stopped)});
   s.checkin(ended, 4);
   EXPECT_EQ(s.job.live(), 0U);
   s.written(s.job);
--- a/tests/complete_job.hpp
+++ b/tests/complete_job.hpp
@@ -31,8 +31,8 @@
   job.one_zone = true;
   job.spot = true;
   job.estimate_s = 240;
-  job.checkpoint_s = 30.5;
-  job.save_s = 4;
+  job.checkpoint_interval_s = 30.5;
+  job.checkpoint_save_s = 4;
   job.due_s = 900;
   job.dependencies = {"j-1", "j-22"};
   return job;
@@ -54,8 +54,8 @@
   EXPECT_FALSE(job.spread);
   EXPECT_TRUE(job.spot);
   EXPECT_EQ(job.estimate_s, 240);
-  EXPECT_EQ(job.checkpoint_s, 30.5);
-  EXPECT_EQ(job.save_s, 4);
+  EXPECT_EQ(job.checkpoint_interval_s, 30.5);
+  EXPECT_EQ(job.checkpoint_save_s, 4);
   EXPECT_EQ(job.due_s, 900.0);
   EXPECT_EQ(job.dependencies, (std::vector<std::string>{"j-1", "j-22"}));
 }
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -67,8 +67,9 @@
 }
 
 inline wire::TaskStatus task(const std::string& job, std::uint32_t index, std::uint64_t attempt,
-                             wire::TaskState state, wire::Cause cause = wire::Cause::none) {
-  return {{job, index}, attempt, state, cause, false};
+                             wire::TaskState state,
+                             wire::ExitReason exit_reason = wire::ExitReason::none) {
+  return {{job, index}, attempt, state, exit_reason, false};
 }
 
 /// A cluster state with types, and machines that have reported.
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -26,8 +26,8 @@
 
 inline wire::JobSpec array_of(const std::string& id, std::uint32_t tasks, double gpus) {
   auto spec = make_job(id, wire::JobKind::job_array, tasks, gpus).spec;
-  spec.checkpoint_s = 1;
-  spec.save_s = 1;
+  spec.checkpoint_interval_s = 1;
+  spec.checkpoint_save_s = 1;
   return spec;
 }
 
@@ -141,7 +141,7 @@
       const auto& source = *w.workers.at(move.source);
       const auto task = source.tasks.find(wire::to_string(move.task));
       const bool stopped = task != source.tasks.end() && task->second.attempt == move.attempt &&
-                           task->second.cause == wire::Cause::stopped;
+                           task->second.exit_reason == wire::ExitReason::stopped;
       EXPECT_FALSE(stopped) << "stopped before it was stored: " << wire::to_string(move.task);
     }
   }
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -46,8 +46,8 @@
   sched::Job& job(const std::string& id) { return *fleet.cluster.job(id); }
   sched::Job& add(const std::string& id, wire::JobKind kind, std::uint32_t tasks, double gpus) {
     auto added = make_job(id, kind, tasks, gpus);
-    added.spec.checkpoint_s = kind == wire::JobKind::job_array ? 10 : 0;
-    added.spec.save_s = 3;
+    added.spec.checkpoint_interval_s = kind == wire::JobKind::job_array ? 10 : 0;
+    added.spec.checkpoint_save_s = 3;
     return fleet.add(std::move(added));
   }
   void place(sched::Job& job, std::uint32_t task, const std::string& machine) {
@@ -178,7 +178,7 @@
 TEST(MoveExecutor, APlanThatHasBecomeTooDearIsDropped) {
   Halves halves;
   for (const char* id : {kFirst, kSecond}) {
-    halves.job(id).spec.checkpoint_s = 0;
+    halves.job(id).spec.checkpoint_interval_s = 0;
     halves.job(id).find(0, 1)->running_since = halves.now - 10;
   }
   auto executor = halves.executor();
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -7,7 +7,7 @@
 namespace cranklock::testing {
 namespace {
 
-using wire::Cause;
+using wire::ExitReason;
 using wire::TaskState;
 
 wire::JobSpec spec(const std::string& id, std::uint32_t tasks = 1) {
@@ -32,7 +32,7 @@
   }
   Worker& beside() { return *workers.at("n-2"); }
   void smuggle(Worker& to, const std::string& task) {
-    to.tasks[task] = {99, TaskState::fetching, Cause::none, reactor.now() - 1};
+    to.tasks[task] = {99, TaskState::fetching, ExitReason::none, reactor.now() - 1};
   }
 };
 
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -226,8 +226,8 @@
   for (int i = 0; i < 6; ++i) {
     auto batch = job(i, 3, JobKind::job_array, 2, i % 2 == 0 ? "red" : "blue");
     batch.spot = true;
-    batch.checkpoint_s = 5;
-    batch.save_s = 2;
+    batch.checkpoint_interval_s = 5;
+    batch.checkpoint_save_s = 2;
     cluster.add_user(batch);
   }
   cluster.run(8);
@@ -347,8 +347,8 @@
   for (int i = 0; i < 3; ++i) {
     auto low = job(i, 2, JobKind::job_array, i == 0 ? 4 : 2, i == 2 ? "blue" : "red");
     low.priority = wire::Priority::best_effort;
-    low.checkpoint_s = 5;
-    low.save_s = 1;
+    low.checkpoint_interval_s = 5;
+    low.checkpoint_save_s = 1;
     cluster.add_user(low);
   }
   cluster.run(14 + 0.5 * seed);
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -172,8 +172,8 @@
   EXPECT_EQ(heartbeat->tasks[0].task, (wire::TaskName{"j-000412", 3}));
   EXPECT_EQ(heartbeat->tasks[0].attempt, 14U);
   EXPECT_EQ(heartbeat->tasks[0].state, wire::TaskState::exited);
-  EXPECT_EQ(heartbeat->tasks[0].cause, wire::Cause::stopped);
-  EXPECT_TRUE(heartbeat->tasks[0].saved);
+  EXPECT_EQ(heartbeat->tasks[0].exit_reason, wire::ExitReason::stopped);
+  EXPECT_TRUE(heartbeat->tasks[0].checkpoint_saved);
 }
 
 TEST(WorkerProtocol, AReportMayLeaveOutItsNoticeAndItsTasks) {
@@ -200,22 +200,26 @@
   EXPECT_EQ(heartbeat_received(R"("Stance":"fetching")").state, wire::TaskState::fetching);
   EXPECT_EQ(heartbeat_received(R"("Stance":"waiting")").state, wire::TaskState::waiting);
   EXPECT_EQ(heartbeat_received(R"("Stance":"running")").state, wire::TaskState::running);
-  EXPECT_EQ(heartbeat_received(R"("Stance":"flushing")").state, wire::TaskState::saving);
+  EXPECT_EQ(heartbeat_received(R"("Stance":"flushing")").state, wire::TaskState::checkpointing);
   EXPECT_EQ(heartbeat_received(R"("Stance":"exited","Cause":"done")").state,
             wire::TaskState::exited);
-  EXPECT_EQ(heartbeat_received(R"("Stance":"running")").cause, wire::Cause::none);
-  EXPECT_FALSE(heartbeat_received(R"("Stance":"running")").saved);
+  EXPECT_EQ(heartbeat_received(R"("Stance":"running")").exit_reason, wire::ExitReason::none);
+  EXPECT_FALSE(heartbeat_received(R"("Stance":"running")").checkpoint_saved);
 }
 
 TEST(WorkerProtocol, EveryCauseOfAnExitIsRead) {
-  for (const auto& [name, cause] :
-       {std::pair{"done", wire::Cause::done}, std::pair{"halted", wire::Cause::stopped},
-        std::pair{"peers", wire::Cause::peers}, std::pair{"incomplete", wire::Cause::alone},
-        std::pair{"error", wire::Cause::error},
-        std::pair{"no_room", wire::Cause::insufficient_resources},
-        std::pair{"busy", wire::Cause::busy}, std::pair{"no_such", wire::Cause::unknown}}) {
-    EXPECT_EQ(heartbeat_received(R"("Stance":"exited","Cause":")" + std::string(name) + '"').cause,
-              cause)
+  for (const auto& [name, exit_reason] :
+       {std::pair{"done", wire::ExitReason::completed},
+        std::pair{"halted", wire::ExitReason::stopped},
+        std::pair{"peers", wire::ExitReason::gang_peer_lost},
+        std::pair{"incomplete", wire::ExitReason::gang_incomplete},
+        std::pair{"error", wire::ExitReason::error},
+        std::pair{"no_room", wire::ExitReason::insufficient_resources},
+        std::pair{"busy", wire::ExitReason::other_attempt_present},
+        std::pair{"no_such", wire::ExitReason::unknown_task}}) {
+    EXPECT_EQ(
+        heartbeat_received(R"("Stance":"exited","Cause":")" + std::string(name) + '"').exit_reason,
+        exit_reason)
         << name;
   }
 }
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -4,7 +4,7 @@
 
 namespace cranklock::testing {
 
-using wire::Cause;
+using wire::ExitReason;
 using wire::Json;
 using wire::JsonDocument;
 using wire::JsonWriter;
@@ -20,7 +20,7 @@
       return "waiting";
     case TaskState::running:
       return "running";
-    case TaskState::saving:
+    case TaskState::checkpointing:
       return "flushing";
     case TaskState::exited:
       return "exited";
@@ -43,25 +43,25 @@
     const auto task = *wire::parse_task(name);
     if (t.state == TaskState::fetching && now - t.since > surroundings.fetch_s(task)) {
       if (surroundings.is_completed(task)) {
-        t = {t.attempt, TaskState::exited, Cause::done, now};
+        t = {t.attempt, TaskState::exited, ExitReason::completed, now};
         changed = true;
         continue;
       }
       const bool runs = surroundings.starts(*this, task);
-      t = {t.attempt, runs ? TaskState::running : TaskState::waiting, Cause::none, now};
+      t = {t.attempt, runs ? TaskState::running : TaskState::waiting, ExitReason::none, now};
       changed = true;
     }
     if (t.state == TaskState::waiting && surroundings.gang_complete(task, t.attempt)) {
-      t = {t.attempt, TaskState::running, Cause::none, now};
+      t = {t.attempt, TaskState::running, ExitReason::none, now};
       changed = true;
     }
     if (t.state == TaskState::running && surroundings.fails(*this, task)) {
-      t = {t.attempt, TaskState::exited, Cause::error, now};
+      t = {t.attempt, TaskState::exited, ExitReason::error, now};
       changed = true;
       continue;
     }
     if (t.state == TaskState::running && now - t.since > surroundings.run_s(task)) {
-      t = {t.attempt, TaskState::exited, Cause::done, now};
+      t = {t.attempt, TaskState::exited, ExitReason::completed, now};
       surroundings.completed(task);
       changed = true;
     }
@@ -78,9 +78,9 @@
     const bool held = it != tasks.end() && it->second.attempt == attempt;
     if (command_kind == "start" && !held) {
       surroundings.told_to_start(*wire::parse_task(name));
-      tasks[name] = {attempt, TaskState::fetching, Cause::none, now};
+      tasks[name] = {attempt, TaskState::fetching, ExitReason::none, now};
     } else if (command_kind == "kill" && held && it->second.state != TaskState::exited) {
-      it->second = {attempt, TaskState::exited, Cause::stopped, now};
+      it->second = {attempt, TaskState::exited, ExitReason::stopped, now};
     } else if (command_kind == "forget" && held && it->second.state == TaskState::exited) {
       tasks.erase(it);
     }
@@ -98,8 +98,10 @@
     j.begin().key("Tooth").text(name).key("Crank").count(t.attempt);
     j.key("Stance").text(state_name(t.state));
     if (t.state == TaskState::exited) {
-      const bool failed = t.cause == Cause::error;
-      j.key("Cause").text(t.cause == Cause::done ? "done" : failed ? "error" : "halted");
+      const bool failed = t.exit_reason == ExitReason::error;
+      j.key("Cause").text(t.exit_reason == ExitReason::completed ? "done"
+                          : failed                               ? "error"
+                                                                 : "halted");
     }
     j.end();
   }
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -18,7 +18,7 @@
   struct Task {
     std::uint64_t attempt;
     wire::TaskState state;
-    wire::Cause cause;
+    wire::ExitReason exit_reason;
     double since;
   };
 
