--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -103,7 +103,7 @@
 /// How long after its last certain renewal a leader may answer reports: even if a successor has
 /// promised a cancellation meanwhile, the lease of every worker answered until then ends within
 /// cancel_s of that promise.
-inline double answer_span(const Settings& s) {
+inline double response_span(const Settings& s) {
   return (s.cancel_s - s.lease_s) * 0.9;
 }
 
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -52,7 +52,8 @@
   }
   for (const auto& id : machines) {
     const Machine* m = cluster_.machine(id);
-    if (m == nullptr || !m->heartbeat_received || m->silent || m->removing || m->address.empty())
+    if (m == nullptr || !m->heartbeat_received || m->lease_expired || m->terminating ||
+        m->address.empty())
       continue;
     // A worker not heard of lately would only leave starts in doubt.
     if (at - m->last_heartbeat > 2 * services_.settings.heartbeat_interval_s) continue;
@@ -72,7 +73,7 @@
     if (start_due(job, placement, allowed)) {
       commands.push_back({wire::CommandKind::start, task, placement.attempt, 0});
       placement.unconfirmed_start_epoch = machine.agent_epoch;
-      machine.unconfirmed_starts.insert({task, placement.attempt});
+      machine.indeterminate_starts.insert({task, placement.attempt});
     } else if (stop_due(job, placement, allowed)) {
       const double grace_s = job.cancelled() ? 0 : placement.grace_s;
       commands.push_back({wire::CommandKind::stop, task, placement.attempt, grace_s});
@@ -90,7 +91,7 @@
   for (const auto& command : commands) {
     if (command.kind != wire::CommandKind::start) continue;
     if (machine.agent_epoch == agent_epoch) {
-      machine.unconfirmed_starts.erase({command.task, command.attempt});
+      machine.indeterminate_starts.erase({command.task, command.attempt});
     }
     Job* job = cluster_.job(command.task.job);
     auto* placement = job != nullptr ? job->find(command.task.index, command.attempt) : nullptr;
@@ -149,7 +150,7 @@
     std::erase_if(announced_at_,
                   [&](const auto& call) { return cluster_.machine(call.first) == nullptr; });
     for (const auto& [id, m] : cluster_.machines()) {
-      if (m.token_acknowledged || m.removing || m.failed || m.address.empty() || !m.listed)
+      if (m.token_acknowledged || m.terminating || m.failed || m.address.empty() || !m.listed)
         continue;
       if (m.booting || at - m.last_heartbeat < 2 * s.heartbeat_interval_s) continue;
       const auto last = announced_at_.find(id);
--- a/src/control/leader_lease.hpp
+++ b/src/control/leader_lease.hpp
@@ -44,8 +44,8 @@
   /// Nothing that is started now was cancelled longer ago than this leader lease is certain for.
   bool may_start(double now) const { return !behind_ && now < known_until() + validity(); }
   /// Until then reports may be answered 200, by us or by a forwarder in our stead.
-  double answer_until() const { return known_until() + base::answer_span(settings_); }
-  bool may_answer(double now) const { return now < answer_until(); }
+  double may_respond_until() const { return known_until() + base::response_span(settings_); }
+  bool may_respond(double now) const { return now < may_respond_until(); }
   double confirmed_sent() const { return confirmed_sent_; }
 
  private:
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -51,7 +51,7 @@
     auto& m = cluster_.put_machine(item.id, {item.type, item.zone, item.spot}, at);
     m.listed = true;
     m.last_listed = at;
-    m.rented_at = std::min(m.rented_at, at - item.age_s);
+    m.provisioned_at = std::min(m.provisioned_at, at - item.age_s);
     if (m.address.empty()) m.address = item.address;
     if (item.state == wire::MachineState::failed) m.failed = true;
     m.booting = item.state == wire::MachineState::booting;
@@ -87,8 +87,8 @@
 }
 
 void MachineLifecycle::retire(Machine& m, const char* why) {
-  if (m.removing) return;
-  m.removing = true;
+  if (m.terminating) return;
+  m.terminating = true;
   spdlog::info("machine {} ({} in {}{}) is returned: {}", m.id, m.kind.type, m.kind.zone,
                m.kind.spot ? ", spot" : "", why);
   cluster_.mark_changed();
@@ -106,7 +106,7 @@
 std::vector<std::string> MachineLifecycle::due_deletions() const {
   std::vector<std::string> names, from_start;
   for (const auto& [id, m] : cluster_.machines()) {
-    if (!m.removing || !may_delete(m)) continue;
+    if (!m.terminating || !may_delete(m)) continue;
     auto& list = id > deletions_after_ ? names : from_start;
     if (list.size() < most_deletions_) list.push_back(id);
   }
@@ -140,8 +140,8 @@
     const auto names = due_deletions();
     if (names.empty()) continue;
     const bool may_be_more = names.size() == most_deletions_;
-    auto removing = services_.cloud.remove(names);
-    const auto removal = co_await removing;
+    auto terminating = services_.cloud.remove(names);
+    const auto removal = co_await terminating;
     note_removal(names, removal);
     if (removal == cloud::Removal::done) {
       if (may_be_more) deletions_.set();
@@ -172,26 +172,26 @@
         type != nullptr ? cluster_.expected_boot(*type, m.kind.zone, at) : s.lease_s;
     const double patience = s.operators.boot_patience * expected;
     // Nor has one that its zone's cut keeps from reporting failed to come up.
-    if (at - m.rented_at > patience && at - term_began_ > s.lease_s * 2 &&
-        at > m.silence_allowed_until) {
+    if (at - m.provisioned_at > patience && at - term_began_ > s.lease_s * 2 &&
+        at > m.lease_grace_until) {
       retire(m, "it never came up");
     }
     return;
   }
-  if (m.silent && at - m.last_answered > 2 * s.lease_s && at > m.silence_allowed_until) {
+  if (m.lease_expired && at - m.last_response > 2 * s.lease_s && at > m.lease_grace_until) {
     return retire(m, "it is silent");
   }
   // Its deletion proves what its lease would prove only later: its work starts elsewhere the
   // sooner.
-  if (sched::surely_taken(cluster_, m, zones, at)) return retire(m, "it is taken");
-  const bool tried = m.surely_faulty || at - m.quarantined_since > cluster_.quarantine_trial();
+  if (sched::is_reclaimed(cluster_, m, zones, at)) return retire(m, "it is taken");
+  const bool tried = m.fault_confirmed || at - m.quarantined_since > cluster_.quarantine_trial();
   if (m.quarantined && m.idle() && tried) return retire(m, "it fails what it starts");
-  if (!m.taken_at) return;
+  if (!m.reclaim_at) return;
   // Its work moves while it still runs: what saves is told to save.
   for (const auto& held : m.tasks) {
     const auto& spec = held.job->spec;
     if (spec.checkpoint_interval_s > 0 &&
-        *m.taken_at - at < 2 * spec.checkpoint_save_s + 3 * s.heartbeat_interval_s) {
+        *m.reclaim_at - at < 2 * spec.checkpoint_save_s + 3 * s.heartbeat_interval_s) {
       sched::ClusterState::request_stop(held.placement(), spec.checkpoint_save_s, at);
     }
   }
@@ -202,17 +202,17 @@
     Sleep pause(services_.reactor, services_.settings.heartbeat_interval_s / 3);
     co_await pause;
     const double at = now();
-    note_silence(at);
+    report_expired_leases(at);
     cluster_.watch_boots(at);
     const auto zones = sched::count_workers(cluster_, at);
     for (auto& [id, m] : cluster_.machines()) {
-      if (!m.removing) check_machine(m, zones, at);
+      if (!m.terminating) check_machine(m, zones, at);
     }
     check_placements(at);
   }
 }
 
-void MachineLifecycle::note_silence(double at) {
+void MachineLifecycle::report_expired_leases(double at) {
   for (const auto& id : cluster_.expire_leases(at)) {
     spdlog::info("machine {} is silent, its lease is over", id);
     work_.set();
--- a/src/control/machine_lifecycle.hpp
+++ b/src/control/machine_lifecycle.hpp
@@ -42,7 +42,7 @@
   std::vector<std::string> due_deletions() const;
   void note_removal(const std::vector<std::string>& names, cloud::Removal removal);
   void note_deleted(const std::vector<std::string>& names);
-  void note_silence(double at);
+  void report_expired_leases(double at);
   void check_placements(double at);
   double cancel_due(const sched::Job& job) const;
   void check_machine(sched::Machine& machine,
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -87,7 +87,7 @@
   auto writing =
       services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeout);
   const auto result = co_await writing;
-  const auto failed_on = [&](const char* key) {
+  const auto compare_failed = [&](const char* key) {
     return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
   };
   is_unknown_ = is_unknown_ || result.status == Status::unknown;
@@ -96,10 +96,10 @@
     revision_ = result.revision;
     executor_.note_stored(record);
     due_.set();
-  } else if (result.status == Status::failed && failed_on(kLeaderKey)) {
+  } else if (result.status == Status::failed && compare_failed(kLeaderKey)) {
     term_.lose("the leader's key has changed");
   } else if (result.status == Status::failed) {
-    if (failed_on(kMovesOffKey)) {
+    if (compare_failed(kMovesOffKey)) {
       executor_.drop(DropReason::off, now());
       look_after_ = now() + services_.settings.lease_s;
     }
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -126,7 +126,7 @@
   const auto first = std::hash<std::string>{}(heartbeat.machine);
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const auto& name = candidates[(first + i) % candidates.size()]->name;
-    if (!term_->may_hand_over(heartbeat.machine, name)) continue;
+    if (!term_->may_redirect(heartbeat.machine, name)) continue;
     if (may_stay) next_relief_ = now + relief_interval();
     return name;
   }
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -145,7 +145,7 @@
     using Kind = cloud::RentResult::Kind;
     if (result.kind == Kind::rented) {
       for (const auto& id : result.machines) {
-        if (!term_.is_deleted(id)) cluster_.put_machine(id, kind, now()).rented_here = true;
+        if (!term_.is_deleted(id)) cluster_.put_machine(id, kind, now()).provisioned_here = true;
       }
       if (static_cast<int>(result.machines.size()) < count) {
         refused_until_[kind] = now() + figures.up_cooldown_s;
@@ -172,7 +172,7 @@
   for (auto& [id, m] : cluster_.machines()) {
     // An emptied machine that a plan holds for large work is not idle.
     if (cluster_.reservations().any_on(id)) continue;
-    if (sched::pool_of(m.kind) == pool && sched::usable(cluster_, m) && m.idle() &&
+    if (sched::pool_of(m.kind) == pool && sched::is_schedulable(cluster_, m) && m.idle() &&
         now() - m.idle_since > services_.settings.heartbeat_interval_s * 2) {
       idle.push_back(&m);
     }
--- a/src/control/report_forwarder.cpp
+++ b/src/control/report_forwarder.cpp
@@ -22,9 +22,9 @@
 void HeartbeatForwarder::describe(peer::Hello& hello) const {
   hello.echoed_fencing_token = fencing_token_;
   hello.echo_ms = leader_ms_;
-  if (answered_alone_at_ >= 0) {
-    const double age = (reactor_.now() - answered_alone_at_) * 1000;
-    hello.answered_alone_ms = static_cast<std::uint32_t>(std::min(age, peer::kNever - 1.0));
+  if (delegate_responded_at_ >= 0) {
+    const double age = (reactor_.now() - delegate_responded_at_) * 1000;
+    hello.delegate_responded_ms = static_cast<std::uint32_t>(std::min(age, peer::kNever - 1.0));
   }
 }
 
@@ -42,7 +42,7 @@
 
 // Guards the leader's timing of leases: it counts on no answer of ours while it is heard here, and
 // on none after what it allowed. A worker that has seen a newer token would drop the answer anyway.
-bool HeartbeatForwarder::answers_alone(const wire::Heartbeat& heartbeat) const {
+bool HeartbeatForwarder::may_respond_as_delegate(const wire::Heartbeat& heartbeat) const {
   const Trust* trust = trusted_.find(heartbeat.machine);
   return trust != nullptr && trust->fencing_token == fencing_token_ &&
          heartbeat.fencing_token <= fencing_token_ && !reaches_leader() &&
@@ -142,17 +142,16 @@
     if (pending.done && pending.answer.status == 200) {
       const auto& answer = pending.answer;
       // Counted from the coming of the report, which was before the leader's answer.
-      trusted_.put(heartbeat.machine,
-                   {answer.fencing_token, sent + answer.answer_alone_ms / 1000.0});
+      trusted_.put(heartbeat.machine, {answer.fencing_token, sent + answer.delegation_ms / 1000.0});
       response.body = answer.body;
       co_return response;
     }
   }
-  if (cut_off() && answers_alone(heartbeat)) {
-    if (answered_alone_at_ < 0 || reactor_.now() - answered_alone_at_ > settings_.lease_s) {
+  if (cut_off() && may_respond_as_delegate(heartbeat)) {
+    if (delegate_responded_at_ < 0 || reactor_.now() - delegate_responded_at_ > settings_.lease_s) {
       spdlog::info("answering the zone's workers in the leader's stead, token {}", fencing_token_);
     }
-    answered_alone_at_ = reactor_.now();
+    delegate_responded_at_ = reactor_.now();
     response.body = wire::heartbeat_response(fencing_token_, {});
     co_return response;
   }
--- a/src/control/report_forwarder.hpp
+++ b/src/control/report_forwarder.hpp
@@ -57,7 +57,8 @@
   bool leader_expected() const;
   bool may_forward(const wire::Heartbeat& heartbeat) const {
     if (!send_) return false;
-    if (heartbeat.zone == settings_.zone) return leader_expected() || answers_alone(heartbeat);
+    if (heartbeat.zone == settings_.zone)
+      return leader_expected() || may_respond_as_delegate(heartbeat);
     if (!leader_expected()) return false;
     return !is_of_other_nodes(heartbeat) || is_first_visit(heartbeat.machine) ||
            came_back(heartbeat.machine);
@@ -95,7 +96,7 @@
   static constexpr std::size_t kMostWorkers = 32'768;
 
   void send_to_leader(Forwarding& forwarding);
-  bool answers_alone(const wire::Heartbeat& heartbeat) const;
+  bool may_respond_as_delegate(const wire::Heartbeat& heartbeat) const;
   /// Whether its zone is another one, with a node to forward for it.
   bool is_of_other_nodes(const wire::Heartbeat& heartbeat) const {
     return heartbeat.zone != settings_.zone && settings_.has_node(heartbeat.zone);
@@ -112,7 +113,7 @@
   std::uint64_t fencing_token_ = 0;  ///< the highest that a leader was heard with
   std::uint64_t leader_ms_ = 0;
   double heard_at_ = -1e9;
-  double answered_alone_at_ = -1;
+  double delegate_responded_at_ = -1;
   std::uint64_t next_id_;
   std::map<std::uint64_t, Pending*> pending_;
   base::RecentMap<Trust> trusted_;  ///< by worker, as the leader last allowed
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -159,7 +159,7 @@
     return response;
   }
   // Judged now, at the moment of answering: the process may have been held up.
-  if (is_lost_ || !leader_lease_.may_answer(at) || machines_.is_deleted(heartbeat.machine)) {
+  if (is_lost_ || !leader_lease_.may_respond(at) || machines_.is_deleted(heartbeat.machine)) {
     response.status = 503;
     return response;
   }
@@ -188,7 +188,7 @@
   if (freshness == sched::ClusterState::Freshness::fresh) {
     commands = cluster_.commands_for(heartbeat, leader_lease_.may_start(at), at);
   }
-  cluster_.note_answered(heartbeat.machine, at);
+  cluster_.record_response(heartbeat.machine, at);
   response.body = wire::heartbeat_response(leader_lease_.fencing_token(), commands);
   work_.set();
   return response;
@@ -206,14 +206,14 @@
     return answer;
   }
   // Nothing is prolonged alone that a stop may not have reached yet, be it this very answer.
-  const double until = leader_lease_.answer_until();
+  const double until = leader_lease_.may_respond_until();
   const auto& others = services_.settings.others;
   const bool own_zone = std::any_of(others.begin(), others.end(), [&](const base::Peer& peer) {
     return peer.name == forwarder && peer.zone == m->kind.zone;
   });
   if (own_zone && until > now() && !cluster_.stopping(*m)) {
-    answer.answer_alone_ms = static_cast<std::uint32_t>((until - now()) * 1000);
-    auto& kept = m->kept_until[forwarder];
+    answer.delegation_ms = static_cast<std::uint32_t>((until - now()) * 1000);
+    auto& kept = m->delegated_until[forwarder];
     kept = std::max(kept, until);
   }
   return answer;
@@ -222,23 +222,24 @@
 void Term::heard(const peer::Hello& hello) {
   const bool ours = hello.echoed_fencing_token == leader_lease_.fencing_token();
   const double never = -1;
-  cluster_.note_forwarder(
-      hello.name, hello.run,
-      ours ? static_cast<double>(hello.echo_ms) / 1000 +
-                 HeartbeatForwarder::patience(services_.settings) * 0.98
-           : 0,
-      hello.answered_alone_ms == peer::kNever ? never : now() - hello.answered_alone_ms / 1000.0,
-      now());
+  cluster_.note_forwarder(hello.name, hello.run,
+                          ours ? static_cast<double>(hello.echo_ms) / 1000 +
+                                     HeartbeatForwarder::patience(services_.settings) * 0.98
+                               : 0,
+                          hello.delegate_responded_ms == peer::kNever
+                              ? never
+                              : now() - hello.delegate_responded_ms / 1000.0,
+                          now());
 }
 
-bool Term::may_hand_over(const std::string& id, const std::string& forwarder) {
+bool Term::may_redirect(const std::string& id, const std::string& forwarder) {
   Machine* m = cluster_.machine(id);
   const double at = now();
   if (m == nullptr || !m->token_acknowledged || !cluster_.forwarder_heard(forwarder, at))
     return false;
   // Once in a while only: a worker that comes back has found its forwarder wanting.
-  if (m->handed_over > 0 && at - m->handed_over < 2 * services_.settings.lease_s) return false;
-  m->handed_over = at;
+  if (m->redirected_at > 0 && at - m->redirected_at < 2 * services_.settings.lease_s) return false;
+  m->redirected_at = at;
   return true;
 }
 
--- a/src/control/term.hpp
+++ b/src/control/term.hpp
@@ -49,7 +49,7 @@
   /// Nullptr where the settings name no regions.
   const regions::ShareService* shares() const { return shares_.get(); }
   /// Whether the worker may be sent to report to this node of its own zone.
-  bool may_hand_over(const std::string& machine, const std::string& forwarder);
+  bool may_redirect(const std::string& machine, const std::string& forwarder);
   bool is_lost() const { return is_lost_; }
   /// This node's settings don't let it lead, and loading again will not change that.
   bool is_unfit() const { return is_unfit_; }
--- a/src/defrag/fleet_view.cpp
+++ b/src/defrag/fleet_view.cpp
@@ -65,7 +65,7 @@
   std::vector<Host> hosts;
   for (const auto& [id, machine] : cluster.machines()) {
     const auto* type = cluster.type(machine.kind.type);
-    if (type == nullptr || !sched::usable(cluster, machine)) continue;
+    if (type == nullptr || !sched::is_schedulable(cluster, machine)) continue;
     hosts.push_back(view_machine(cluster, machine, *type, rules, now));
   }
   return hosts;
--- a/src/defrag/plan_check.cpp
+++ b/src/defrag/plan_check.cpp
@@ -25,7 +25,7 @@
 bool offers(ClusterState& cluster, const std::string& id, const wire::Resources& resources) {
   const auto* machine = cluster.machine(id);
   const auto* type = machine != nullptr ? cluster.type(machine->kind.type) : nullptr;
-  return type != nullptr && sched::usable(cluster, *machine) &&
+  return type != nullptr && sched::is_schedulable(cluster, *machine) &&
          resources.fits_in(type->resources - machine->allocated);
 }
 
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -90,7 +90,8 @@
   double tasks = 0;
   for (const auto& [id, machine] : cluster.machines()) {
     const auto* type = cluster.type(machine.kind.type);
-    if (type == nullptr || machine.heartbeat_received || !sched::coming(cluster, machine)) continue;
+    if (type == nullptr || machine.heartbeat_received || !sched::is_starting(cluster, machine))
+      continue;
     if (!sched::allows(job.spec, machine.kind)) continue;
     tasks += tasks_that_fit(job.spec.resources, type->resources - machine.allocated);
   }
--- a/src/peer/frames.cpp
+++ b/src/peer/frames.cpp
@@ -16,7 +16,7 @@
       .number(hello.sent_ms)
       .number(hello.echoed_fencing_token)
       .number(hello.echo_ms);
-  p.number(hello.answered_alone_ms);
+  p.number(hello.delegate_responded_ms);
   return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::hello));
 }
 
@@ -31,7 +31,7 @@
   p.number(answer.id)
       .number(answer.status)
       .number(answer.fencing_token)
-      .number(answer.answer_alone_ms);
+      .number(answer.delegation_ms);
   p.long_text(answer.body);
   return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::forwarded_response));
 }
--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -25,7 +25,7 @@
   /// The newest hello that it heard from a leader: whose token, and that leader's clock.
   std::uint64_t echoed_fencing_token = 0, echo_ms = 0;
   /// How long ago it last answered a worker in a leader's stead.
-  std::uint32_t answered_alone_ms = kNever;
+  std::uint32_t delegate_responded_ms = kNever;
   bool operator==(const Hello&) const = default;
 };
 
@@ -42,7 +42,7 @@
   std::uint16_t status = 0;
   std::uint64_t fencing_token = 0;
   /// For so long from the sending of what it answers, its forwarder may answer this worker alone.
-  std::uint32_t answer_alone_ms = 0;
+  std::uint32_t delegation_ms = 0;
   std::string body;
   bool operator==(const ForwardedResponse&) const = default;
 };
--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -26,26 +26,27 @@
 }
 
 namespace {
-bool is_sound(const ClusterState& cluster, const Machine& machine) {
-  return !cluster.is_unreachable(machine.kind.zone) && !machine.silent && !machine.removing &&
-         !machine.failed && !machine.quarantined && !machine.taken_at;
+bool is_healthy(const ClusterState& cluster, const Machine& machine) {
+  return !cluster.is_unreachable(machine.kind.zone) && !machine.lease_expired &&
+         !machine.terminating && !machine.failed && !machine.quarantined && !machine.reclaim_at;
 }
 }  // namespace
 
-bool usable(const ClusterState& cluster, const Machine& machine) {
-  return is_sound(cluster, machine) && machine.heartbeat_received && machine.confirmed() &&
+bool is_schedulable(const ClusterState& cluster, const Machine& machine) {
+  return is_healthy(cluster, machine) && machine.heartbeat_received && machine.confirmed() &&
          machine.unknown_tasks == 0 && machine.unresponsive_until == 0;
 }
 
-bool coming(const ClusterState& cluster, const Machine& machine) {
-  return is_sound(cluster, machine) && !machine.overdue &&
+bool is_starting(const ClusterState& cluster, const Machine& machine) {
+  return is_healthy(cluster, machine) && !machine.overdue &&
          (!machine.heartbeat_received || (!machine.confirmed() && machine.unresponsive_until == 0));
 }
 
 std::map<std::string, ZoneWorkers> count_workers(ClusterState& cluster, double now) {
   std::map<std::string, ZoneWorkers> zones;
   for (const auto& [id, machine] : cluster.machines()) {
-    if (!machine.heartbeat_received || machine.silent || machine.removing || machine.taken_at)
+    if (!machine.heartbeat_received || machine.lease_expired || machine.terminating ||
+        machine.reclaim_at)
       continue;
     auto& zone = zones[machine.kind.zone];
     ++zone.workers;
@@ -54,15 +55,15 @@
   return zones;
 }
 
-bool surely_taken(const ClusterState& cluster, const Machine& machine,
+bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
                   const std::map<std::string, ZoneWorkers>& zones, double now) {
   const double heartbeat_interval_s = cluster.settings().heartbeat_interval_s;
-  if (!machine.kind.spot || !machine.heartbeat_received || machine.removing) return false;
+  if (!machine.kind.spot || !machine.heartbeat_received || machine.terminating) return false;
   const double quiet = now - machine.last_heartbeat;
-  if (machine.taken_at && now > *machine.taken_at) return quiet > 1.5 * heartbeat_interval_s;
+  if (machine.reclaim_at && now > *machine.reclaim_at) return quiet > 1.5 * heartbeat_interval_s;
   const auto zone = zones.find(machine.kind.zone);
   if (quiet < 3 * heartbeat_interval_s || zone == zones.end()) return false;
-  const int others = zone->second.workers - (machine.silent || machine.taken_at ? 0 : 1);
+  const int others = zone->second.workers - (machine.lease_expired || machine.reclaim_at ? 0 : 1);
   return others > 0 && zone->second.heard >= 0.9 * others;
 }
 
--- a/src/sched/availability.hpp
+++ b/src/sched/availability.hpp
@@ -19,10 +19,10 @@
                         const wire::Resources& more);
 
 /// Whether new work may be put on this machine.
-bool usable(const ClusterState& cluster, const Machine& machine);
+bool is_schedulable(const ClusterState& cluster, const Machine& machine);
 
 /// Whether it boots, or has only to show our token, to become usable.
-bool coming(const ClusterState& cluster, const Machine& machine);
+bool is_starting(const ClusterState& cluster, const Machine& machine);
 
 struct ZoneWorkers {
   int workers = 0, heard = 0;  ///< heard: within two reports
@@ -32,7 +32,7 @@
 
 /// A spot machine that has gone quiet after its notice, or for three reports while the other
 /// workers of its zone are heard. Those whose zone is quiet too may only be cut off.
-bool surely_taken(const ClusterState& cluster, const Machine& machine,
+bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
                   const std::map<std::string, ZoneWorkers>& zones, double now);
 
 }  // namespace cranklock::sched
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -132,7 +132,7 @@
     job.backoff_until = old->backoff_until;
     job.failures = old->failures;
     job.earlier_rounds = old->earlier_rounds;
-    job.failed_on = old->failed_on;
+    job.failed_machines = old->failed_machines;
     job.succeeded = old->succeeded;
     // Cancelled is cancelled, be the record that is put here from before.
     if (old->cancelled()) {
@@ -314,7 +314,7 @@
   Machine m;
   m.id = id;
   m.kind = kind;
-  m.known_since = m.idle_since = m.rented_at = m.last_listed = now;
+  m.known_since = m.idle_since = m.provisioned_at = m.last_listed = now;
   Machine& put = machines_.emplace(id, std::move(m)).first->second;
   if (const auto unseen = unseen_.find(id); unseen != unseen_.end()) {
     put.tasks = std::move(unseen->second);
@@ -363,27 +363,27 @@
 // Jobs of several users fail on one machine, or a job that works elsewhere: the machine is at
 // fault. One job fails on several machines: the job is.
 void ClusterState::task_failed(Job& job, Machine& machine, double now) {
-  job.failed_on.insert(machine.id);
-  machine.surely_faulty = machine.surely_faulty || job.succeeded;
-  if (job.at_fault()) {
+  job.failed_machines.insert(machine.id);
+  machine.fault_confirmed = machine.fault_confirmed || job.succeeded;
+  if (job.crash_looping()) {
     clear_machines_of(job);
   } else {
     machine.failed_jobs.insert(job.spec.id);
   }
-  if (!machine.quarantined && (machine.surely_faulty || machine.failed_jobs.size() >= 2)) {
+  if (!machine.quarantined && (machine.fault_confirmed || machine.failed_jobs.size() >= 2)) {
     machine.quarantined = true;
     machine.quarantined_since = now;
   }
-  if (job.failed_on.size() >= 2) space_out_retries(job, now);
+  if (job.failed_machines.size() >= 2) space_out_retries(job, now);
 }
 
 // Guards against sound machines that are given back because two jobs with a mistake met there.
 void ClusterState::clear_machines_of(const Job& job) {
-  for (const auto& id : job.failed_on) {
+  for (const auto& id : job.failed_machines) {
     Machine* m = machine(id);
     if (m == nullptr) continue;
     m->failed_jobs.erase(job.spec.id);
-    if (m->quarantined && !m->surely_faulty && m->failed_jobs.size() < 2) {
+    if (m->quarantined && !m->fault_confirmed && m->failed_jobs.size() < 2) {
       m->quarantined = false;
       changed_ = true;
     }
@@ -401,7 +401,7 @@
 
 void ClusterState::note_works(Job& job) {
   job.failures = job.earlier_rounds = 0;
-  job.failed_on.clear();
+  job.failed_machines.clear();
 }
 
 void ClusterState::task_exited(Job& job, Placement& placement, const wire::TaskStatus& t,
@@ -447,45 +447,45 @@
   // Absences. Only a report of the worker's own that shows our token counts, and only one newer
   // than what carried the start: the token shuts out a former leader's commands still under way,
   // the order shuts out late copies and answers crossing on the way.
-  if (is_heartbeat && r.fencing_token < fencing_token_ && m.last_answered > 0 &&
-      ++m.unacknowledged >= kUnacknowledged) {
+  if (is_heartbeat && r.fencing_token < fencing_token_ && m.last_response > 0 &&
+      ++m.unacknowledged_responses >= kUnacknowledged) {
     m.unresponsive_until = now + settings_.lease_s;
   }
   if (!is_heartbeat || r.fencing_token != fencing_token_) return Freshness::fresh;
-  m.unacknowledged = 0;
+  m.unacknowledged_responses = 0;
   end_absent(m, r, reported_attempts, now);
   return Freshness::fresh;
 }
 
 // What a message says of the machine itself.
 void ClusterState::note_message(Machine& m, const wire::Heartbeat& r, double now) {
-  const bool was_usable = m.heartbeat_received && !m.silent;
+  const bool was_usable = m.heartbeat_received && !m.lease_expired;
   if (r.agent_epoch != m.agent_epoch) {
     // What an earlier session was told can't be executed in this one.
-    m.unconfirmed_starts.clear();
+    m.indeterminate_starts.clear();
     if (m.heartbeat_received) m.images.clear(), m.token_acknowledged = false;
   }
   // What another leader rented may have been up for long.
-  if (!m.heartbeat_received && m.rented_here) {
-    boot_times_.note_up({m.kind.type, m.kind.zone}, now - m.rented_at, now);
+  if (!m.heartbeat_received && m.provisioned_here) {
+    boot_times_.note_up({m.kind.type, m.kind.zone}, now - m.provisioned_at, now);
   }
   m.overdue = false;
   m.address = r.address;
   m.agent_epoch = r.agent_epoch;
   m.sequence = r.sequence;
   m.heartbeat_received = true;
-  m.silent = false;
+  m.lease_expired = false;
   m.last_heartbeat = now;
   if (r.fencing_token == fencing_token_ && !m.token_acknowledged) {
     // Until just now a former leader may have prolonged its lease: it is timed from here.
     m.token_acknowledged = true;
     changed_ = true;
-    m.last_answered = std::max(m.last_answered, now);
+    m.last_response = std::max(m.last_response, now);
   }
-  if (r.notice_s) {
-    const double at = now + *r.notice_s;
-    if (!m.taken_at) changed_ = true;
-    m.taken_at = m.taken_at ? std::min(*m.taken_at, at) : at;
+  if (r.preemption_notice_s) {
+    const double at = now + *r.preemption_notice_s;
+    if (!m.reclaim_at) changed_ = true;
+    m.reclaim_at = m.reclaim_at ? std::min(*m.reclaim_at, at) : at;
   }
   if (m.unresponsive_until > 0 && now > m.unresponsive_until)
     m.unresponsive_until = 0, changed_ = true;
@@ -531,7 +531,7 @@
   }
   // A replica never completes: one that has run for so long works.
   const bool runs = t.state == TaskState::running && placement.running_since > 0;
-  if (runs && job.spec.kind == wire::JobKind::service && !job.failed_on.empty() &&
+  if (runs && job.spec.kind == wire::JobKind::service && !job.failed_machines.empty() &&
       now - placement.running_since > settings_.lease_s) {
     note_works(job);
   }
@@ -591,7 +591,7 @@
     if (t.state == TaskState::exited) {
       // A placement still kept has not been written as ended yet: `done` is durable before
       // `forget`. A start in doubt would run once more if it came after a forget.
-      if (!ours && !m->unconfirmed_starts.contains({t.task, t.attempt})) {
+      if (!ours && !m->indeterminate_starts.contains({t.task, t.attempt})) {
         out.push_back({wire::CommandKind::forget, t.task, t.attempt, 0});
       }
     } else if (!ours || p->ended || j->cancelled()) {
@@ -604,7 +604,7 @@
       }
     }
   }
-  if (!may_start || m->removing) return out;
+  if (!may_start || m->terminating) return out;
   for (const auto& held : m->tasks) {
     const Job& j = *held.job;
     Placement& p = held.placement();
@@ -622,19 +622,20 @@
   return out;
 }
 
-void ClusterState::note_answered(const std::string& id, double now) {
-  if (Machine* m = machine(id)) m->last_answered = now;
+void ClusterState::record_response(const std::string& id, double now) {
+  if (Machine* m = machine(id)) m->last_response = now;
 }
 
 void ClusterState::note_forwarder(const std::string& name, std::uint64_t run, double quiet_until,
-                                  double answered_alone_at, double now) {
+                                  double delegate_responded_at, double now) {
   const auto [it, first] = forwarders_.try_emplace(name);
   HeartbeatForwarder& forwarder = it->second;
   // What another run of it did until it ended, nobody remembers.
-  if (first || forwarder.run != run) answered_alone_at = now;
+  if (first || forwarder.run != run) delegate_responded_at = now;
   forwarder.run = run;
   forwarder.quiet_until = std::max(forwarder.quiet_until, quiet_until);
-  forwarder.answered_alone_at = std::max(forwarder.answered_alone_at, answered_alone_at);
+  forwarder.delegate_responded_at =
+      std::max(forwarder.delegate_responded_at, delegate_responded_at);
 }
 
 bool ClusterState::forwarder_heard(const std::string& name, double now) const {
@@ -649,25 +650,25 @@
          });
 }
 
-double ClusterState::maybe_answered(const Machine& m, double now) const {
-  double at = m.last_answered;
+double ClusterState::latest_possible_response(const Machine& m, double now) const {
+  double at = m.last_response;
   // A worker that has not shown our token may still listen to a former leader. That one's last
   // renewal came before our leadership, and it answers, or lets others answer, for no longer than
   // this after it: what lets a successor promise cancellations.
   if (!m.token_acknowledged) {
-    at = std::max(at, began_ + base::answer_span(settings_) * (1 + 4 * base::kClockDrift));
+    at = std::max(at, began_ + base::response_span(settings_) * (1 + 4 * base::kClockDrift));
   }
-  for (const auto& [name, until] : m.kept_until) {
+  for (const auto& [name, until] : m.delegated_until) {
     const auto it = forwarders_.find(name);
     const bool heard = it != forwarders_.end() && now < it->second.quiet_until;
-    at = std::max(at, std::min(until, heard ? it->second.answered_alone_at : now));
+    at = std::max(at, std::min(until, heard ? it->second.delegate_responded_at : now));
   }
   return at;
 }
 
-void ClusterState::allow_silence(const std::string& zone, double until) {
+void ClusterState::extend_lease_grace(const std::string& zone, double until) {
   for (auto& [id, m] : machines_) {
-    if (m.kind.zone == zone) m.silence_allowed_until = until;
+    if (m.kind.zone == zone) m.lease_grace_until = until;
   }
 }
 
@@ -680,7 +681,7 @@
   std::map<std::string, Zone> zones;
   double heard = 0;
   for (const auto& [id, m] : machines_) {
-    if (m.failed || m.removing || (!m.heartbeat_received && (!m.listed || m.booting))) continue;
+    if (m.failed || m.terminating || (!m.heartbeat_received && (!m.listed || m.booting))) continue;
     Zone& zone = zones[m.kind.zone];
     ++zone.workers;
     zone.heard = std::max(zone.heard, m.heartbeat_received ? m.last_heartbeat : m.known_since);
@@ -692,12 +693,12 @@
   for (const auto& [name, zone] : zones) {
     if (now - zone.heard < 3 * settings_.heartbeat_interval_s) {
       if (unreachable_until_.erase(name) == 0) continue;
-      allow_silence(name, now + 2 * settings_.lease_s);  // who is there will be heard by then
+      extend_lease_grace(name, now + 2 * settings_.lease_s);  // who is there will be heard by then
       changed_ = true;
     } else if (others_reporting && zone.workers >= kFewest && !unreachable_until_.contains(name)) {
       // The machines come back with their zone, and with their images; but not for ever.
       unreachable_until_[name] = now + 3 * settings_.cancel_s;
-      allow_silence(name, unreachable_until_[name]);
+      extend_lease_grace(name, unreachable_until_[name]);
       out.push_back(name);
       changed_ = true;
     }
@@ -715,10 +716,10 @@
     const auto* t = type(m.kind.type);
     // Guards against a new leader that takes machines for late which have been up for long, and
     // have only not reported to it yet.
-    const bool boots = m.listed ? m.booting : m.rented_here;
+    const bool boots = m.listed ? m.booting : m.provisioned_here;
     if (!boots || m.heartbeat_received || m.overdue || t == nullptr) continue;
-    if (now <= m.silence_allowed_until) continue;
-    if (now - m.rented_at <= kOverdue * expected_boot(*t, m.kind.zone, now)) continue;
+    if (now <= m.lease_grace_until) continue;
+    if (now - m.provisioned_at <= kOverdue * expected_boot(*t, m.kind.zone, now)) continue;
     m.overdue = true;
     boot_times_.note_overdue({m.kind.type, m.kind.zone}, now);
     changed_ = true;
@@ -728,9 +729,9 @@
 std::vector<std::string> ClusterState::expire_leases(double now) {
   std::vector<std::string> out;
   for (auto& [id, m] : machines_) {
-    if (m.silent || (!m.heartbeat_received && m.tasks.empty())) continue;
-    if (now <= maybe_answered(m, now) + lease_bound()) continue;
-    m.silent = true;
+    if (m.lease_expired || (!m.heartbeat_received && m.tasks.empty())) continue;
+    if (now <= latest_possible_response(m, now) + lease_bound()) continue;
+    m.lease_expired = true;
     out.push_back(id);
     end_all(m, now);
   }
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -41,32 +41,32 @@
   std::string id, address;
   MachineKind kind;
   double known_since = 0;
-  double rented_at = 0;  ///< by its age in the list, or when the rental was answered
+  double provisioned_at = 0;  ///< by its age in the list, or when the rental was answered
   bool listed = false;
   bool booting = false;  ///< as last listed
   double last_listed = 0;
   bool failed = false;
   bool overdue = false;             ///< it has booted for so long that it may never come up
-  bool rented_here = false;         ///< by this leader
+  bool provisioned_here = false;    ///< by this leader
   bool heartbeat_received = false;  ///< to this leader
   bool token_acknowledged = false;  ///< in the session and since this leader's token
   std::uint64_t agent_epoch = 0, sequence = 0;                ///< newest message of any kind
   std::uint64_t heartbeat_epoch = 0, heartbeat_sequence = 0;  ///< newest report of its own
   double last_heartbeat = 0;
-  double last_answered = 0;  ///< when a report was last answered 200
+  double last_response = 0;  ///< when a report was last answered 200
   /// Until when a forwarder, by name, may answer its reports in our stead.
-  std::map<std::string, double> kept_until;
-  double handed_over = 0;  ///< when it was last sent to a forwarder
-  std::optional<double> taken_at;
-  bool silent = false;               ///< its lease has certainly run out
-  double silence_allowed_until = 0;  ///< its zone is cut off, or was until lately
+  std::map<std::string, double> delegated_until;
+  double redirected_at = 0;  ///< when it was last sent to a forwarder
+  std::optional<double> reclaim_at;
+  bool lease_expired = false;        ///< its lease has certainly run out
+  double lease_grace_until = 0;      ///< its zone is cut off, or was until lately
   double unresponsive_until = 0;     ///< what it is told does not reach it; 0: it does
-  int unacknowledged = 0;            ///< answers after which it still did not show our token
+  int unacknowledged_responses = 0;  ///< answers after which it still did not show our token
   bool quarantined = false;
   double quarantined_since = 0;
   /// A job that works elsewhere failed there; otherwise several jobs did, which may be at fault.
-  bool surely_faulty = false;
-  bool removing = false;  ///< to be deleted; nothing is placed on it
+  bool fault_confirmed = false;
+  bool terminating = false;  ///< to be deleted; nothing is placed on it
   double idle_since = 0;
   std::set<std::string> failed_jobs;  ///< since something last worked there, but those at fault
   int unknown_tasks = 0;              ///< reported tasks without a placement, not yet exited
@@ -74,10 +74,10 @@
   wire::Resources allocated;
   std::vector<PlacementRef> tasks;
   /// Starts in doubt in the present session: what must not be forgotten there.
-  std::set<std::pair<wire::TaskName, std::uint64_t>> unconfirmed_starts;
+  std::set<std::pair<wire::TaskName, std::uint64_t>> indeterminate_starts;
 
   /// Since this leader began: a report alone may be a late copy of a machine that is gone.
-  bool confirmed() const { return token_acknowledged || rented_here; }
+  bool confirmed() const { return token_acknowledged || provisioned_here; }
   bool holds_image(const std::string& image) const;
   bool idle() const { return tasks.empty() && unknown_tasks == 0; }
 };
@@ -138,19 +138,19 @@
   /// What to tell a worker in the answer to this report. Starts only while `may_start`.
   std::vector<wire::Command> commands_for(const wire::Heartbeat& heartbeat, bool may_start,
                                           double now);
-  void note_answered(const std::string& machine, double now);
+  void record_response(const std::string& machine, double now);
 
   /// What a forwarder's hello proves: that it answers no worker in our stead before `quiet_until`,
-  /// save for what it did until `answered_alone_at` (below 0: never).
+  /// save for what it did until `delegate_responded_at` (below 0: never).
   void note_forwarder(const std::string& name, std::uint64_t run, double quiet_until,
-                      double answered_alone_at, double now);
+                      double delegate_responded_at, double now);
   /// The forwarder has heard us, and we it, just now.
   bool forwarder_heard(const std::string& name, double now) const;
   /// Something on it is to be stopped, or may still run though it is ended here.
   static bool stopping(const Machine& machine);
   /// The latest time at which a report of it may have been answered by us, in our stead, or by a
   /// former leader.
-  double maybe_answered(const Machine& machine, double now) const;
+  double latest_possible_response(const Machine& machine, double now) const;
 
   /// Ends the placements of machines whose lease has run out for certain; returns those machines.
   std::vector<std::string> expire_leases(double now);
@@ -217,7 +217,7 @@
   void space_out_retries(Job& job, double now);
   void clear_machines_of(const Job& job);
   static void note_works(Job& job);
-  void allow_silence(const std::string& zone, double until);
+  void extend_lease_grace(const std::string& zone, double until);
   void break_gang(Job& job, std::uint64_t attempt, double now);
   void record_image_use(Machine& machine, const wire::JobSpec& spec);
   void update_dependencies(Job& job);
@@ -239,7 +239,7 @@
   std::map<std::string, wire::MachineType> types_;
   struct HeartbeatForwarder {
     std::uint64_t run = 0;
-    double quiet_until = 0, answered_alone_at = 0;
+    double quiet_until = 0, delegate_responded_at = 0;
   };
   std::map<std::string, HeartbeatForwarder> forwarders_;
   std::map<std::string, double> unreachable_until_;
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -88,9 +88,10 @@
   double known_since = 0;
   double backoff_until = 0;
   int failures = 0;  ///< rounds of starts in a row that failed, on machines not known as faulty
-  int earlier_rounds = 0;           ///< under former leaders, by its attempts
-  std::set<std::string> failed_on;  ///< machines where a task of it failed, since it last worked
-  bool succeeded = false;           ///< a task of it completed somewhere
+  int earlier_rounds = 0;  ///< under former leaders, by its attempts
+  std::set<std::string>
+      failed_machines;     ///< machines where a task of it failed, since it last worked
+  bool succeeded = false;  ///< a task of it completed somewhere
   double cancelled_since = 0;
   bool guaranteed = false;  ///< as of the last placement pass
   /// All jobs that it needs are known to have been done; until then none of its tasks is placed or
@@ -102,7 +103,7 @@
   Urgency urgency;
 
   /// It fails wherever it is started: no machine is to blame for that.
-  bool at_fault() const { return failed_on.size() >= 2 && !succeeded; }
+  bool crash_looping() const { return failed_machines.size() >= 2 && !succeeded; }
   bool cancelled() const { return cancelled_at_ms != 0; }
   bool complete() const { return done.size() == spec.tasks; }
   std::size_t live() const;
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -70,12 +70,12 @@
     for (auto& [id, m] : cluster.machines()) {
       const auto* t = cluster.type(m.kind.type);
       if (t == nullptr) continue;
-      if (usable(cluster, m)) {
+      if (is_schedulable(cluster, m)) {
         const auto stopped = leaving.find(id);
         slots_.push_back({m.kind, t->resources - m.allocated, &m,
                           stopped == leaving.end() ? Resources{} : stopped->second, nullptr, t});
         slots_.back().has_reservations = cluster.reservations().any_on(id);
-      } else if (coming(cluster, m)) {
+      } else if (is_starting(cluster, m)) {
         booting_.push_back({m.kind, t->resources - m.allocated, nullptr, {}, nullptr, t});
       }
     }
@@ -320,7 +320,7 @@
 void Pass::note_hopeless(const Job& job, std::vector<const Job*>& failed) const {
   // Its failure must be for want of room alone, and not for room that others may use.
   if (held_back_) return;
-  if (job.spec.one_zone || job.spec.spread || job.failed_on.size() == 1) return;
+  if (job.spec.one_zone || job.spec.spread || job.failed_machines.size() == 1) return;
   constexpr std::size_t kMost = 16;  // sizes differ little
   if (failed.size() < kMost) failed.push_back(&job);
 }
@@ -335,7 +335,7 @@
     if (slot.reserved != nullptr && slot.reserved != &job) continue;
     if (!zone_allows(job, zones, slot.kind.zone)) continue;
     // Two machines that failed it speak against the job, one against the machine.
-    if (job.failed_on.size() == 1 && job.failed_on.contains(slot.machine->id)) continue;
+    if (job.failed_machines.size() == 1 && job.failed_machines.contains(slot.machine->id)) continue;
     const double c = cost(job, slot, zones);
     if (c < best_cost) best = &slot, best_cost = c;
   }
--- a/src/sched/scaler.cpp
+++ b/src/sched/scaler.cpp
@@ -86,12 +86,12 @@
   for (const auto& [name, type] : cluster.types()) sums[{name, false}], sums[{name, true}];
   for (const auto& [id, m] : cluster.machines()) {
     const auto* type = cluster.type(m.kind.type);
-    if (type == nullptr || m.failed || m.removing) continue;
+    if (type == nullptr || m.failed || m.terminating) continue;
     Sum& sum = sums[pool_of(m.kind)];
-    if (usable(cluster, m)) {
+    if (is_schedulable(cluster, m)) {
       ++sum.ready;
       sum.booked += largest_share(m.allocated, type->resources);
-    } else if (coming(cluster, m)) {
+    } else if (is_starting(cluster, m)) {
       ++sum.booting;
     }
     // An ordinary machine that holds nothing but work for spot ones could be given back.
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -251,7 +251,7 @@
     r.agent_epoch = *agent_epoch, r.sequence = *sequence, r.fencing_token = *fencing_token;
     if (const Json* notice = find(o, "WarningS")) {
       if (!notice->IsNumber()) return std::nullopt;
-      r.notice_s = notice->GetDouble();
+      r.preemption_notice_s = notice->GetDouble();
     }
     if (tasks == nullptr) return r;
     for (const auto& t : tasks->GetArray()) {
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -106,7 +106,7 @@
   std::string machine, address, type, zone;
   bool spot = false;
   std::uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
-  std::optional<double> notice_s;
+  std::optional<double> preemption_notice_s;
   std::vector<TaskStatus> tasks;
 };
 std::optional<Heartbeat> parse_heartbeat(std::string_view body);
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -67,7 +67,7 @@
   }
   void rent(const std::string& id, const std::string& zone) {
     auto& m = cluster.put_machine(id, {"g8", zone, false}, 0);
-    m.rented_here = m.listed = m.booting = true;
+    m.provisioned_here = m.listed = m.booting = true;
   }
   double ready_s() const { return cluster.type("g8")->ready_s; }
   int wanted(double now) {
@@ -84,7 +84,7 @@
   EXPECT_EQ(fleet.wanted(1.5 * fleet.ready_s()), 0);
   EXPECT_EQ(fleet.wanted(2.1 * fleet.ready_s()), 1);
   fleet.rent("n-10", "b");
-  fleet.cluster.machine("n-10")->rented_at = 2.1 * fleet.ready_s();
+  fleet.cluster.machine("n-10")->provisioned_at = 2.1 * fleet.ready_s();
   EXPECT_EQ(fleet.wanted(2.2 * fleet.ready_s()), 0);
   // The late one comes after all, and is used.
   const double late = 2.3 * fleet.ready_s();
@@ -99,8 +99,8 @@
 TEST(BootTimes, MachinesThatRunAlreadyAreNotOverdue) {
   Rented fleet;
   auto& machine = *fleet.cluster.machine("n-9");
-  machine.rented_here = machine.booting = false;
-  machine.rented_at = -20 * fleet.ready_s();
+  machine.provisioned_here = machine.booting = false;
+  machine.provisioned_at = -20 * fleet.ready_s();
   EXPECT_EQ(fleet.wanted(1), 0);
   EXPECT_FALSE(machine.overdue);
   EXPECT_EQ(fleet.cluster.boot_penalty(*fleet.cluster.type("g8"), "a", 1), 1);
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -77,7 +77,7 @@
 
 TEST(ClusterState, ATaskWhoseStartIsInDoubtIsNeverForgotten) {
   Placed s;
-  s.cluster.machine("n-1")->unconfirmed_starts.insert({{"j-000001", 0}, 1});
+  s.cluster.machine("n-1")->indeterminate_starts.insert({{"j-000001", 0}, 1});
   const auto exited =
       heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
   s.checkin(exited);
@@ -106,7 +106,7 @@
     const auto r = heartbeat("n-1", 1, sequence);
     s.checkin(r, static_cast<double>(sequence));
     s.cluster.commands_for(r, true, static_cast<double>(sequence));
-    s.cluster.note_answered("n-1", static_cast<double>(sequence));
+    s.cluster.record_response("n-1", static_cast<double>(sequence));
   };
   says_nothing_of_it(2);
   says_nothing_of_it(3);  // one answer may be lost
@@ -124,7 +124,7 @@
   s.add(make_job("j-000001", wire::JobKind::service, 1, 4));
   for (std::uint64_t sequence = 2; sequence <= 4; ++sequence) {
     s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, sequence, {}, kFencingToken - 1), true, 2);
-    s.cluster.note_answered("n-1", 2);
+    s.cluster.record_response("n-1", 2);
   }
   EXPECT_EQ(s.pass(3).placed, 0);
 }
@@ -145,7 +145,7 @@
 // answer, which was settled before our leadership began; only then does its silence tell.
 TEST(ClusterState, ALeaseIsTimedFromOurTokenOrFromAFormerLeadersLastAnswer) {
   Placed s;
-  s.cluster.note_answered("n-1", 5);
+  s.cluster.record_response("n-1", 5);
   EXPECT_TRUE(s.cluster.expire_leases(15).empty());
   EXPECT_FALSE(s.placement().ended);
   EXPECT_EQ(s.cluster.expire_leases(16).size(), 1u);
@@ -153,7 +153,7 @@
 
   Placed other;
   other.cluster.machine("n-1")->token_acknowledged = false;
-  const double last = base::answer_span(other.settings);  // our leadership began at 0
+  const double last = base::response_span(other.settings);  // our leadership began at 0
   EXPECT_TRUE(other.cluster.expire_leases(last + other.settings.lease_s).empty());
   EXPECT_FALSE(other.placement().ended);
   EXPECT_EQ(other.cluster.expire_leases(last + other.settings.lease_s + 1).size(), 1u);
@@ -169,7 +169,7 @@
   job.placements.push_back(p);
   Job& stored = s.add(job);
   s.cluster.put_machine("n-1", {"g8", "b", false}, 1);  // the list names it
-  const double over = base::answer_span(s.settings) + s.settings.lease_s;
+  const double over = base::response_span(s.settings) + s.settings.lease_s;
   EXPECT_TRUE(s.cluster.expire_leases(over).empty());
   EXPECT_EQ(s.cluster.expire_leases(over + 1).size(), 1u);
   EXPECT_TRUE(stored.placements[0].ended);
@@ -185,7 +185,7 @@
   Placed s;
   Machine& m = *s.cluster.machine("n-1");
   m.token_acknowledged = false;
-  m.last_answered = 0;
+  m.last_response = 0;
   s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 9), false, 100);
   EXPECT_TRUE(s.cluster.expire_leases(105).empty());
   EXPECT_EQ(s.cluster.expire_leases(111).size(), 1u);
@@ -325,7 +325,7 @@
   for (std::uint64_t sequence = 3; sequence < 6; ++sequence) {
     fail_all(s, {"j-000002"}, sequence, 10 * static_cast<double>(sequence));
   }
-  EXPECT_TRUE(s.cluster.job("j-000002")->at_fault());
+  EXPECT_TRUE(s.cluster.job("j-000002")->crash_looping());
   EXPECT_TRUE(s.cluster.machine("n-1")->quarantined);
   EXPECT_FALSE(s.cluster.machine("n-2")->quarantined);
 }
@@ -353,7 +353,7 @@
                 {task("j-000001", p.task, p.attempt, TaskState::exited, ExitReason::completed)}),
       true, 11);
   EXPECT_EQ(job.failures, 0);
-  EXPECT_TRUE(job.failed_on.empty());
+  EXPECT_TRUE(job.failed_machines.empty());
 }
 
 // A new leader finds in the record that its tasks were started again and again for nothing.
@@ -391,7 +391,7 @@
   s.add(make_job("j-000001", wire::JobKind::service, 1, 8));
   ASSERT_EQ(s.pass().placed, 1);
   Machine& m = *s.cluster.machine("n-1");
-  m.kept_until["n1"] = 25;
+  m.delegated_until["n1"] = 25;
   EXPECT_TRUE(s.cluster.expire_leases(12).empty());  // last answered at 0, the lease is 10
   EXPECT_TRUE(s.cluster.expire_leases(35).empty());  // it may have answered until 25
   EXPECT_EQ(s.cluster.expire_leases(36).size(), 1u);
@@ -400,7 +400,7 @@
 TEST(ClusterState, ADeputyThatIsHeardProvesThatItAnsweredNobody) {
   Fleet s;
   Machine& m = *s.cluster.machine("n-1");
-  m.kept_until["n1"] = 25;
+  m.delegated_until["n1"] = 25;
   s.cluster.note_forwarder("n1", 1, 3, -1, 2);  // the first: what it did before is not known
   s.cluster.note_forwarder("n1", 1, 13, -1, 12);
   EXPECT_TRUE(s.cluster.expire_leases(12.2).empty());  // perhaps answered at 2
@@ -412,7 +412,7 @@
 TEST(ClusterState, ADeputysOtherRunMayHaveAnsweredUntilItEnded) {
   Fleet s;
   Machine& m = *s.cluster.machine("n-1");
-  m.kept_until["n1"] = 25;
+  m.delegated_until["n1"] = 25;
   s.cluster.note_forwarder("n1", 1, 3, -1, 2);
   s.cluster.note_forwarder("n1", 2, 15, -1, 14);
   EXPECT_TRUE(s.cluster.expire_leases(14.5).empty());
@@ -425,11 +425,11 @@
   EXPECT_TRUE(s.cluster.watch_zones(5).empty());  // nobody is heard: it is us who are cut off
   s.cluster.reconcile_heartbeat(heartbeat("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
   EXPECT_EQ(s.cluster.watch_zones(5), std::vector<std::string>{"a"});
-  EXPECT_FALSE(usable(s.cluster, *s.cluster.machine("n-1")));
-  EXPECT_TRUE(usable(s.cluster, *s.cluster.machine("n-4")));
+  EXPECT_FALSE(is_schedulable(s.cluster, *s.cluster.machine("n-1")));
+  EXPECT_TRUE(is_schedulable(s.cluster, *s.cluster.machine("n-4")));
   s.cluster.reconcile_heartbeat(heartbeat("n-2", 1, 2), true, 6);
   EXPECT_TRUE(s.cluster.watch_zones(6).empty());
-  EXPECT_TRUE(usable(s.cluster, *s.cluster.machine("n-1")));
+  EXPECT_TRUE(is_schedulable(s.cluster, *s.cluster.machine("n-1")));
 }
 
 // Guards against beginning to boot only when the leases are over, and against renting what can't be
@@ -525,10 +525,10 @@
       true, 1);
   EXPECT_EQ(job.live(), 2U);
   EXPECT_TRUE(job.done.contains(1));  // what is done stays done
-  EXPECT_FALSE(usable(s.cluster, *s.cluster.machine("n-7")));
-  EXPECT_TRUE(coming(s.cluster, *s.cluster.machine("n-7")));
+  EXPECT_FALSE(is_schedulable(s.cluster, *s.cluster.machine("n-7")));
+  EXPECT_TRUE(is_starting(s.cluster, *s.cluster.machine("n-7")));
   s.cluster.reconcile_heartbeat(heartbeat("n-7", 2, 1), true, 2);
-  EXPECT_TRUE(usable(s.cluster, *s.cluster.machine("n-7")));
+  EXPECT_TRUE(is_schedulable(s.cluster, *s.cluster.machine("n-7")));
   EXPECT_EQ(job.live(), 2U);  // nothing was told to this session yet
 }
 
@@ -538,7 +538,7 @@
   Placed s;
   s.checkin(heartbeat("n-1", 1, 2));
   s.placement().unconfirmed_start_epoch = 1;
-  s.cluster.machine("n-1")->unconfirmed_starts.insert({{"j-000001", 0}, s.placement().attempt});
+  s.cluster.machine("n-1")->indeterminate_starts.insert({{"j-000001", 0}, s.placement().attempt});
   ClusterState::request_stop(s.placement(), 5, 3);
   s.checkin(heartbeat("n-1", 1, 3), 3);
   EXPECT_FALSE(s.placement().ended);  // it may still come
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -86,7 +86,7 @@
     cluster.set_types({machine_type()});
     for (const auto& [id, zone] : machines) {
       cluster.reconcile_heartbeat(heartbeat(id, 1, 1, {}, kFencingToken, zone), true, 0);
-      cluster.note_answered(id, 0);
+      cluster.record_response(id, 0);
     }
   }
   sched::Job& add(sched::Job job) { return cluster.put_job(std::move(job), 0); }
--- a/tests/moves_cluster_test.cpp
+++ b/tests/moves_cluster_test.cpp
@@ -250,7 +250,7 @@
       worker.cannot_send = on;
       break;
     case Trouble::notice:
-      if (on) worker.notice_s = 30;
+      if (on) worker.preemption_notice_s = 30;
       break;
   }
 }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -214,7 +214,7 @@
 
 TEST(Placement, MachinesUnderNoticeOrFaultyTakeNothingNew) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}});
-  s.cluster.machine("n-1")->taken_at = 30;
+  s.cluster.machine("n-1")->reclaim_at = 30;
   s.cluster.machine("n-2")->quarantined = true;
   s.cluster.machine("n-3")->unknown_tasks = 1;
   s.add(make_job("j-000001", JobKind::service, 1, 1));
@@ -231,7 +231,7 @@
     s.cluster.reconcile_heartbeat(r, true, 0);
   }
   const auto taken = [&](double now) {
-    return surely_taken(s.cluster, *s.cluster.machine("n-1"), count_workers(s.cluster, now), now);
+    return is_reclaimed(s.cluster, *s.cluster.machine("n-1"), count_workers(s.cluster, now), now);
   };
   EXPECT_FALSE(taken(5));  // the others are quiet too
   for (const char* id : {"n-2", "n-3"}) {
@@ -249,13 +249,13 @@
   Fleet s({});
   auto r = heartbeat("n-1", 1, 1);
   r.spot = true;
-  r.notice_s = 10;
+  r.preemption_notice_s = 10;
   s.cluster.reconcile_heartbeat(r, true, 0);
   r.sequence = 2;
-  r.notice_s = 1;
+  r.preemption_notice_s = 1;
   s.cluster.reconcile_heartbeat(r, true, 9);
   const auto taken = [&](double now) {
-    return surely_taken(s.cluster, *s.cluster.machine("n-1"), count_workers(s.cluster, now), now);
+    return is_reclaimed(s.cluster, *s.cluster.machine("n-1"), count_workers(s.cluster, now), now);
   };
   EXPECT_FALSE(taken(10.1));
   EXPECT_TRUE(taken(10.6));
--- a/tests/report_forwarder_test.cpp
+++ b/tests/report_forwarder_test.cpp
@@ -31,13 +31,12 @@
     forwarder.heard(hello);
   }
   /// The status, once the worker's patience is nearly over at the latest.
-  int forward(std::uint64_t fencing_token = 7, int answer_alone_ms = -1) {
+  int forward(std::uint64_t fencing_token = 7, int delegation_ms = -1) {
     auto task = forwarder.forward(heartbeat("n-1", 1, 1, {}, fencing_token), "{}",
                                   [this] { return state_heard; });
     task.start();
-    if (answer_alone_ms >= 0 && !task.done()) {
-      forwarder.answered(
-          {sent.back().id, 200, 7, static_cast<std::uint32_t>(answer_alone_ms), "{}"});
+    if (delegation_ms >= 0 && !task.done()) {
+      forwarder.answered({sent.back().id, 200, 7, static_cast<std::uint32_t>(delegation_ms), "{}"});
     }
     for (int i = 0; i < 40 && !task.done(); ++i) reactor.run_until(reactor.now() + 0.1);
     EXPECT_TRUE(task.done());
@@ -46,7 +45,7 @@
   bool answered_alone() const {
     peer::Hello hello;
     forwarder.describe(hello);
-    return hello.answered_alone_ms != peer::kNever;
+    return hello.delegate_responded_ms != peer::kNever;
   }
 };
 
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -137,7 +137,7 @@
   EXPECT_FALSE(is_placed([](Held& held) { held.moved.spec.zone = "b"; }));
   EXPECT_FALSE(is_placed([](Held& held) { held.moved.spec.types = {"other"}; }));
   EXPECT_FALSE(is_placed([](Held& held) { held.fleet.settings.teams[0].gpus_max = 2; }));
-  EXPECT_FALSE(is_placed([](Held& held) { held.fleet.cluster.machine("n-2")->taken_at = 5; }));
+  EXPECT_FALSE(is_placed([](Held& held) { held.fleet.cluster.machine("n-2")->reclaim_at = 5; }));
   EXPECT_FALSE(is_placed([](Held& held) { held.moved.backoff_until = 5; }));
   EXPECT_FALSE(is_placed([](Held& held) { held.fleet.cluster.cancel(held.moved, 1, 1); }));
 }
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -231,7 +231,8 @@
     cluster.add_user(batch);
   }
   cluster.run(8);
-  cluster.workers.at("n-1")->notice_s = cluster.workers.at("n-2")->notice_s = 10;
+  cluster.workers.at("n-1")->preemption_notice_s = cluster.workers.at("n-2")->preemption_notice_s =
+      10;
   cluster.run(9 + 0.5 * seed);
   for (const char* taken : {"n-1", "n-2", "n-3"}) {
     auto& worker = *cluster.workers.at(taken);
--- a/tests/two_troubles_test.cpp
+++ b/tests/two_troubles_test.cpp
@@ -116,20 +116,20 @@
 TEST(TwoTroubles, NoLeaseThatMayStillBeProlongedOutlastsACancellation) {
   for (const auto& s : {long_reports(), long_cancels(), figures(5, 29, 49), figures(4, 22, 52)}) {
     control::LeaderLease lease(s, 7, 100);
-    EXPECT_FALSE(lease.may_answer(101));  // leading alone is not knowledge
+    EXPECT_FALSE(lease.may_respond(101));  // leading alone is not knowledge
     lease.caught_up(90);
     // A cancellation may have been confirmed from 90 on. A report that is answered at the last
     // moment was sent no later, and its lease is counted from there.
-    const double last_answer = lease.answer_until() * (1 + 2 * base::kClockDrift);
+    const double last_answer = lease.may_respond_until() * (1 + 2 * base::kClockDrift);
     EXPECT_LT(last_answer + s.lease_s * (1 + 2 * base::kClockDrift), 90 + s.cancel_s);
-    EXPECT_FALSE(lease.may_answer(lease.answer_until()));
+    EXPECT_FALSE(lease.may_respond(lease.may_respond_until()));
     EXPECT_FALSE(lease.may_start(90 + control::LeaderLease::lease_life(s)));
     EXPECT_TRUE(lease.valid(101));
     lease.caught_up(100.5);
     EXPECT_TRUE(lease.may_start(101));
     lease.fell_behind();
     EXPECT_FALSE(lease.may_start(101));  // others may be cancelling
-    EXPECT_TRUE(lease.may_answer(101));
+    EXPECT_TRUE(lease.may_respond(101));
     lease.caught_up(95);  // an answer that comes after a later one proves no less
     EXPECT_TRUE(lease.may_start(101));
   }
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -177,7 +177,7 @@
   hello.reaches_state = true;
   hello.run = 2;
   hello.sent_ms = 3;
-  hello.answered_alone_ms = 7;
+  hello.delegate_responded_ms = 7;
   std::string expected("\x00\x31\x02\x01", 4);
   expected += std::string("\x02n0", 3) + std::string("\0\0\0\0\0\0\0\x05", 8);
   expected += std::string("\x01\x00", 2) + std::string("\0\0\0\0\0\0\0\x02", 8);
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -167,7 +167,7 @@
   EXPECT_EQ(heartbeat->agent_epoch, 11U);
   EXPECT_EQ(heartbeat->sequence, 12U);
   EXPECT_EQ(heartbeat->fencing_token, 13U);
-  EXPECT_EQ(heartbeat->notice_s, 29.5);
+  EXPECT_EQ(heartbeat->preemption_notice_s, 29.5);
   ASSERT_EQ(heartbeat->tasks.size(), 1U);
   EXPECT_EQ(heartbeat->tasks[0].task, (wire::TaskName{"j-000412", 3}));
   EXPECT_EQ(heartbeat->tasks[0].attempt, 14U);
@@ -182,7 +182,7 @@
       R"("KeyTurn":0})");
   ASSERT_TRUE(heartbeat);
   EXPECT_FALSE(heartbeat->spot);
-  EXPECT_FALSE(heartbeat->notice_s);
+  EXPECT_FALSE(heartbeat->preemption_notice_s);
   EXPECT_TRUE(heartbeat->tasks.empty());
 }
 
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -92,7 +92,7 @@
   j.begin().key("Rig").text(id).key("Address").text(address).key("Frame").text(kind.type);
   j.key("Yard").text(kind.zone).key("Loaners").flag(kind.spot).key("Shift").count(agent_epoch);
   j.key("Tick").count(++sequence).key("KeyTurn").count(fencing_token);
-  if (notice_s) j.key("WarningS").amount(*notice_s);
+  if (preemption_notice_s) j.key("WarningS").amount(*preemption_notice_s);
   j.key("Teeth").list();
   for (const auto& [name, t] : tasks) {
     j.begin().key("Tooth").text(name).key("Crank").count(t.attempt);
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -49,7 +49,7 @@
   double answered_sent = 0;  ///< sending of the last report that was answered
   double began = 0;
   std::map<std::string, Task> tasks;
-  std::optional<double> notice_s;  ///< until the cloud takes it, as its reports say
+  std::optional<double> preemption_notice_s;  ///< until the cloud takes it, as its reports say
 
   /// Lets time pass: images arrive, tasks begin and complete. True when something has changed.
   bool progress(Surroundings& surroundings, double now);
