--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -35,7 +35,7 @@
 }
 
 bool stop_due(const Job& job, const sched::Placement& p, Allowed allowed) {
-  return ((p.stop && !p.stop_before && allowed.stop) || job.cancelled()) && p.seen && !p.ended &&
+  return ((p.stop && !p.drain_deadline && allowed.stop) || job.cancelled()) && p.seen && !p.ended &&
          !p.stop_sent;
 }
 }  // namespace
--- a/src/control/job_follower.cpp
+++ b/src/control/job_follower.cpp
@@ -72,7 +72,7 @@
 
 void JobFollower::put(Job job) {
   if (job.cancelled()) job.cancelled_since = cancelled_since(job.cancelled_at_ms);
-  cluster_.put_job(std::move(job), now());
+  cluster_.upsert_job(std::move(job), now());
 }
 
 // ---- changes ----
@@ -147,7 +147,7 @@
   const Job* known = cluster_.job(id);
   if (known != nullptr && item.revision <= known->revision) return;
   if (item.data.empty()) {
-    if (known != nullptr) cluster_.drop_job(id);
+    if (known != nullptr) cluster_.remove_job(id);
     return;
   }
   int parts = 0;
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -48,7 +48,7 @@
   const double at = now();
   for (const auto& item : machines) {
     if (is_deleted(item.id)) continue;
-    auto& m = cluster_.put_machine(item.id, {item.type, item.zone, item.spot}, at);
+    auto& m = cluster_.upsert_machine(item.id, {item.type, item.zone, item.spot}, at);
     m.listed = true;
     m.last_listed = at;
     m.provisioned_at = std::min(m.provisioned_at, at - item.age_s);
@@ -184,7 +184,7 @@
   // Its deletion proves what its lease would prove only later: its work starts elsewhere the
   // sooner.
   if (sched::is_reclaimed(cluster_, m, zones, at)) return retire(m, "it is taken");
-  const bool tried = m.fault_confirmed || at - m.quarantined_since > cluster_.quarantine_trial();
+  const bool tried = m.fault_confirmed || at - m.quarantined_since > cluster_.quarantine_period();
   if (m.quarantined && m.idle() && tried) return retire(m, "it fails what it starts");
   if (!m.reclaim_at) return;
   // Its work moves while it still runs: what saves is told to save.
@@ -203,7 +203,7 @@
     co_await pause;
     const double at = now();
     report_expired_leases(at);
-    cluster_.watch_boots(at);
+    cluster_.update_overdue_boots(at);
     const auto zones = sched::count_workers(cluster_, at);
     for (auto& [id, m] : cluster_.machines()) {
       if (!m.terminating) check_machine(m, zones, at);
@@ -217,7 +217,7 @@
     spdlog::info("machine {} is silent, its lease is over", id);
     work_.set();
   }
-  for (const auto& zone : cluster_.watch_zones(at)) {
+  for (const auto& zone : cluster_.update_zone_reachability(at)) {
     spdlog::info("zone {} is unreachable: none of its workers is heard", zone);
     work_.set();
   }
@@ -240,7 +240,7 @@
     }
   }
   for (const auto& name : unknown) {
-    retire(cluster_.put_machine(name, {}, at), "nothing is known of it");
+    retire(cluster_.upsert_machine(name, {}, at), "nothing is known of it");
   }
 }
 
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -145,7 +145,7 @@
     using Kind = cloud::RentResult::Kind;
     if (result.kind == Kind::rented) {
       for (const auto& id : result.machines) {
-        if (!term_.is_deleted(id)) cluster_.put_machine(id, kind, now()).provisioned_here = true;
+        if (!term_.is_deleted(id)) cluster_.upsert_machine(id, kind, now()).provisioned_here = true;
       }
       if (static_cast<int>(result.machines.size()) < count) {
         refused_until_[kind] = now() + figures.up_cooldown_s;
--- a/src/control/record.cpp
+++ b/src/control/record.cpp
@@ -60,7 +60,7 @@
     done.push_back("[" + std::to_string(from) + "," + std::to_string(to) + "]");
   }
   for (const auto& p : job.placements) {
-    if (p.ended || p.dropped) continue;
+    if (p.ended || p.abandoned) continue;
     placements.push_back("[" + std::to_string(p.task) + "," + std::to_string(p.attempt) + ",\"" +
                          p.machine + "\"]");
   }
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -68,7 +68,7 @@
     auto reading = store_.read(job_key(id), kStoreTimeout);
     const auto found = co_await reading;
     if (found.status == Status::failed) {
-      cluster_.drop_job(id);
+      cluster_.remove_job(id);
       co_return true;
     }
     if (found.status != Status::ok) co_return false;
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -35,7 +35,7 @@
     int parts;
     JobOutcome outcome;                   ///< of one that is retired
     std::vector<std::string> left_parts;  ///< of one that is retired, for which there was no room
-    std::vector<std::pair<std::uint32_t, std::uint64_t>> live, ended, dropped;
+    std::vector<std::pair<std::uint32_t, std::uint64_t>> live, ended, abandoned;
   };
   std::vector<wire::Compare> compares;
   std::vector<wire::Mutation> mutations;
@@ -109,7 +109,7 @@
     return;
   }
   for (const auto& p : job.placements) {
-    auto& list = p.ended ? entry.ended : p.dropped ? entry.dropped : entry.live;
+    auto& list = p.ended ? entry.ended : p.abandoned ? entry.abandoned : entry.live;
     list.emplace_back(p.task, p.attempt);
   }
   batch.bytes += bytes;
@@ -248,16 +248,16 @@
       auto* p = job->find(task, attempt);
       if (p == nullptr) continue;
       p->durable = true;
-      if (p->write_unresolved && p->dropped) {  // since it was sent
-        cluster_.resolve_dropped(*job, *p, now());
+      if (p->write_unresolved && p->abandoned) {  // since it was sent
+        cluster_.resolve_abandoned(*job, *p, now());
         job->dirty = true;
       }
       p->write_unresolved = false;
     }
-    for (const auto& which : entry.dropped) {
+    for (const auto& which : entry.abandoned) {
       auto* p = job->find(which.first, which.second);
       if (p == nullptr) continue;
-      cluster_.resolve_dropped(*job, *p, now());
+      cluster_.resolve_abandoned(*job, *p, now());
       entry.ended.push_back(which);
     }
     cluster_.forget_ended(*job, entry.ended);
@@ -279,7 +279,7 @@
     known.at_ms = job.cancelled_at_ms;
     known.since = job.cancelled_since;
   }
-  cluster_.drop_job(id);
+  cluster_.remove_job(id);
   cluster_.record_outcome(id, known);
 }
 
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -222,20 +222,20 @@
 void Term::heard(const peer::Hello& hello) {
   const bool ours = hello.echoed_fencing_token == leader_lease_.fencing_token();
   const double never = -1;
-  cluster_.note_forwarder(hello.name, hello.run,
-                          ours ? static_cast<double>(hello.echo_ms) / 1000 +
-                                     HeartbeatForwarder::patience(services_.settings) * 0.98
-                               : 0,
-                          hello.delegate_responded_ms == peer::kNever
-                              ? never
-                              : now() - hello.delegate_responded_ms / 1000.0,
-                          now());
+  cluster_.record_forwarder(hello.name, hello.run,
+                            ours ? static_cast<double>(hello.echo_ms) / 1000 +
+                                       HeartbeatForwarder::patience(services_.settings) * 0.98
+                                 : 0,
+                            hello.delegate_responded_ms == peer::kNever
+                                ? never
+                                : now() - hello.delegate_responded_ms / 1000.0,
+                            now());
 }
 
 bool Term::may_redirect(const std::string& id, const std::string& forwarder) {
   Machine* m = cluster_.machine(id);
   const double at = now();
-  if (m == nullptr || !m->token_acknowledged || !cluster_.forwarder_heard(forwarder, at))
+  if (m == nullptr || !m->token_acknowledged || !cluster_.is_forwarder_reachable(forwarder, at))
     return false;
   // Once in a while only: a worker that comes back has found its forwarder wanting.
   if (m->redirected_at > 0 && at - m->redirected_at < 2 * services_.settings.lease_s) return false;
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -309,7 +309,7 @@
     const bool drained = moves_replica(moves[i]) && progress_[i].drain_asked > 0;
     auto* placement = source_placement(moves[i]);
     if (drained && placement != nullptr) {
-      ClusterState::take_back_drained_stop(*placement);
+      ClusterState::revoke_drained_stop(*placement);
       const auto* machine = cluster_.machine(moves[i].source);
       take_back_.push_back({moves[i].task, moves[i].attempt, moves[i].source,
                             machine != nullptr ? machine->address : "", 0, 0});
@@ -357,7 +357,7 @@
   if (move.step != MoveStep::stopping) return drop(DropReason::drain_refused, now);
   progress_[index].drained_until = 0;
   progress_[index].refused_at = now;
-  if (auto* placement = source_placement(move)) ClusterState::take_back_drained_stop(*placement);
+  if (auto* placement = source_placement(move)) ClusterState::revoke_drained_stop(*placement);
 }
 
 bool MoveExecutor::is_refused_for_good(double now) const {
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -23,7 +23,7 @@
          std::find(spec.types.begin(), spec.types.end(), kind.type) != spec.types.end();
 }
 
-double ClusterState::lease_bound() const {
+double ClusterState::lease_upper_bound() const {
   // Both clocks may be off, in opposite directions; a report interval covers the time between our
   // stamping an answer and its leaving.
   return settings_.lease_s * (1 + 4 * base::kClockDrift) + settings_.heartbeat_interval_s / 4;
@@ -84,7 +84,7 @@
   Machine* m = machine(placement.machine);
   // A record may name a machine that neither list nor report has shown yet.
   if (m == nullptr) {
-    unseen_[placement.machine].push_back(held);
+    unattached_[placement.machine].push_back(held);
     return;
   }
   m->allocated += job.spec.resources;
@@ -96,10 +96,10 @@
   const PlacementRef held{&job, placement.task, placement.attempt};
   Machine* m = machine(placement.machine);
   if (m == nullptr) {
-    const auto unseen = unseen_.find(placement.machine);
-    if (unseen == unseen_.end()) return;
+    const auto unseen = unattached_.find(placement.machine);
+    if (unseen == unattached_.end()) return;
     std::erase(unseen->second, held);
-    if (unseen->second.empty()) unseen_.erase(unseen);
+    if (unseen->second.empty()) unattached_.erase(unseen);
     return;
   }
   const auto it = std::find(m->tasks.begin(), m->tasks.end(), held);
@@ -114,7 +114,7 @@
 
 // Guards against a job with a mistake that every change of leader starts anew at full pace. The
 // record tells how often its tasks were started, and that none of them has come to anything.
-void ClusterState::note_earlier_rounds(Job& job, double now) const {
+void ClusterState::restore_earlier_failures(Job& job, double now) const {
   constexpr std::uint64_t kMostRounds = 5;
   const bool shares_attempt = job.spec.kind == wire::JobKind::gang;
   const auto rounds = shares_attempt ? job.last_attempt : job.last_attempt / job.spec.tasks;
@@ -123,7 +123,7 @@
   job.backoff_until = now + settings_.heartbeat_interval_s * job.earlier_rounds;
 }
 
-Job& ClusterState::put_job(Job job, double now) {
+Job& ClusterState::upsert_job(Job job, double now) {
   changed_ = true;
   const auto id = job.spec.id;
   if (Job* old = this->job(id)) {
@@ -152,8 +152,8 @@
       p = *known;
       p.durable = true;
       // What was dropped before it was stored has never been started.
-      p.ended = p.ended || p.dropped;
-      p.write_unresolved = p.dropped = false;
+      p.ended = p.ended || p.abandoned;
+      p.write_unresolved = p.abandoned = false;
       job.dirty = job.dirty || p.ended;
     }
     for (const auto& p : old->placements) {
@@ -162,7 +162,7 @@
     jobs_.erase(id);
   } else {
     job.known_since = now;
-    note_earlier_rounds(job, now);
+    restore_earlier_failures(job, now);
   }
   if (job.cancelled() && job.cancelled_since == 0) job.cancelled_since = now;
   job.sort_placements();
@@ -237,7 +237,7 @@
   cancel_dependents(job);
 }
 
-void ClusterState::drop_job(const std::string& id) {
+void ClusterState::remove_job(const std::string& id) {
   Job* j = job(id);
   if (j == nullptr) return;
   for (const auto& p : j->placements) {
@@ -268,16 +268,16 @@
   job.dirty = true;
   changed_ = true;
   if (placement.write_unresolved) {
-    placement.dropped = true;
+    placement.abandoned = true;
     return;
   }
   placement.ended = true;
   detach(job, placement, now);
 }
 
-void ClusterState::resolve_dropped(Job& job, Placement& placement, double now) {
+void ClusterState::resolve_abandoned(Job& job, Placement& placement, double now) {
   const bool dirty = job.dirty;
-  placement.write_unresolved = placement.dropped = false;
+  placement.write_unresolved = placement.abandoned = false;
   end_placement(job, placement, now);
   job.dirty = dirty;
 }
@@ -286,19 +286,19 @@
   if (placement.ended || placement.stop) return;
   placement.stop = true;
   placement.grace_s = grace_s;
-  placement.stop_since = now;
+  placement.stop_requested_at = now;
 }
 
 void ClusterState::request_drained_stop(Placement& placement, double before, double now) {
-  if (placement.ended || (placement.stop && !placement.stop_before)) return;
+  if (placement.ended || (placement.stop && !placement.drain_deadline)) return;
   request_stop(placement, 0, now);
-  placement.stop_before = before;
+  placement.drain_deadline = before;
 }
 
-void ClusterState::take_back_drained_stop(Placement& placement) {
-  if (!placement.stop_before) return;
+void ClusterState::revoke_drained_stop(Placement& placement) {
+  if (!placement.drain_deadline) return;
   placement.stop = false;
-  placement.stop_before.reset();
+  placement.drain_deadline.reset();
 }
 
 void ClusterState::forget_ended(Job& job,
@@ -309,27 +309,27 @@
   });
 }
 
-Machine& ClusterState::put_machine(const std::string& id, const MachineKind& kind, double now) {
+Machine& ClusterState::upsert_machine(const std::string& id, const MachineKind& kind, double now) {
   if (Machine* known = machine(id)) return *known;
   Machine m;
   m.id = id;
   m.kind = kind;
   m.known_since = m.idle_since = m.provisioned_at = m.last_listed = now;
   Machine& put = machines_.emplace(id, std::move(m)).first->second;
-  if (const auto unseen = unseen_.find(id); unseen != unseen_.end()) {
+  if (const auto unseen = unattached_.find(id); unseen != unattached_.end()) {
     put.tasks = std::move(unseen->second);
-    unseen_.erase(unseen);
+    unattached_.erase(unseen);
     for (const auto& held : put.tasks) put.allocated += held.job->spec.resources;
   }
   changed_ = true;
   return put;
 }
 
-void ClusterState::end_all(Machine& m, double now) {
+void ClusterState::end_all_placements(Machine& m, double now) {
   const auto tasks = m.tasks;  // ending a placement changes the list
   for (const auto& held : tasks) {
     end_placement(*held.job, held.placement(), now);
-    break_gang(*held.job, held.attempt, now);
+    stop_gang(*held.job, held.attempt, now);
   }
 }
 
@@ -337,11 +337,11 @@
   changed_ = true;
   Machine* m = machine(id);
   if (m == nullptr) return;
-  end_all(*m, now);
+  end_all_placements(*m, now);
   machines_.erase(id);
 }
 
-void ClusterState::break_gang(Job& job, std::uint64_t attempt, double now) {
+void ClusterState::stop_gang(Job& job, std::uint64_t attempt, double now) {
   if (job.spec.kind != wire::JobKind::gang) return;
   for (auto& p : job.placements) {
     if (p.attempt == attempt && !p.ended) request_stop(p, 0, now);
@@ -366,7 +366,7 @@
   job.failed_machines.insert(machine.id);
   machine.fault_confirmed = machine.fault_confirmed || job.succeeded;
   if (job.crash_looping()) {
-    clear_machines_of(job);
+    clear_suspicion(job);
   } else {
     machine.failed_jobs.insert(job.spec.id);
   }
@@ -374,11 +374,11 @@
     machine.quarantined = true;
     machine.quarantined_since = now;
   }
-  if (job.failed_machines.size() >= 2) space_out_retries(job, now);
+  if (job.failed_machines.size() >= 2) back_off_retries(job, now);
 }
 
 // Guards against sound machines that are given back because two jobs with a mistake met there.
-void ClusterState::clear_machines_of(const Job& job) {
+void ClusterState::clear_suspicion(const Job& job) {
   for (const auto& id : job.failed_machines) {
     Machine* m = machine(id);
     if (m == nullptr) continue;
@@ -391,7 +391,7 @@
 }
 
 // Counts rounds, not tasks: hundreds that were started together fail together.
-void ClusterState::space_out_retries(Job& job, double now) {
+void ClusterState::back_off_retries(Job& job, double now) {
   constexpr int kMostRounds = 5;
   if (now < job.backoff_until) return;
   ++job.failures;
@@ -399,7 +399,7 @@
   job.backoff_until = now + settings_.heartbeat_interval_s * (1 << rounds);
 }
 
-void ClusterState::note_works(Job& job) {
+void ClusterState::clear_failures(Job& job) {
   job.failures = job.earlier_rounds = 0;
   job.failed_machines.clear();
 }
@@ -413,7 +413,7 @@
     case ExitReason::completed:
       job.done.add(placement.task);
       job.succeeded = true;
-      note_works(job);
+      clear_failures(job);
       m.failed_jobs.clear();
       break;
     case ExitReason::error:
@@ -428,12 +428,12 @@
       break;
   }
   end_placement(job, placement, now);
-  if (t.exit_reason != ExitReason::completed) break_gang(job, attempt, now);
+  if (t.exit_reason != ExitReason::completed) stop_gang(job, attempt, now);
 }
 
 ClusterState::Freshness ClusterState::reconcile_heartbeat(const wire::Heartbeat& r,
                                                           bool is_heartbeat, double now) {
-  Machine& m = put_machine(r.machine, {r.type, r.zone, r.spot}, now);
+  Machine& m = upsert_machine(r.machine, {r.type, r.zone, r.spot}, now);
   const std::pair when(r.agent_epoch, r.sequence);
   if (is_heartbeat) {
     if (when <= std::pair(m.heartbeat_epoch, m.heartbeat_sequence)) return Freshness::late_copy;
@@ -442,8 +442,8 @@
   }
   if (m.heartbeat_received && when <= std::pair(m.agent_epoch, m.sequence))
     return Freshness::overtaken;
-  note_message(m, r, now);
-  const auto reported_attempts = apply_tasks(m, r, now);
+  record_agent_message(m, r, now);
+  const auto reported_attempts = reconcile_tasks(m, r, now);
   // Absences. Only a report of the worker's own that shows our token counts, and only one newer
   // than what carried the start: the token shuts out a former leader's commands still under way,
   // the order shuts out late copies and answers crossing on the way.
@@ -453,12 +453,12 @@
   }
   if (!is_heartbeat || r.fencing_token != fencing_token_) return Freshness::fresh;
   m.unacknowledged_responses = 0;
-  end_absent(m, r, reported_attempts, now);
+  reconcile_absent_tasks(m, r, reported_attempts, now);
   return Freshness::fresh;
 }
 
 // What a message says of the machine itself.
-void ClusterState::note_message(Machine& m, const wire::Heartbeat& r, double now) {
+void ClusterState::record_agent_message(Machine& m, const wire::Heartbeat& r, double now) {
   const bool was_usable = m.heartbeat_received && !m.lease_expired;
   if (r.agent_epoch != m.agent_epoch) {
     // What an earlier session was told can't be executed in this one.
@@ -493,7 +493,8 @@
 }
 
 // What a message says of tasks; returns all that it names.
-ClusterState::Attempts ClusterState::apply_tasks(Machine& m, const wire::Heartbeat& r, double now) {
+ClusterState::Attempts ClusterState::reconcile_tasks(Machine& m, const wire::Heartbeat& r,
+                                                     double now) {
   Attempts reported_attempts;
   int unknown_tasks = 0;
   for (const auto& t : r.tasks) {
@@ -503,7 +504,7 @@
     if (p == nullptr || p->machine != m.id) {
       if (t.state != TaskState::exited) ++unknown_tasks;
     } else if (!p->ended) {
-      apply_task(m, *j, *p, t, r.fencing_token == fencing_token_, now);
+      reconcile_task(m, *j, *p, t, r.fencing_token == fencing_token_, now);
     }
   }
   if (m.unknown_tasks != unknown_tasks) changed_ = true;
@@ -511,8 +512,8 @@
   return reported_attempts;
 }
 
-void ClusterState::apply_task(Machine& m, Job& job, Placement& placement, const wire::TaskStatus& t,
-                              bool acknowledges_token, double now) {
+void ClusterState::reconcile_task(Machine& m, Job& job, Placement& placement,
+                                  const wire::TaskStatus& t, bool acknowledges_token, double now) {
   if (t.state == TaskState::exited) {
     // Guards against a late copy, from before our leadership, of an end in an earlier session: the
     // same attempt may have been started again since. Only that it is done stays true.
@@ -533,15 +534,15 @@
   const bool runs = t.state == TaskState::running && placement.running_since > 0;
   if (runs && job.spec.kind == wire::JobKind::service && !job.failed_machines.empty() &&
       now - placement.running_since > settings_.lease_s) {
-    note_works(job);
+    clear_failures(job);
   }
   placement.seen = true;
   placement.state = t.state;
 }
 
 // Ends the placements that a report proves gone by not naming them.
-void ClusterState::end_absent(Machine& m, const wire::Heartbeat& r,
-                              const Attempts& reported_attempts, double now) {
+void ClusterState::reconcile_absent_tasks(Machine& m, const wire::Heartbeat& r,
+                                          const Attempts& reported_attempts, double now) {
   const auto tasks = m.tasks;  // ending a placement changes the list
   for (const auto& held : tasks) {
     Job& j = *held.job;
@@ -563,7 +564,7 @@
       m.unresponsive_until = now + settings_.lease_s;
     }
     end_placement(j, p, now);
-    break_gang(j, held.attempt, now);
+    stop_gang(j, held.attempt, now);
   }
 }
 
@@ -573,7 +574,7 @@
 bool may_send_stop(const Placement& placement, double now) {
   constexpr double kAnswerPatience = 4;  // seconds, of a worker for the answer to its report
   const double latest = now + kAnswerPatience * (1 + 2 * base::kClockDrift);
-  return !placement.stop_before || latest < *placement.stop_before;
+  return !placement.drain_deadline || latest < *placement.drain_deadline;
 }
 }  // namespace
 
@@ -598,7 +599,8 @@
       out.push_back({wire::CommandKind::stop, t.task, t.attempt, 0});
     } else if (p->stop && may_send_stop(*p, now)) {
       // Past its grace it is ended for good.
-      const bool late = now > p->stop_since + p->grace_s + 2 * settings_.heartbeat_interval_s;
+      const bool late =
+          now > p->stop_requested_at + p->grace_s + 2 * settings_.heartbeat_interval_s;
       if (t.state != TaskState::checkpointing || late) {
         out.push_back({wire::CommandKind::stop, t.task, t.attempt, late ? 0 : p->grace_s});
       }
@@ -626,8 +628,8 @@
   if (Machine* m = machine(id)) m->last_response = now;
 }
 
-void ClusterState::note_forwarder(const std::string& name, std::uint64_t run, double quiet_until,
-                                  double delegate_responded_at, double now) {
+void ClusterState::record_forwarder(const std::string& name, std::uint64_t run, double quiet_until,
+                                    double delegate_responded_at, double now) {
   const auto [it, first] = forwarders_.try_emplace(name);
   HeartbeatForwarder& forwarder = it->second;
   // What another run of it did until it ended, nobody remembers.
@@ -638,7 +640,7 @@
       std::max(forwarder.delegate_responded_at, delegate_responded_at);
 }
 
-bool ClusterState::forwarder_heard(const std::string& name, double now) const {
+bool ClusterState::is_forwarder_reachable(const std::string& name, double now) const {
   const auto it = forwarders_.find(name);
   return it != forwarders_.end() && now < it->second.quiet_until;
 }
@@ -672,7 +674,7 @@
   }
 }
 
-std::vector<std::string> ClusterState::watch_zones(double now) {
+std::vector<std::string> ClusterState::update_zone_reachability(double now) {
   constexpr int kFewest = 3;  // fewer may fail together by chance
   struct Zone {
     int workers = 0;
@@ -709,7 +711,7 @@
   return out;
 }
 
-void ClusterState::watch_boots(double now) {
+void ClusterState::update_overdue_boots(double now) {
   // Boots take up to half as long again as they should; beyond twice that something is amiss.
   constexpr double kOverdue = 2;
   for (auto& [id, m] : machines_) {
@@ -730,10 +732,10 @@
   std::vector<std::string> out;
   for (auto& [id, m] : machines_) {
     if (m.lease_expired || (!m.heartbeat_received && m.tasks.empty())) continue;
-    if (now <= latest_possible_response(m, now) + lease_bound()) continue;
+    if (now <= latest_possible_response(m, now) + lease_upper_bound()) continue;
     m.lease_expired = true;
     out.push_back(id);
-    end_all(m, now);
+    end_all_placements(m, now);
   }
   return out;
 }
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -90,8 +90,8 @@
 
   // Jobs.
   /// Takes over what is stored. What was learnt of the job and its placements is kept.
-  Job& put_job(Job job, double now);
-  void drop_job(const std::string& id);
+  Job& upsert_job(Job job, double now);
+  void remove_job(const std::string& id);
   /// Its user has cancelled it, at `since` or later; the stored record may come after this. All
   /// jobs that need it, directly or through others, are cancelled with it.
   void cancel(Job& job, std::int64_t at_ms, double since);
@@ -110,21 +110,21 @@
                            const std::string& machine, double now);
   void end_placement(Job& job, Placement& placement, double now);
   /// A write of the record has succeeded that does not name it.
-  void resolve_dropped(Job& job, Placement& placement, double now);
+  void resolve_abandoned(Job& job, Placement& placement, double now);
   static void request_stop(Placement& placement, double grace_s, double now);
   /// The same for a replica that a router keeps drained until `before`, or prolongs that.
   static void request_drained_stop(Placement& placement, double before, double now);
   /// Takes such a stop back; one that was carried out meanwhile shows in the next report.
-  static void take_back_drained_stop(Placement& placement);
+  static void revoke_drained_stop(Placement& placement);
   /// How long the evidence against a quarantined machine is waited for that would clear it.
-  double quarantine_trial() const { return 3 * settings_.heartbeat_interval_s; }
+  double quarantine_period() const { return 3 * settings_.heartbeat_interval_s; }
   /// Ends everything a machine holds; what it held of gangs is stopped elsewhere too.
-  void end_all(Machine& machine, double now);
+  void end_all_placements(Machine& machine, double now);
   /// Erases ended placements that a durable record no longer names.
   void forget_ended(Job& job, const std::vector<std::pair<std::uint32_t, std::uint64_t>>& which);
 
   // Machines.
-  Machine& put_machine(const std::string& id, const MachineKind& kind, double now);
+  Machine& upsert_machine(const std::string& id, const MachineKind& kind, double now);
   Machine* machine(const std::string& id);
   std::map<std::string, Machine>& machines() { return machines_; }
   /// After a 200 to its deletion: everything on it is gone.
@@ -142,10 +142,10 @@
 
   /// What a forwarder's hello proves: that it answers no worker in our stead before `quiet_until`,
   /// save for what it did until `delegate_responded_at` (below 0: never).
-  void note_forwarder(const std::string& name, std::uint64_t run, double quiet_until,
-                      double delegate_responded_at, double now);
+  void record_forwarder(const std::string& name, std::uint64_t run, double quiet_until,
+                        double delegate_responded_at, double now);
   /// The forwarder has heard us, and we it, just now.
-  bool forwarder_heard(const std::string& name, double now) const;
+  bool is_forwarder_reachable(const std::string& name, double now) const;
   /// Something on it is to be stopped, or may still run though it is ended here.
   static bool stopping(const Machine& machine);
   /// The latest time at which a report of it may have been answered by us, in our stead, or by a
@@ -158,13 +158,13 @@
   /// Looks for zones whose workers have all gone quiet at once while others report; returns those
   /// that turned unreachable just now. What is there may well run on, but nothing new is asked of
   /// it.
-  std::vector<std::string> watch_zones(double now);
+  std::vector<std::string> update_zone_reachability(double now);
   bool is_unreachable(const std::string& zone) const { return unreachable_until_.contains(zone); }
   bool any_unreachable() const { return !unreachable_until_.empty(); }
 
   /// Looks for machines that boot for much longer than was lately seen of their type and zone:
   /// their room is not counted on until they come.
-  void watch_boots(double now);
+  void update_overdue_boots(double now);
   /// What a boot of the type should take there now, and no less than the cloud says.
   double expected_boot(const wire::MachineType& type, const std::string& zone, double now) const {
     return boot_times_.expected({type.name, zone}, type.ready_s, now);
@@ -196,7 +196,7 @@
   bool in_force(const Reservation& reservation) const;
   const base::Settings& settings() const { return settings_; }
   std::uint64_t fencing_token() const { return fencing_token_; }
-  double lease_bound() const;
+  double lease_upper_bound() const;
   /// True since the last call when something happened that placement should look at.
   bool take_changed() { return std::exchange(changed_, false); }
   void mark_changed() { changed_ = true; }
@@ -204,21 +204,21 @@
  private:
   /// Tasks with their attempts.
   using Attempts = std::set<std::pair<wire::TaskName, std::uint64_t>>;
-  void note_message(Machine& machine, const wire::Heartbeat& heartbeat, double now);
-  Attempts apply_tasks(Machine& machine, const wire::Heartbeat& heartbeat, double now);
-  void apply_task(Machine& machine, Job& job, Placement& placement,
-                  const wire::TaskStatus& heartbeat, bool acknowledges_token, double now);
-  void end_absent(Machine& machine, const wire::Heartbeat& heartbeat,
-                  const Attempts& reported_attempts, double now);
+  void record_agent_message(Machine& machine, const wire::Heartbeat& heartbeat, double now);
+  Attempts reconcile_tasks(Machine& machine, const wire::Heartbeat& heartbeat, double now);
+  void reconcile_task(Machine& machine, Job& job, Placement& placement,
+                      const wire::TaskStatus& heartbeat, bool acknowledges_token, double now);
+  void reconcile_absent_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
+                              const Attempts& reported_attempts, double now);
   void task_exited(Job& job, Placement& placement, const wire::TaskStatus& heartbeat,
                    Machine& machine, double now);
   void task_failed(Job& job, Machine& machine, double now);
-  void note_earlier_rounds(Job& job, double now) const;
-  void space_out_retries(Job& job, double now);
-  void clear_machines_of(const Job& job);
-  static void note_works(Job& job);
+  void restore_earlier_failures(Job& job, double now) const;
+  void back_off_retries(Job& job, double now);
+  void clear_suspicion(const Job& job);
+  static void clear_failures(Job& job);
   void extend_lease_grace(const std::string& zone, double until);
-  void break_gang(Job& job, std::uint64_t attempt, double now);
+  void stop_gang(Job& job, std::uint64_t attempt, double now);
   void record_image_use(Machine& machine, const wire::JobSpec& spec);
   void update_dependencies(Job& job);
   void cancel_dependents(const Job& cancelled);
@@ -232,7 +232,7 @@
   Dependencies dependencies_;
   std::map<std::string, Machine> machines_;
   /// Places on machines that neither list nor report has shown yet, by machine.
-  std::map<std::string, std::vector<PlacementRef>> unseen_;
+  std::map<std::string, std::vector<PlacementRef>> unattached_;
   std::map<std::string, wire::Resources> team_allocation_;
   const TeamShares* team_shares_ = nullptr;
   Reservations reservations_;
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -39,13 +39,13 @@
   /// A write that names it was not answered, and may yet be carried out: until a later write of the
   /// record succeeds, or is found to have been forestalled, its room is not free for others.
   bool write_unresolved = false;
-  bool dropped = false;  ///< not wanted any more, its outcome being unknown
-  bool stop = false;     ///< to be stopped, saving if grace_s allows
+  bool abandoned = false;  ///< not wanted any more, its outcome being unknown
+  bool stop = false;       ///< to be stopped, saving if grace_s allows
   double grace_s = 0;
-  double stop_since = 0;
+  double stop_requested_at = 0;
   /// A replica that a router keeps drained until then: its stop goes out only before it, and only
   /// in answers to reports, which are never carried out late (invariant 19).
-  std::optional<double> stop_before;
+  std::optional<double> drain_deadline;
   bool stop_sent = false;  ///< straight to the worker; its reports' answers repeat it
   bool seen = false;       ///< a report showed it
   wire::TaskState state = wire::TaskState::fetching;
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -66,12 +66,12 @@
     rent("n-9", "a");
   }
   void rent(const std::string& id, const std::string& zone) {
-    auto& m = cluster.put_machine(id, {"g8", zone, false}, 0);
+    auto& m = cluster.upsert_machine(id, {"g8", zone, false}, 0);
     m.provisioned_here = m.listed = m.booting = true;
   }
   double ready_s() const { return cluster.type("g8")->ready_s; }
   int wanted(double now) {
-    cluster.watch_boots(now);
+    cluster.update_overdue_boots(now);
     int sum = 0;
     for (const auto& [kind, n] : pass(now).shortfall.wanted) sum += n;
     return sum;
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -168,7 +168,7 @@
   p.attempt = 1, p.machine = "n-1", p.durable = true;
   job.placements.push_back(p);
   Job& stored = s.add(job);
-  s.cluster.put_machine("n-1", {"g8", "b", false}, 1);  // the list names it
+  s.cluster.upsert_machine("n-1", {"g8", "b", false}, 1);  // the list names it
   const double over = base::response_span(s.settings) + s.settings.lease_s;
   EXPECT_TRUE(s.cluster.expire_leases(over).empty());
   EXPECT_EQ(s.cluster.expire_leases(over + 1).size(), 1u);
@@ -221,7 +221,7 @@
   stored.placements[0].attempt = 1;
   stored.placements[0].machine = "n-1";
   stored.placements[0].durable = true;
-  Job& again = s.cluster.put_job(std::move(stored), 6);
+  Job& again = s.cluster.upsert_job(std::move(stored), 6);
   EXPECT_TRUE(again.complete());
   EXPECT_TRUE(again.placements.at(0).ended);
   EXPECT_TRUE(again.dirty);
@@ -401,11 +401,11 @@
   Fleet s;
   Machine& m = *s.cluster.machine("n-1");
   m.delegated_until["n1"] = 25;
-  s.cluster.note_forwarder("n1", 1, 3, -1, 2);  // the first: what it did before is not known
-  s.cluster.note_forwarder("n1", 1, 13, -1, 12);
+  s.cluster.record_forwarder("n1", 1, 3, -1, 2);  // the first: what it did before is not known
+  s.cluster.record_forwarder("n1", 1, 13, -1, 12);
   EXPECT_TRUE(s.cluster.expire_leases(12.2).empty());  // perhaps answered at 2
   EXPECT_TRUE(s.cluster.expire_leases(13.5).empty());  // not heard any more
-  s.cluster.note_forwarder("n1", 1, 14, -1, 13);
+  s.cluster.record_forwarder("n1", 1, 14, -1, 13);
   EXPECT_EQ(s.cluster.expire_leases(13.5).size(), 1u);
 }
 
@@ -413,22 +413,23 @@
   Fleet s;
   Machine& m = *s.cluster.machine("n-1");
   m.delegated_until["n1"] = 25;
-  s.cluster.note_forwarder("n1", 1, 3, -1, 2);
-  s.cluster.note_forwarder("n1", 2, 15, -1, 14);
+  s.cluster.record_forwarder("n1", 1, 3, -1, 2);
+  s.cluster.record_forwarder("n1", 2, 15, -1, 14);
   EXPECT_TRUE(s.cluster.expire_leases(14.5).empty());
-  s.cluster.note_forwarder("n1", 2, 26, -1, 25);
+  s.cluster.record_forwarder("n1", 2, 26, -1, 25);
   EXPECT_EQ(s.cluster.expire_leases(25).size(), 1u);
 }
 
 TEST(ClusterState, AZoneIsDarkWhenAllItsWorkersGoQuietAndOthersDoNot) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}, {"n-4", "b"}});
-  EXPECT_TRUE(s.cluster.watch_zones(5).empty());  // nobody is heard: it is us who are cut off
+  EXPECT_TRUE(
+      s.cluster.update_zone_reachability(5).empty());  // nobody is heard: it is us who are cut off
   s.cluster.reconcile_heartbeat(heartbeat("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
-  EXPECT_EQ(s.cluster.watch_zones(5), std::vector<std::string>{"a"});
+  EXPECT_EQ(s.cluster.update_zone_reachability(5), std::vector<std::string>{"a"});
   EXPECT_FALSE(is_schedulable(s.cluster, *s.cluster.machine("n-1")));
   EXPECT_TRUE(is_schedulable(s.cluster, *s.cluster.machine("n-4")));
   s.cluster.reconcile_heartbeat(heartbeat("n-2", 1, 2), true, 6);
-  EXPECT_TRUE(s.cluster.watch_zones(6).empty());
+  EXPECT_TRUE(s.cluster.update_zone_reachability(6).empty());
   EXPECT_TRUE(is_schedulable(s.cluster, *s.cluster.machine("n-1")));
 }
 
@@ -440,7 +441,7 @@
   ASSERT_EQ(s.pass().placed, 2);
   ASSERT_TRUE(s.pass().shortfall.wanted.empty());
   s.cluster.reconcile_heartbeat(heartbeat("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
-  s.cluster.watch_zones(5);
+  s.cluster.update_zone_reachability(5);
   const auto wanted = s.pass(5).shortfall.wanted;  // one of the two finds room on n-4
   ASSERT_EQ(wanted.size(), 1u);
   EXPECT_EQ(wanted.begin()->first.zone, "b");
@@ -460,7 +461,7 @@
   EXPECT_TRUE(job.dirty);
   const auto text = control::write_record(job, 8192).front();
   EXPECT_EQ(text.find("n-1"), std::string::npos);
-  s.cluster.resolve_dropped(job, job.placements.front(), 3);
+  s.cluster.resolve_abandoned(job, job.placements.front(), 3);
   EXPECT_EQ(s.cluster.team_allocation("red").gpus, 0);
   EXPECT_EQ(job.pending(9).size(), 1U);
 }
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -46,7 +46,7 @@
   s.add(dependent("j-000002", {"j-000001"}));
   first.done.add(0);
   EXPECT_EQ(s.pass().placed, 0);
-  s.cluster.drop_job("j-000001");
+  s.cluster.remove_job("j-000001");
   EXPECT_EQ(s.pass().placed, 0);
   EXPECT_EQ(s.cluster.unknown_outcomes(), std::vector<std::string>{"j-000001"});
 }
@@ -58,7 +58,7 @@
   s.add(dependent("j-000002", {"j-000001"}));
   EXPECT_TRUE(s.cluster.job("j-000002")->dependencies_met);
   // Nothing is kept for a job that is not live any more.
-  s.cluster.drop_job("j-000002");
+  s.cluster.remove_job("j-000002");
   EXPECT_TRUE(s.cluster.dependencies().empty());
   s.add(dependent("j-000003", {"j-000001"}));
   EXPECT_FALSE(s.cluster.job("j-000003")->dependencies_met);
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -89,7 +89,7 @@
       cluster.record_response(id, 0);
     }
   }
-  sched::Job& add(sched::Job job) { return cluster.put_job(std::move(job), 0); }
+  sched::Job& add(sched::Job job) { return cluster.upsert_job(std::move(job), 0); }
   sched::PassResult pass(double now = 1) { return sched::place_waiting(cluster, refused, now); }
   /// What a successful write would do.
   void written(sched::Job& job) {
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -37,7 +37,7 @@
     if (kind == wire::JobKind::service) {
       for (const char* id : {kFirst, kSecond}) {
         job(id).done = {};
-        fleet.cluster.put_machine("n-9", {"g8", "a", false}, 0);
+        fleet.cluster.upsert_machine("n-9", {"g8", "a", false}, 0);
         place(job(id), 1, "n-9");
       }
     }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -91,16 +91,16 @@
   };
   s.pass();
   recount();
-  s.cluster.put_machine("n-9", {"g8", "a", false}, 1);  // a record named it before
+  s.cluster.upsert_machine("n-9", {"g8", "a", false}, 1);  // a record named it before
   recount();
   EXPECT_EQ(s.cluster.machine("n-9")->tasks.size(), 2u);
   stored.placements.pop_back();
-  s.cluster.put_job(stored, 2);
+  s.cluster.upsert_job(stored, 2);
   recount();
   s.cluster.remove_machine("n-1", 3);
   s.pass(4);
   recount();
-  s.cluster.drop_job("j-000001");
+  s.cluster.remove_job("j-000001");
   recount();
 }
 
--- a/tests/scaler_test.cpp
+++ b/tests/scaler_test.cpp
@@ -116,7 +116,7 @@
   fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
   auto result = fleet.pass();
   EXPECT_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).missing, 1);
-  fleet.cluster.put_machine("n-2", {"g8", "a", false}, 1);
+  fleet.cluster.upsert_machine("n-2", {"g8", "a", false}, 1);
   result = fleet.pass();
   EXPECT_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).missing, 0);
 }
