--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -76,7 +76,8 @@
   }
   node.set_connection_load([&server] { return server.connection_load(); });
   peer::Links links(
-      reactor, settings, control::Node::hello_every(settings), [&] { return node.hello(); },
+      reactor, settings, control::Node::peer_heartbeat_interval(settings),
+      [&] { return node.peer_heartbeat(); },
       [&](const std::string& from, peer::Frame frame) { node.heard(from, std::move(frame)); });
   node.set_send([&](const std::string& to, const peer::Frame& frame) { links.send(to, frame); });
   if (!links.listen()) {
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -18,9 +18,9 @@
       users_(services, [this] { return reaches_state(); }),
       forwarder_(services.reactor, services.settings),
       lost_(services.reactor),
-      roster_(4 * hello_every(services.settings)),
+      roster_(4 * peer_heartbeat_interval(services.settings)),
       direct_heartbeats_(2 * services.settings.heartbeat_interval_s),
-      run_(static_cast<std::uint64_t>(services.reactor.wall_ms())) {}
+      incarnation_(static_cast<std::uint64_t>(services.reactor.wall_ms())) {}
 
 void Node::set_connection_load(std::function<double()> load) {
   connection_load_ = std::move(load);
@@ -44,14 +44,15 @@
          (state_heard_ > 0 && !roster_.any_reaches_state(services_.reactor.now()));
 }
 
-peer::Hello Node::hello() const {
+peer::PeerHeartbeat Node::peer_heartbeat() const {
   const double now = services_.reactor.now();
-  peer::Hello hello{services_.settings.name, leader_fencing_token(), reaches_state(),
-                    now - workers_heard_ < 2 * services_.settings.heartbeat_interval_s};
-  hello.run = run_;
-  hello.sent_ms = static_cast<std::uint64_t>(now * 1000);
-  forwarder_.describe(hello);
-  return hello;
+  peer::PeerHeartbeat peer_heartbeat{
+      services_.settings.name, leader_fencing_token(), reaches_state(),
+      now - workers_heard_ < 2 * services_.settings.heartbeat_interval_s};
+  peer_heartbeat.incarnation = incarnation_;
+  peer_heartbeat.sent_clock_ms = static_cast<std::uint64_t>(now * 1000);
+  forwarder_.describe(peer_heartbeat);
+  return peer_heartbeat;
 }
 
 void Node::set_send(HeartbeatForwarder::Send send) {
@@ -60,7 +61,8 @@
 }
 
 void Node::heard(const std::string& from, peer::Frame frame) {
-  if (const auto* hello = std::get_if<peer::Hello>(&frame)) return heard_hello(*hello);
+  if (const auto* peer_heartbeat = std::get_if<peer::PeerHeartbeat>(&frame))
+    return on_peer_heartbeat(*peer_heartbeat);
   if (const auto* forwarded = std::get_if<peer::ForwardedHeartbeat>(&frame))
     return on_forwarded_heartbeat(from, *forwarded);
   forwarder_.answered(std::get<peer::ForwardedResponse>(frame));
@@ -133,14 +135,14 @@
   return {};
 }
 
-void Node::heard_hello(const peer::Hello& hello) {
+void Node::on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
   const double now = services_.reactor.now();
-  roster_.heard(hello, now);
-  forwarder_.heard(hello);
-  if (term_ != nullptr) term_->heard(hello);
+  roster_.heard(peer_heartbeat, now);
+  forwarder_.heard(peer_heartbeat);
+  if (term_ != nullptr) term_->heard(peer_heartbeat);
   // A leader that lost only the state service learns here that it has a successor, long before it
   // would have to stop answering; until it does, its workers stay with it.
-  if (term_ != nullptr && hello.fencing_token > leader_lease_->fencing_token()) {
+  if (term_ != nullptr && peer_heartbeat.fencing_token > leader_lease_->fencing_token()) {
     term_->lose("another node leads with a higher token");
   }
 }
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -31,7 +31,7 @@
 
   bool ready() const;
   /// What this node says to the others, and takes from them.
-  peer::Hello hello() const;
+  peer::PeerHeartbeat peer_heartbeat() const;
   void heard(const std::string& from, peer::Frame frame);
   /// How frames reach the other nodes; without it each node serves only its own workers.
   void set_send(HeartbeatForwarder::Send send);
@@ -46,7 +46,7 @@
   std::uint64_t leader_fencing_token() const {
     return leads() ? leader_lease_->fencing_token() : 0;
   }
-  static double hello_every(const base::Settings& settings) {
+  static double peer_heartbeat_interval(const base::Settings& settings) {
     return settings.heartbeat_interval_s / 3;
   }
   bool leads() const { return term_ != nullptr && serving_; }
@@ -62,7 +62,7 @@
   net::Task<void> serve_term(LeadershipGrant grant);
   net::Task<net::Response> checkin(net::Request request);
   net::Task<bool> store_types(std::string text);
-  void heard_hello(const peer::Hello& hello);
+  void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat);
   void on_forwarded_heartbeat(const std::string& from, const peer::ForwardedHeartbeat& forwarded);
   /// The node that is to forward this worker's reports from now on, or none.
   std::string forwarder_for(const wire::Heartbeat& heartbeat);
@@ -98,7 +98,7 @@
   base::EventRate direct_heartbeats_;  ///< to this node as the leader
   double next_relief_ = 0;             ///< when a worker of this zone may be handed on again
   std::uint64_t nonce_ = 0;
-  std::uint64_t run_;  ///< of this process, as its hellos name it
+  std::uint64_t incarnation_;  ///< of this process, as its hellos name it
 };
 
 }  // namespace cranklock::control
--- a/src/control/report_forwarder.cpp
+++ b/src/control/report_forwarder.cpp
@@ -11,20 +11,21 @@
 using net::Response;
 using net::Task;
 
-void HeartbeatForwarder::heard(const peer::Hello& hello) {
-  if (hello.fencing_token == 0 || hello.fencing_token < fencing_token_) return;
-  fencing_token_ = hello.fencing_token;
-  leader_ = hello.name;
-  leader_ms_ = hello.sent_ms;
+void HeartbeatForwarder::heard(const peer::PeerHeartbeat& peer_heartbeat) {
+  if (peer_heartbeat.fencing_token == 0 || peer_heartbeat.fencing_token < fencing_token_) return;
+  fencing_token_ = peer_heartbeat.fencing_token;
+  leader_ = peer_heartbeat.name;
+  leader_ms_ = peer_heartbeat.sent_clock_ms;
   heard_at_ = reactor_.now();
 }
 
-void HeartbeatForwarder::describe(peer::Hello& hello) const {
-  hello.echoed_fencing_token = fencing_token_;
-  hello.echo_ms = leader_ms_;
+void HeartbeatForwarder::describe(peer::PeerHeartbeat& peer_heartbeat) const {
+  peer_heartbeat.echoed_fencing_token = fencing_token_;
+  peer_heartbeat.echoed_clock_ms = leader_ms_;
   if (delegate_responded_at_ >= 0) {
     const double age = (reactor_.now() - delegate_responded_at_) * 1000;
-    hello.delegate_responded_ms = static_cast<std::uint32_t>(std::min(age, peer::kNever - 1.0));
+    peer_heartbeat.delegate_responded_ms =
+        static_cast<std::uint32_t>(std::min(age, peer::kNever - 1.0));
   }
 }
 
--- a/src/control/report_forwarder.hpp
+++ b/src/control/report_forwarder.hpp
@@ -47,10 +47,10 @@
     return std::min(1.2 * settings.heartbeat_interval_s, 3.0);
   }
 
-  void heard(const peer::Hello& hello);
+  void heard(const peer::PeerHeartbeat& peer_heartbeat);
   void answered(const peer::ForwardedResponse& answer);
   /// What this node's hellos say of it.
-  void describe(peer::Hello& hello) const;
+  void describe(peer::PeerHeartbeat& peer_heartbeat) const;
   /// A leader is heard that may have reports forwarded to it.
   bool reaches_leader() const;
   /// One is, or was so lately that its successor should be heard before long.
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -219,16 +219,16 @@
   return answer;
 }
 
-void Term::heard(const peer::Hello& hello) {
-  const bool ours = hello.echoed_fencing_token == leader_lease_.fencing_token();
+void Term::heard(const peer::PeerHeartbeat& peer_heartbeat) {
+  const bool ours = peer_heartbeat.echoed_fencing_token == leader_lease_.fencing_token();
   const double never = -1;
-  cluster_.record_forwarder(hello.name, hello.run,
-                            ours ? static_cast<double>(hello.echo_ms) / 1000 +
+  cluster_.record_forwarder(peer_heartbeat.name, peer_heartbeat.incarnation,
+                            ours ? static_cast<double>(peer_heartbeat.echoed_clock_ms) / 1000 +
                                        HeartbeatForwarder::patience(services_.settings) * 0.98
                                  : 0,
-                            hello.delegate_responded_ms == peer::kNever
+                            peer_heartbeat.delegate_responded_ms == peer::kNever
                                 ? never
-                                : now() - hello.delegate_responded_ms / 1000.0,
+                                : now() - peer_heartbeat.delegate_responded_ms / 1000.0,
                             now());
 }
 
--- a/src/control/term.hpp
+++ b/src/control/term.hpp
@@ -43,7 +43,7 @@
   peer::ForwardedResponse handle_forwarded_heartbeat(const wire::Heartbeat& heartbeat,
                                                      const std::string& forwarder,
                                                      std::uint64_t id);
-  void heard(const peer::Hello& hello);
+  void heard(const peer::PeerHeartbeat& peer_heartbeat);
   /// The same of another region's leader.
   void heard_region(const std::string& region, const regions::RegionFrame& frame);
   /// Nullptr where the settings name no regions.
--- a/src/peer/frames.cpp
+++ b/src/peer/frames.cpp
@@ -5,19 +5,23 @@
 namespace cranklock::peer {
 namespace {
 
-enum class Kind : std::uint8_t { hello = 1, forwarded_heartbeat = 2, forwarded_response = 3 };
+enum class Kind : std::uint8_t {
+  peer_heartbeat = 1,
+  forwarded_heartbeat = 2,
+  forwarded_response = 3
+};
 
-std::string pack_one(const Hello& hello) {
+std::string pack_one(const PeerHeartbeat& peer_heartbeat) {
   Packer p;
-  p.text(hello.name).number(hello.fencing_token);
-  p.number(static_cast<std::uint8_t>(hello.reaches_state ? 1 : 0));
-  p.number(static_cast<std::uint8_t>(hello.hears_workers ? 1 : 0));
-  p.number(hello.run)
-      .number(hello.sent_ms)
-      .number(hello.echoed_fencing_token)
-      .number(hello.echo_ms);
-  p.number(hello.delegate_responded_ms);
-  return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::hello));
+  p.text(peer_heartbeat.name).number(peer_heartbeat.fencing_token);
+  p.number(static_cast<std::uint8_t>(peer_heartbeat.reaches_state ? 1 : 0));
+  p.number(static_cast<std::uint8_t>(peer_heartbeat.hears_workers ? 1 : 0));
+  p.number(peer_heartbeat.incarnation)
+      .number(peer_heartbeat.sent_clock_ms)
+      .number(peer_heartbeat.echoed_fencing_token)
+      .number(peer_heartbeat.echoed_clock_ms);
+  p.number(peer_heartbeat.delegate_responded_ms);
+  return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::peer_heartbeat));
 }
 
 std::string pack_one(const ForwardedHeartbeat& forwarded) {
@@ -37,7 +41,7 @@
 }
 
 // The members of a braced list are read from left to right.
-Hello read_hello(Unpacker& in) {
+PeerHeartbeat read_heartbeat(Unpacker& in) {
   return {in.text(),
           in.number<std::uint64_t>(),
           in.flag(),
@@ -61,15 +65,15 @@
   const auto length = head.number<std::uint16_t>();
   const auto version = head.number<std::uint8_t>();
   const auto kind = head.number<std::uint8_t>();
-  const bool known = kind >= static_cast<std::uint8_t>(Kind::hello) &&
+  const bool known = kind >= static_cast<std::uint8_t>(Kind::peer_heartbeat) &&
                      kind <= static_cast<std::uint8_t>(Kind::forwarded_response);
   if (version != kVersion || !known) return Unpacked::broken;
   if (buffer.size() < kHeader + length) return Unpacked::more;
   Unpacker in(std::string_view(buffer).substr(kHeader, length));
   Frame frame;
   switch (static_cast<Kind>(kind)) {
-    case Kind::hello:
-      frame = read_hello(in);
+    case Kind::peer_heartbeat:
+      frame = read_heartbeat(in);
       break;
     case Kind::forwarded_heartbeat:
       frame = ForwardedHeartbeat{in.number<std::uint64_t>(), in.long_text()};
--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -15,18 +15,18 @@
 inline constexpr std::uint32_t kNever = 0xffffffff;
 
 /// Who is there, and what it reaches.
-struct Hello {
+struct PeerHeartbeat {
   std::string name;
   std::uint64_t fencing_token = 0;  ///< of its leadership; 0: it doesn't lead
   bool reaches_state = false;       ///< the state service answered it lately
   bool hears_workers = false;       ///< workers have reported to it lately, be it in vain
-  std::uint64_t run = 0;            ///< another one each time the process starts
-  std::uint64_t sent_ms = 0;        ///< its steady clock, for others to echo
+  std::uint64_t incarnation = 0;    ///< another one each time the process starts
+  std::uint64_t sent_clock_ms = 0;  ///< its steady clock, for others to echo
   /// The newest hello that it heard from a leader: whose token, and that leader's clock.
-  std::uint64_t echoed_fencing_token = 0, echo_ms = 0;
+  std::uint64_t echoed_fencing_token = 0, echoed_clock_ms = 0;
   /// How long ago it last answered a worker in a leader's stead.
   std::uint32_t delegate_responded_ms = kNever;
-  bool operator==(const Hello&) const = default;
+  bool operator==(const PeerHeartbeat&) const = default;
 };
 
 /// A worker's report, forwarded to the leader by the node that it reports to.
@@ -47,7 +47,7 @@
   bool operator==(const ForwardedResponse&) const = default;
 };
 
-using Frame = std::variant<Hello, ForwardedHeartbeat, ForwardedResponse>;
+using Frame = std::variant<PeerHeartbeat, ForwardedHeartbeat, ForwardedResponse>;
 
 std::string pack(const Frame& frame);
 
--- a/src/peer/links.cpp
+++ b/src/peer/links.cpp
@@ -40,10 +40,12 @@
       Frame frame;
       const auto result = unpack(buffer, frame);
       if (result == Unpacked::more) break;
-      const auto* hello = result == Unpacked::frame ? std::get_if<Hello>(&frame) : nullptr;
-      if (hello != nullptr && outboxes_.contains(hello->name)) from = hello->name;
-      const bool known =
-          result == Unpacked::frame && !from.empty() && (hello == nullptr || hello->name == from);
+      const auto* peer_heartbeat =
+          result == Unpacked::frame ? std::get_if<PeerHeartbeat>(&frame) : nullptr;
+      if (peer_heartbeat != nullptr && outboxes_.contains(peer_heartbeat->name))
+        from = peer_heartbeat->name;
+      const bool known = result == Unpacked::frame && !from.empty() &&
+                         (peer_heartbeat == nullptr || peer_heartbeat->name == from);
       if (!known) {
         spdlog::error("a malformed peer frame was refused");
         co_return;
@@ -70,9 +72,9 @@
 std::string Links::take_due(Outbox& box) {
   const double now = reactor_.now();
   std::string out;
-  if (now >= box.next_hello) {
+  if (now >= box.next_heartbeat) {
     out = pack(mine_());
-    box.next_hello = now + every_s_;
+    box.next_heartbeat = now + every_s_;
   } else if (now < box.pacing.due()) {
     return out;
   }
@@ -83,7 +85,7 @@
 }
 
 double Links::next_write(const Outbox& box) {
-  return box.frames.empty() ? box.next_hello : std::min(box.next_hello, box.pacing.due());
+  return box.frames.empty() ? box.next_heartbeat : std::min(box.next_heartbeat, box.pacing.due());
 }
 
 Task<void> Links::keep_link(base::Peer other) {
@@ -98,7 +100,7 @@
       auto connecting = net::connect_to(reactor_, other.address, reactor_.now() + 2 * every_s_);
       fd = co_await connecting;
       box.connected = fd.valid();
-      box.next_hello = 0;
+      box.next_heartbeat = 0;
     }
     if (fd.valid()) {
       const std::string out = take_due(box);
--- a/src/peer/links.hpp
+++ b/src/peer/links.hpp
@@ -16,11 +16,11 @@
 
 class Links {
  public:
-  using Heard = std::function<void(const std::string& from, Frame)>;
+  using FrameHandler = std::function<void(const std::string& from, Frame)>;
 
   /// `every_s` is the time between hellos. Names that the settings do not know are refused.
   Links(net::EvReactor& reactor, const base::Settings& settings, double every_s,
-        std::function<Hello()> mine, Heard heard)
+        std::function<PeerHeartbeat()> mine, FrameHandler heard)
       : reactor_(reactor),
         settings_(settings),
         every_s_(every_s),
@@ -46,7 +46,7 @@
     std::size_t bytes = 0;  ///< of all frames
     bool connected = false;
     WritePacing pacing;
-    double next_hello = 0;
+    double next_heartbeat = 0;
   };
   net::Task<void> read(net::Fd fd);
   /// Takes what is to be written now: a hello that is due, and all frames if they may leave.
@@ -56,8 +56,8 @@
   net::EvReactor& reactor_;
   const base::Settings& settings_;
   double every_s_;
-  std::function<Hello()> mine_;
-  Heard heard_;
+  std::function<PeerHeartbeat()> mine_;
+  FrameHandler heard_;
   std::map<std::string, std::unique_ptr<Outbox>> outboxes_;
   net::Fd listener_;
   net::Scope readers_;
--- a/src/peer/roster.hpp
+++ b/src/peer/roster.hpp
@@ -13,16 +13,18 @@
   /// What was said longer ago than this counts as not said.
   explicit Roster(double fresh_s) : fresh_s_(fresh_s) {}
 
-  void heard(const Hello& hello, double now) { said_[hello.name] = {hello, now}; }
+  void heard(const PeerHeartbeat& peer_heartbeat, double now) {
+    said_[peer_heartbeat.name] = {peer_heartbeat, now};
+  }
   bool any_heard(double now) const;
   bool any_reaches_state(double now) const;
   bool any_hears_workers(double now) const;
   /// Who leads with the highest token; an empty name when nobody says so.
-  Hello leader(double now) const;
+  PeerHeartbeat leader(double now) const;
 
  private:
   struct Said {
-    Hello hello;
+    PeerHeartbeat peer_heartbeat;
     double at = 0;
   };
   template <typename F>
--- a/src/regions/frames.cpp
+++ b/src/regions/frames.cpp
@@ -8,7 +8,7 @@
 using peer::Packer;
 using peer::Unpacker;
 
-enum class Kind : std::uint8_t { hello = 1, request = 2, transfer = 3, receipt = 4 };
+enum class Kind : std::uint8_t { heartbeat = 1, request = 2, transfer = 3, receipt = 4 };
 
 std::string finish(Packer&& packer, Kind kind) {
   return std::move(packer).frame(kFrameVersion, static_cast<std::uint8_t>(kind));
@@ -24,10 +24,13 @@
   return Amounts(values);
 }
 
-std::string pack_one(const RegionHello& hello) {
+std::string pack_one(const RegionHeartbeat& heartbeat) {
   Packer packer;
-  packer.text(hello.region).text(hello.member).text(hello.founder).number(hello.fencing_token);
-  return finish(std::move(packer), Kind::hello);
+  packer.text(heartbeat.region)
+      .text(heartbeat.member)
+      .text(heartbeat.founder)
+      .number(heartbeat.fencing_token);
+  return finish(std::move(packer), Kind::heartbeat);
 }
 
 std::string pack_one(const ShareRequest& request) {
@@ -54,8 +57,8 @@
 // The members of a braced list are read from left to right.
 RegionFrame unpack_fields(Kind kind, Unpacker& in) {
   switch (kind) {
-    case Kind::hello:
-      return RegionHello{in.text(), in.text(), in.text(), in.number<std::uint64_t>()};
+    case Kind::heartbeat:
+      return RegionHeartbeat{in.text(), in.text(), in.text(), in.number<std::uint64_t>()};
     case Kind::request:
       return ShareRequest{in.text(), unpack_amounts(in),
                           static_cast<std::int64_t>(in.number<std::uint64_t>())};
@@ -69,8 +72,8 @@
 
 /// Amounts below zero, or names that are missing, can't have been meant.
 bool sensible(const RegionFrame& frame) {
-  if (const auto* hello = std::get_if<RegionHello>(&frame)) {
-    return !hello->region.empty() && !hello->member.empty();
+  if (const auto* heartbeat = std::get_if<RegionHeartbeat>(&frame)) {
+    return !heartbeat->region.empty() && !heartbeat->member.empty();
   }
   if (const auto* request = std::get_if<ShareRequest>(&frame)) {
     return !request->team.empty() && !request->wanted.any_negative();
@@ -112,7 +115,7 @@
   const auto version = head.number<std::uint8_t>();
   const auto kind = head.number<std::uint8_t>();
   if (version != kFrameVersion) return FrameResult::other_version;
-  if (kind < static_cast<std::uint8_t>(Kind::hello) ||
+  if (kind < static_cast<std::uint8_t>(Kind::heartbeat) ||
       kind > static_cast<std::uint8_t>(Kind::receipt)) {
     return FrameResult::unknown_kind;
   }
--- a/src/regions/frames.hpp
+++ b/src/regions/frames.hpp
@@ -15,11 +15,11 @@
 inline constexpr std::size_t kMostFrame = 512;
 
 /// The first frame of a connection and its heartbeat, in both directions.
-struct RegionHello {
+struct RegionHeartbeat {
   std::string region, member;
   std::string founder;              ///< as the sender's settings name it
   std::uint64_t fencing_token = 0;  ///< of its leadership; 0: it does not lead its region
-  bool operator==(const RegionHello&) const = default;
+  bool operator==(const RegionHeartbeat&) const = default;
 };
 
 /// Work of the team waits in the sender's region for want of this much share. Never stored; asked
@@ -45,7 +45,7 @@
   bool operator==(const ShareReceipt&) const = default;
 };
 
-using RegionFrame = std::variant<RegionHello, ShareRequest, ShareTransfer, ShareReceipt>;
+using RegionFrame = std::variant<RegionHeartbeat, ShareRequest, ShareTransfer, ShareReceipt>;
 
 std::string pack(const RegionFrame& frame);
 
--- a/src/regions/links.cpp
+++ b/src/regions/links.cpp
@@ -12,14 +12,14 @@
 /// Hellos after which a silent connection is given up, and what it said counts no more.
 constexpr double kPatience = 3;
 /// Without a connection, how often it is looked whether there should be one.
-constexpr double kLooksPerHello = 4;
+constexpr double kChecksPerHeartbeat = 4;
 /// Frames that wait for one link; more are dropped and come again.
 constexpr std::size_t kMostWaiting = 1024;
 
 }  // namespace
 
 Links::Links(net::EvReactor& reactor, const base::Settings& settings,
-             std::function<std::uint64_t()> fencing_token, Heard heard)
+             std::function<std::uint64_t()> fencing_token, FrameHandler heard)
     : reactor_(reactor),
       settings_(settings),
       fencing_token_(std::move(fencing_token)),
@@ -43,14 +43,14 @@
   for (auto& link : links_) scope.spawn(keep(*link));
 }
 
-RegionHello Links::hello() const {
+RegionHeartbeat Links::heartbeat() const {
   const auto& regions = settings_.operators.regions;
   return {regions.self, settings_.name, regions.founder, fencing_token_()};
 }
 
 Task<std::optional<std::vector<RegionFrame>>> Links::receive(int fd, Session& session) {
   char bytes[4096];
-  const double until = reactor_.now() + kPatience * hello_every(settings_);
+  const double until = reactor_.now() + kPatience * peer_heartbeat_interval(settings_);
   auto reading = net::read_some(reactor_, fd, bytes, sizeof bytes, until);
   const auto count = co_await reading;
   if (count <= 0) co_return std::nullopt;
@@ -86,16 +86,16 @@
     if (!frames) co_return;
     bool answer = false;
     for (const auto& frame : *frames) {
-      if (std::holds_alternative<RegionHello>(frame)) {
+      if (std::holds_alternative<RegionHeartbeat>(frame)) {
         answer = true;
       } else {
         heard_(session.region(), frame);
       }
     }
     if (!answer) continue;
-    const std::string bytes = pack(hello());
-    auto writing =
-        net::write_all(reactor_, fd.get(), bytes, reactor_.now() + hello_every(settings_));
+    const std::string bytes = pack(heartbeat());
+    auto writing = net::write_all(reactor_, fd.get(), bytes,
+                                  reactor_.now() + peer_heartbeat_interval(settings_));
     if (!co_await writing) co_return;
   }
 }
@@ -103,17 +103,17 @@
 // ---- own connections ----
 
 Task<void> Links::connect(Link& link) {
-  auto connecting =
-      net::connect_to(reactor_, link.controller.address, reactor_.now() + hello_every(settings_));
+  auto connecting = net::connect_to(reactor_, link.controller.address,
+                                    reactor_.now() + peer_heartbeat_interval(settings_));
   Fd fd = co_await connecting;
   if (!fd.valid()) co_return;
   link.fd = std::make_shared<Fd>(std::move(fd));
-  link.next_hello = 0;
+  link.next_heartbeat = 0;
   link.frames.clear();
-  readers_.spawn(read_hellos(link, link.fd));
+  readers_.spawn(read_heartbeats(link, link.fd));
 }
 
-Task<void> Links::read_hellos(Link& link, SharedFd fd) {
+Task<void> Links::read_heartbeats(Link& link, SharedFd fd) {
   Session session(settings_.operators.regions);
   for (;;) {
     auto receiving = receive(fd->get(), session);
@@ -121,9 +121,9 @@
     if (link.fd != fd) co_return;  // another connection has taken its place
     if (!frames) break;
     for (const auto& frame : *frames) {
-      const auto* hello = std::get_if<RegionHello>(&frame);
-      if (hello == nullptr || hello->region != link.region) continue;
-      link.fencing_token = hello->fencing_token;
+      const auto* heartbeat = std::get_if<RegionHeartbeat>(&frame);
+      if (heartbeat == nullptr || heartbeat->region != link.region) continue;
+      link.fencing_token = heartbeat->fencing_token;
       link.heard_at = reactor_.now();
     }
   }
@@ -139,9 +139,9 @@
 
 std::string Links::take_due(Link& link) {
   std::string out;
-  if (reactor_.now() >= link.next_hello) {
-    out = pack(hello());
-    link.next_hello = reactor_.now() + hello_every(settings_);
+  if (reactor_.now() >= link.next_heartbeat) {
+    out = pack(heartbeat());
+    link.next_heartbeat = reactor_.now() + peer_heartbeat_interval(settings_);
   }
   for (; !link.frames.empty(); link.frames.pop_front()) out += link.frames.front();
   return out;
@@ -157,13 +157,13 @@
     }
     if (const SharedFd fd = link.fd) {
       const std::string bytes = take_due(link);
-      auto writing =
-          net::write_all(reactor_, fd->get(), bytes, reactor_.now() + hello_every(settings_));
+      auto writing = net::write_all(reactor_, fd->get(), bytes,
+                                    reactor_.now() + peer_heartbeat_interval(settings_));
       if (!co_await writing) close(link);
     }
     // A new leader is heard of soon after its take-over.
-    const double pause =
-        link.fd ? link.next_hello - reactor_.now() : hello_every(settings_) / kLooksPerHello;
+    const double pause = link.fd ? link.next_heartbeat - reactor_.now()
+                                 : peer_heartbeat_interval(settings_) / kChecksPerHeartbeat;
     constexpr double kLeastPause = 0.001;  // the resolution of timers
     net::Signal::Wait wait(link.filled, std::max(pause, kLeastPause));
     co_await wait;
@@ -174,7 +174,7 @@
 
 std::optional<std::size_t> Links::leader_link(const std::string& region) const {
   std::optional<std::size_t> best;
-  const double since = reactor_.now() - kPatience * hello_every(settings_);
+  const double since = reactor_.now() - kPatience * peer_heartbeat_interval(settings_);
   for (std::size_t i = 0; i < links_.size(); ++i) {
     const Link& link = *links_[i];
     const bool leads = link.fd && link.fencing_token > 0 && link.heard_at > since;
--- a/src/regions/links.hpp
+++ b/src/regions/links.hpp
@@ -21,11 +21,11 @@
 /// that can't be sent now is dropped: what matters is sent again by who keeps it.
 class Links : public RegionNetwork {
  public:
-  using Heard = std::function<void(const std::string& region, const RegionFrame& frame)>;
+  using FrameHandler = std::function<void(const std::string& region, const RegionFrame& frame)>;
 
   /// `fencing_token` is that of this controller's leadership, 0 while it does not lead.
   Links(net::EvReactor& reactor, const base::Settings& settings,
-        std::function<std::uint64_t()> fencing_token, Heard heard);
+        std::function<std::uint64_t()> fencing_token, FrameHandler heard);
 
   /// False when the address that the operator's XML gives this controller can't be listened on.
   bool listen();
@@ -35,7 +35,7 @@
   void send(const std::string& region, const RegionFrame& frame) override;
 
   /// Time between hellos on a connection.
-  static double hello_every(const base::Settings& settings) {
+  static double peer_heartbeat_interval(const base::Settings& settings) {
     return settings.heartbeat_interval_s;
   }
 
@@ -52,7 +52,7 @@
     net::Signal filled;
     std::deque<std::string> frames;
     SharedFd fd;
-    double next_hello = 0;
+    double next_heartbeat = 0;
     std::uint64_t fencing_token = 0;  ///< as its last hello had it; 0: it does not lead
     double heard_at = -1e9;
   };
@@ -61,19 +61,19 @@
   net::Task<void> serve(net::Fd fd);
   net::Task<void> keep(Link& link);
   net::Task<void> connect(Link& link);
-  net::Task<void> read_hellos(Link& link, SharedFd fd);
+  net::Task<void> read_heartbeats(Link& link, SharedFd fd);
   /// The frames that came next; nothing at the end of the connection or after a bad frame.
   net::Task<std::optional<std::vector<RegionFrame>>> receive(int fd, Session& session);
   static void close(Link& link);
   std::string take_due(Link& link);
   /// The connection to the region's leader, as an index; nothing when none is known.
   std::optional<std::size_t> leader_link(const std::string& region) const;
-  RegionHello hello() const;
+  RegionHeartbeat heartbeat() const;
 
   net::EvReactor& reactor_;
   const base::Settings& settings_;
   std::function<std::uint64_t()> fencing_token_;
-  Heard heard_;
+  FrameHandler heard_;
   std::vector<std::unique_ptr<Link>> links_;
   net::Fd listener_;
   net::Scope readers_;
--- a/src/regions/session.cpp
+++ b/src/regions/session.cpp
@@ -16,19 +16,19 @@
 }
 
 std::string Session::check(const RegionFrame& frame) {
-  const auto* hello = std::get_if<RegionHello>(&frame);
-  if (hello == nullptr) return region_.empty() ? "it did not begin with a hello" : "";
-  if (hello->region == settings_.self || settings_.find(hello->region) == nullptr) {
-    return "the region " + hello->region + " is not known";
+  const auto* heartbeat = std::get_if<RegionHeartbeat>(&frame);
+  if (heartbeat == nullptr) return region_.empty() ? "it did not begin with a hello" : "";
+  if (heartbeat->region == settings_.self || settings_.find(heartbeat->region) == nullptr) {
+    return "the region " + heartbeat->region + " is not known";
   }
-  if (!region_.empty() && hello->region != region_) {
-    return "region " + region_ + " calls itself " + hello->region;
+  if (!region_.empty() && heartbeat->region != region_) {
+    return "region " + region_ + " calls itself " + heartbeat->region;
   }
-  if (hello->founder != settings_.founder) {
-    return "region " + hello->region + " names " + hello->founder + " as the founder, not " +
-           settings_.founder;
+  if (heartbeat->founder != settings_.founder) {
+    return "region " + heartbeat->region + " names " + heartbeat->founder +
+           " as the founder, not " + settings_.founder;
   }
-  region_ = hello->region;
+  region_ = heartbeat->region;
   return {};
 }
 
--- a/tests/frame_compatibility_test.cpp
+++ b/tests/frame_compatibility_test.cpp
@@ -18,7 +18,7 @@
 // Between controllers. A frame begins with the length of what follows its header (two bytes), the
 // version and the kind.
 
-const peer::Hello kHello{
+const peer::PeerHeartbeat kHello{
     "winch-1",          0x0102030405060708, true,      true, 0x1112131415161718, 0x2122232425262728,
     0x3132333435363738, 0x4142434445464748, 0x51525354};
 const std::string kHelloBytes = bytes(
@@ -62,13 +62,13 @@
 }
 
 TEST(ControllerFrames, EachFlagOfAHelloHasItsPlace) {
-  peer::Hello state_only = kHello;
+  peer::PeerHeartbeat state_only = kHello;
   state_only.hears_workers = false;
   std::string state_only_bytes = kHelloBytes;
   state_only_bytes[21] = '\0';
   EXPECT_EQ(peer::pack(state_only), state_only_bytes);
   EXPECT_EQ(unpacked(state_only_bytes), peer::Frame(state_only));
-  peer::Hello workers_only = kHello;
+  peer::PeerHeartbeat workers_only = kHello;
   workers_only.reaches_state = false;
   std::string workers_only_bytes = kHelloBytes;
   workers_only_bytes[20] = '\0';
@@ -77,15 +77,15 @@
 }
 
 TEST(ControllerFrames, AHelloThatNeverAnsweredAloneIsPackedWithOnes) {
-  peer::Hello hello;
-  hello.name = "a";
+  peer::PeerHeartbeat peer_heartbeat;
+  peer_heartbeat.name = "a";
   const std::string expected = bytes(
                                    "\x00\x30\x02\x01"
                                    "\x01"
                                    "a") +
                                std::string(42, '\0') + bytes("\xff\xff\xff\xff");
-  EXPECT_EQ(peer::pack(hello), expected);
-  EXPECT_EQ(unpacked(expected), peer::Frame(hello));
+  EXPECT_EQ(peer::pack(peer_heartbeat), expected);
+  EXPECT_EQ(unpacked(expected), peer::Frame(peer_heartbeat));
 }
 
 TEST(ControllerFrames, AForwardedReportIsPackedAndUnpacked) {
@@ -118,7 +118,7 @@
 }
 
 TEST(FramesBetweenRegions, AHelloIsPackedAndUnpacked) {
-  expect_region_frame(regions::RegionHello{"east", "winch-1", "west", 0x0102030405060708},
+  expect_region_frame(regions::RegionHeartbeat{"east", "winch-1", "west", 0x0102030405060708},
                       bytes("\x00\x1a\x01\x01"
                             "\x04"
                             "east"
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 TEST(Peer, AFrameIsTheSameBytesEverywhereAndSurvivesSplitting) {
-  const Hello hello{"n1", 0x0102, true, false, 3, 4, 5, 6, 7};
-  const std::string bytes = pack(hello);
+  const PeerHeartbeat peer_heartbeat{"n1", 0x0102, true, false, 3, 4, 5, 6, 7};
+  const std::string bytes = pack(peer_heartbeat);
   EXPECT_EQ(bytes, std::string("\x00\x31\x02\x01\x02n1\0\0\0\0\0\0\x01\x02\x01\x00"
                                "\0\0\0\0\0\0\0\x03\0\0\0\0\0\0\0\x04"
                                "\0\0\0\0\0\0\0\x05\0\0\0\0\0\0\0\x06\0\0\0\x07",
@@ -23,7 +23,7 @@
   const Frame forwarded = ForwardedHeartbeat{9, "{}"},
               answer = ForwardedResponse{9, 200, 41, 1500, "{\"a\":1}"};
   buffer += bytes.back() + pack(forwarded) + pack(answer);
-  for (const Frame& expected : {Frame(hello), forwarded, answer}) {
+  for (const Frame& expected : {Frame(peer_heartbeat), forwarded, answer}) {
     ASSERT_EQ(unpack(buffer, out), Unpacked::frame);
     EXPECT_EQ(out, expected);
   }
@@ -35,7 +35,7 @@
     Frame out;
     return unpack(bytes, out);
   };
-  const std::string bytes = pack(Hello{"n1", 1, true, true});
+  const std::string bytes = pack(PeerHeartbeat{"n1", 1, true, true});
   // Version, kind, the name's length, a flag that is neither 0 nor 1.
   for (const auto& [at, value] : {std::pair<std::size_t, char>{2, 9}, {3, 7}, {4, 60}, {15, 2}}) {
     std::string bad = bytes;
--- a/tests/report_forwarder_test.cpp
+++ b/tests/report_forwarder_test.cpp
@@ -26,9 +26,9 @@
     });
   }
   void hear(std::uint64_t fencing_token = 7) {
-    peer::Hello hello{"n9", fencing_token, true, true};
-    hello.sent_ms = 5;
-    forwarder.heard(hello);
+    peer::PeerHeartbeat peer_heartbeat{"n9", fencing_token, true, true};
+    peer_heartbeat.sent_clock_ms = 5;
+    forwarder.heard(peer_heartbeat);
   }
   /// The status, once the worker's patience is nearly over at the latest.
   int forward(std::uint64_t fencing_token = 7, int delegation_ms = -1) {
@@ -43,9 +43,9 @@
     return task.take().status;
   }
   bool answered_alone() const {
-    peer::Hello hello;
-    forwarder.describe(hello);
-    return hello.delegate_responded_ms != peer::kNever;
+    peer::PeerHeartbeat peer_heartbeat;
+    forwarder.describe(peer_heartbeat);
+    return peer_heartbeat.delegate_responded_ms != peer::kNever;
   }
 };
 
@@ -199,8 +199,8 @@
   restarted.set_send([&](const std::string&, const peer::Frame& frame) {
     c.sent.push_back(std::get<peer::ForwardedHeartbeat>(frame));
   });
-  peer::Hello hello{"n9", 7, true, true};
-  restarted.heard(hello);
+  peer::PeerHeartbeat peer_heartbeat{"n9", 7, true, true};
+  restarted.heard(peer_heartbeat);
   auto task = restarted.forward(heartbeat("n-1", 1, 2), "{}", [] { return 0.0; });
   task.start();
   ASSERT_EQ(c.sent.size(), 1u);
--- a/tests/sharing_rule_test.cpp
+++ b/tests/sharing_rule_test.cpp
@@ -125,7 +125,7 @@
 
 // ---- frames ----
 
-const std::vector<RegionFrame> kFrames = {RegionHello{"east", "winch-1", "west", 41},
+const std::vector<RegionFrame> kFrames = {RegionHeartbeat{"east", "winch-1", "west", 41},
                                           ShareRequest{"team", gpus(1, 2), 1'700'000'000'000},
                                           ShareTransfer{7, "team", gpus(0, 3)}, ShareReceipt{7}};
 
@@ -164,7 +164,7 @@
   EXPECT_EQ(result_of(pack(ShareTransfer{1, "", {}})), FrameResult::malformed_fields);
   EXPECT_EQ(result_of(pack(ShareTransfer{1, "team", gpus(0, -1)})), FrameResult::malformed_fields);
   EXPECT_EQ(result_of(pack(ShareRequest{"team", gpus(-1, 0), 0})), FrameResult::malformed_fields);
-  EXPECT_EQ(result_of(pack(RegionHello{"", "m", "f", 1})), FrameResult::malformed_fields);
+  EXPECT_EQ(result_of(pack(RegionHeartbeat{"", "m", "f", 1})), FrameResult::malformed_fields);
   for (const auto result : {FrameResult::other_version, FrameResult::unknown_kind,
                             FrameResult::too_long, FrameResult::malformed_fields}) {
     EXPECT_FALSE(std::string(describe(result)).empty());
@@ -180,12 +180,12 @@
 TEST(RegionSession, TakesFramesInTheirOrderFromTheRegionThatSaidHello) {
   const auto settings = east_and_west();
   Session agent_epoch(settings);
-  const RegionHello hello{"west", "winch-1", "west", 7};
-  const std::string bytes = pack(hello) + pack(kFrames[2]);
+  const RegionHeartbeat peer_heartbeat{"west", "winch-1", "west", 7};
+  const std::string bytes = pack(peer_heartbeat) + pack(kFrames[2]);
   EXPECT_TRUE(agent_epoch.feed(bytes.substr(0, 9)).frames.empty());
   const auto arrived = agent_epoch.feed(bytes.substr(9));
   EXPECT_EQ(arrived.error, "");
-  EXPECT_EQ(arrived.frames, (std::vector<RegionFrame>{hello, kFrames[2]}));
+  EXPECT_EQ(arrived.frames, (std::vector<RegionFrame>{peer_heartbeat, kFrames[2]}));
   EXPECT_EQ(agent_epoch.region(), "west");
 }
 
@@ -195,17 +195,20 @@
     Session agent_epoch(settings);
     return agent_epoch.feed(bytes).error;
   };
-  const std::string hello = pack(RegionHello{"west", "m", "west", 7});
+  const std::string peer_heartbeat = pack(RegionHeartbeat{"west", "m", "west", 7});
   EXPECT_EQ(error_of(pack(kFrames[2])), "it did not begin with a hello");
-  EXPECT_EQ(error_of(pack(RegionHello{"north", "m", "west", 7})), "the region north is not known");
-  EXPECT_EQ(error_of(pack(RegionHello{"east", "m", "west", 7})), "the region east is not known");
-  EXPECT_EQ(error_of(pack(RegionHello{"west", "m", "east", 7})),
+  EXPECT_EQ(error_of(pack(RegionHeartbeat{"north", "m", "west", 7})),
+            "the region north is not known");
+  EXPECT_EQ(error_of(pack(RegionHeartbeat{"east", "m", "west", 7})),
+            "the region east is not known");
+  EXPECT_EQ(error_of(pack(RegionHeartbeat{"west", "m", "east", 7})),
             "region west names east as the founder, not west");
-  std::string other_version = hello;
+  std::string other_version = peer_heartbeat;
   other_version[2] = 2;
   EXPECT_EQ(error_of(other_version), "a frame of another version");
   Session agent_epoch(settings);
-  const auto arrived = agent_epoch.feed(hello + pack(kFrames[2]) + std::string("\x7f\xff\x01\x02"));
+  const auto arrived =
+      agent_epoch.feed(peer_heartbeat + pack(kFrames[2]) + std::string("\x7f\xff\x01\x02"));
   EXPECT_EQ(arrived.frames.size(), 2U) << "what came before is used";
   EXPECT_EQ(arrived.error, "a frame that is too long");
 }
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -197,11 +197,11 @@
       Sleep pause(reactor, kLook);
       co_await pause;
     }
-    const auto hello = hosts_[static_cast<std::size_t>(node)]->node.hello();
+    const auto peer_heartbeat = hosts_[static_cast<std::size_t>(node)]->node.peer_heartbeat();
     for (int other = 0; other < static_cast<int>(hosts_.size()); ++other) {
-      if (other != node) scope_.spawn(deliver(node, other, hello));
+      if (other != node) scope_.spawn(deliver(node, other, peer_heartbeat));
     }
-    Sleep pause(reactor, control::Node::hello_every(base_settings));
+    Sleep pause(reactor, control::Node::peer_heartbeat_interval(base_settings));
     co_await pause;
   }
 }
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -171,19 +171,19 @@
 
 // The older version drops a link on which a frame has another version, kind or length.
 TEST(Versions, FramesBetweenControllersAreThoseOfProduction) {
-  peer::Hello hello;
-  hello.name = "n0";
-  hello.fencing_token = 5;
-  hello.reaches_state = true;
-  hello.run = 2;
-  hello.sent_ms = 3;
-  hello.delegate_responded_ms = 7;
+  peer::PeerHeartbeat peer_heartbeat;
+  peer_heartbeat.name = "n0";
+  peer_heartbeat.fencing_token = 5;
+  peer_heartbeat.reaches_state = true;
+  peer_heartbeat.incarnation = 2;
+  peer_heartbeat.sent_clock_ms = 3;
+  peer_heartbeat.delegate_responded_ms = 7;
   std::string expected("\x00\x31\x02\x01", 4);
   expected += std::string("\x02n0", 3) + std::string("\0\0\0\0\0\0\0\x05", 8);
   expected += std::string("\x01\x00", 2) + std::string("\0\0\0\0\0\0\0\x02", 8);
   expected += std::string("\0\0\0\0\0\0\0\x03", 8) + std::string(16, '\0');
   expected += std::string("\0\0\0\x07", 4);
-  EXPECT_EQ(peer::pack(hello), expected);
+  EXPECT_EQ(peer::pack(peer_heartbeat), expected);
   std::string forwarded = peer::pack(peer::ForwardedHeartbeat{9, "ab"});
   EXPECT_EQ(forwarded, std::string("\x00\x0c\x02\x02\0\0\0\0\0\0\0\x09\x00\x02"
                                    "ab",
