--- a/lab/chats.cpp
+++ b/lab/chats.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr double kTimeout = 10;  ///< of a user for the answer to one request
-constexpr std::size_t kMostConnections = 4096;
-constexpr std::size_t kMostBody = std::size_t{64} * 1024;
+constexpr std::size_t kMaxConnections = 4096;
+constexpr std::size_t kMaxBody = std::size_t{64} * 1024;
 constexpr const char* kChatPath = "/chat";
 constexpr const char* kDrainPath = "/drains";
 
@@ -42,8 +42,8 @@
       plan_(plan),
       region_(region),
       random_(seed),
-      client_(reactor, kMostBody, kMostConnections),
-      router_(static_cast<std::size_t>(plan.most_chats)) {
+      client_(reactor, kMaxBody, kMaxConnections),
+      router_(static_cast<std::size_t>(plan.max_chats)) {
   region.set_replica_server([this](const testing::WorkerStandIn& worker, Request request) {
     return serve_replica(worker, std::move(request));
   });
--- a/lab/fragments.cpp
+++ b/lab/fragments.cpp
@@ -86,8 +86,8 @@
 
 // ---- what is played ----
 
-Task<bool> Fragments::wait_until(std::function<bool()> holds, double most_s) {
-  const double until = reactor_.now() + most_s;
+Task<bool> Fragments::wait_until(std::function<bool()> holds, double timeout_s) {
+  const double until = reactor_.now() + timeout_s;
   while (!holds() && reactor_.now() < until) {
     Sleep pause(reactor_, kPoll);
     co_await pause;
--- a/lab/fragments.hpp
+++ b/lab/fragments.hpp
@@ -45,7 +45,7 @@
   ClassPlan replicas(int tasks) const;
   ClassPlan demand() const;
   int running(const std::vector<std::string>& jobs) const;
-  net::Task<bool> wait_until(std::function<bool()> holds, double most_s);
+  net::Task<bool> wait_until(std::function<bool()> holds, double timeout_s);
   bool is_demand_running() const;
 
   net::EvReactor& reactor_;
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -258,7 +258,7 @@
     });
   }
   running_ = held.size();
-  most_running_ = std::max(most_running_, running_);
+  max_running_ = std::max(max_running_, running_);
   rules_.look(held, reactor_.now());
 }
 
@@ -428,7 +428,7 @@
   }
   w.key("starts_in_busiest_second").integer(most);
   w.key("starts_a_second_in_peak").amount(in_peak / std::max(plan_.peak_for_s, 1.0));
-  w.key("most_tasks").count(most_running_);
+  w.key("most_tasks").count(max_running_);
   std::vector<double> seconds, requests;
   for (const auto& shortage : controllers_.shortages()) {
     seconds.push_back(shortage.seconds);
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -94,7 +94,7 @@
   std::map<std::string, Job> jobs_;
   std::map<std::string, Counts> counts_;  ///< by class
   std::map<int, int> starts_by_second_;
-  std::size_t most_running_ = 0, running_ = 0;
+  std::size_t max_running_ = 0, running_ = 0;
   int faults_played_ = 0, next_id_ = 0;
   std::vector<double> takeover_s_;
   bool played_ = false;
--- a/lab/settings.cpp
+++ b/lab/settings.cpp
@@ -100,7 +100,7 @@
   for (const auto& [name, into] :
        {std::pair<const char*, int&>{"replicas_per_job", fragments.replicas_per_job},
         {"turns", fragments.turns},
-        {"most_chats", fragments.most_chats},
+        {"most_chats", fragments.max_chats},
         {"demand_tasks", fragments.demand_tasks}}) {
     if (in.has(name)) into = in.count(name, 1);
   }
--- a/lab/settings.hpp
+++ b/lab/settings.hpp
@@ -45,7 +45,7 @@
   double turn_s = 0.3;                                      ///< a replica's time for an answer
   double pause_s = 0.7;                                     ///< of a user between two requests
   double endless_share = 0;                                 ///< of chats that end only with the run
-  int most_chats = 20;                                      ///< that a replica carries
+  int max_chats = 20;                                       ///< that a replica carries
   double demand_after_s = 4;                                ///< from the first chat on
   int demand_tasks = 2;                                     ///< each takes a whole worker
   bool kill_leader = false;                                 ///< in the middle of its first plan
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -40,14 +40,14 @@
 /// Bytes of an answer. A page of the state service holds up to 512 KiB, a watch's changes any
 /// number: what is too long is read page by page instead. Text, parsed tree and what is made of it
 /// stand side by side for a moment, some six times the text in all.
-std::size_t most_answer(const Settings& settings) {
+std::size_t max_response(const Settings& settings) {
   constexpr double kPartOfMemory = 1.0 / 16;
   const auto part = static_cast<std::size_t>(settings.ram_mb * kPartOfMemory * kMiB);
   return std::clamp(part, kMiB, 4 * kMiB);
 }
 
 /// Bytes of all requests together that are being received or answered.
-std::size_t most_request_bytes(const Settings& settings) {
+std::size_t max_request_bytes(const Settings& settings) {
   constexpr double kPartOfMemory = 1.0 / 6;
   return static_cast<std::size_t>(settings.ram_mb * kPartOfMemory * kMiB);
 }
@@ -57,7 +57,7 @@
   net::EvReactor reactor;
   // Of the sockets that are not public: a sixth and an eighth for calls, to workers for the most
   // part, and the connections kept for them. The rest is for the other controllers.
-  net::HttpClient client(reactor, most_answer(settings),
+  net::HttpClient client(reactor, max_response(settings),
                          static_cast<std::size_t>(settings.fd_limit) * 7 / 24);
   store::Client store(reactor, client, settings);
   cloud::Client cloud(reactor, client, settings);
@@ -66,7 +66,7 @@
 
   net::ServerLimits limits;
   limits.connections = base::public_connections(settings);
-  limits.request_bytes = most_request_bytes(settings);
+  limits.request_bytes = max_request_bytes(settings);
   limits.idle_s = 4 * settings.lease_s;
   net::HttpServer server(reactor, limits,
                          [&](net::Request request) { return node.handle(std::move(request)); });
--- a/src/base/defrag_settings.cpp
+++ b/src/base/defrag_settings.cpp
@@ -15,11 +15,11 @@
 }
 
 double read_interval(const pugi::xml_attribute& attribute, const std::string& path) {
-  constexpr double kLeast = 1;
+  constexpr double kMin = 1;
   char* end = nullptr;
   const double seconds = std::strtod(attribute.value(), &end);
-  if (end == attribute.value() || *end != 0 || !(seconds >= kLeast)) {
-    fail(path, attribute, "a number of at least " + std::to_string(kLeast));
+  if (end == attribute.value() || *end != 0 || !(seconds >= kMin)) {
+    fail(path, attribute, "a number of at least " + std::to_string(kMin));
   }
   return seconds;
 }
--- a/src/base/region_settings.cpp
+++ b/src/base/region_settings.cpp
@@ -11,8 +11,8 @@
 namespace cranklock::base {
 namespace {
 
-constexpr std::size_t kMostRegionName = 64;  // the most that a frame holds
-constexpr double kSlack = 1e-9;              // sums of decimal fractions
+constexpr std::size_t kMaxRegionName = 64;  // the most that a frame holds
+constexpr double kSlack = 1e-9;             // sums of decimal fractions
 
 [[noreturn]] void fail(const std::string& path, const std::string& field,
                        const std::string& expected) {
@@ -21,7 +21,7 @@
 
 /// Names become parts of keys in the state service.
 bool valid_name(std::string_view name) {
-  return !name.empty() && name.size() <= kMostRegionName &&
+  return !name.empty() && name.size() <= kMaxRegionName &&
          std::all_of(name.begin(), name.end(), [](char c) {
            return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
                   c == '-' || c == '_' || c == '.';
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -95,10 +95,10 @@
         {"down_cooldown_s", {real(sc.down_cooldown_s), 0.0}},
         {"step_machines", {whole(sc.step_machines), 1, true}},
         {"step_share", {real(sc.step_share), 0.0}},
-        {"most_step", {whole(sc.most_step), 1, true}},
-        {"most_step_share", {real(sc.most_step_share), 0.0}},
-        {"least_machines", {whole(sc.least_machines), 0, true}},
-        {"most_machines", {whole(sc.most_machines), 1, true}}}},
+        {"most_step", {whole(sc.max_step), 1, true}},
+        {"most_step_share", {real(sc.max_step_share), 0.0}},
+        {"least_machines", {whole(sc.min_machines), 0, true}},
+        {"most_machines", {whole(sc.max_machines), 1, true}}}},
       {"machines", {{"boot_patience", {real(o.boot_patience), 1.0}}}}};
   for (const auto& element : root.children()) {
     if (element.type() != pugi::node_element) continue;
@@ -135,7 +135,7 @@
     }
   }
   if (sc.low >= sc.high) throw SettingsError(path + ": scaler/low: expected a number below high");
-  if (sc.least_machines > sc.most_machines) {
+  if (sc.min_machines > sc.max_machines) {
     throw SettingsError(path + ": scaler/least_machines: expected at most most_machines");
   }
 }
@@ -152,14 +152,14 @@
     throw SettingsError(xml_path + ": region " + regions.self + ": expected the controller " +
                         settings.name);
   }
-  constexpr int kLeastChanges = 4;  // the largest step of a transfer: two counters, share, transfer
-  if (settings.txn_ops < kLeastChanges) {
+  constexpr int kMinMutations = 4;  // the largest step of a transfer: two counters, share, transfer
+  if (settings.txn_ops < kMinMutations) {
     throw SettingsError(xml_path + ": regions: expected a state service with txn_ops of at least " +
-                        std::to_string(kLeastChanges));
+                        std::to_string(kMinMutations));
   }
-  constexpr std::size_t kMostTeamName = 64;
+  constexpr std::size_t kMaxTeamName = 64;
   for (const auto& team : settings.teams) {
-    if (team.name.size() > kMostTeamName || team.name.find_first_of(" /") != std::string::npos) {
+    if (team.name.size() > kMaxTeamName || team.name.find_first_of(" /") != std::string::npos) {
       throw SettingsError(xml_path + ": regions: expected team names of at most 64 bytes without " +
                           "spaces and slashes, not " + team.name);
     }
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -41,12 +41,12 @@
   double up_cooldown_s = 4.0, down_cooldown_s = 10.0;
   /// A step up is what is missing, but never more than the larger of so many machines and this
   /// share of the pool.
-  int most_step = 50;
-  double most_step_share = 0.25;
-  int step_machines = 1;        ///< a step down is the larger of this
-  double step_share = 0.05;     ///< and this share of the pool
-  int least_machines = 0;       ///< per pool
-  int most_machines = 100'000;  ///< per pool; what the cloud has is the limit long before
+  int max_step = 50;
+  double max_step_share = 0.25;
+  int step_machines = 1;       ///< a step down is the larger of this
+  double step_share = 0.05;    ///< and this share of the pool
+  int min_machines = 0;        ///< per pool
+  int max_machines = 100'000;  ///< per pool; what the cloud has is the limit long before
 };
 
 struct OperatorSettings {
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -62,19 +62,19 @@
 }
 
 double Client::list_interval(const base::Settings& settings, std::size_t machines) {
-  constexpr double kLeast = 1.0;
+  constexpr double kMin = 1.0;
   constexpr double kListShare = 0.5;  // of the calls for other things than rentals
   const double calls_per_s = settings.cloud_rps / 2 * kListShare;
-  const std::size_t pages = 1 + machines / kMostListed;
-  return std::max({settings.list_lag_s / 4, kLeast, static_cast<double>(pages) / calls_per_s});
+  const std::size_t pages = 1 + machines / kMaxListed;
+  return std::max({settings.list_lag_s / 4, kMin, static_cast<double>(pages) / calls_per_s});
 }
 
 net::Task<std::optional<std::vector<wire::ListedMachine>>> Client::list() {
   std::vector<wire::ListedMachine> all;
   for (;;) {
     net::Request request{"GET", "/rentals",
-                         wire::machine_page_query(all.empty() ? "" : all.back().id, kMostListed),
-                         "", true};
+                         wire::machine_page_query(all.empty() ? "" : all.back().id, kMaxListed), "",
+                         true};
     auto sending = send(std::move(request), others_);
     const auto reply = co_await sending;
     if (reply.status() != 200) co_return std::nullopt;
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -14,11 +14,11 @@
 namespace cranklock::cloud {
 
 /// Names in one deletion request, at most (PROTOCOL).
-inline constexpr std::size_t kMostDeletions = 100;
+inline constexpr std::size_t kMaxDeletions = 100;
 /// Machines that one rental request may ask for, at most (PROTOCOL).
-inline constexpr int kMostRented = 50;
+inline constexpr int kMaxMachinesPerRequest = 50;
 /// Machines on a page of the list, at most (PROTOCOL).
-inline constexpr int kMostListed = 500;
+inline constexpr int kMaxListed = 500;
 
 enum class Removal {
   done,         ///< proof that the machines are gone
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -57,7 +57,7 @@
       continue;
     // A worker not heard of lately would only leave starts in doubt.
     if (at - m->last_heartbeat > 2 * services_.settings.heartbeat_interval_s) continue;
-    if (calling_.size() >= most_calls()) return;
+    if (calling_.size() >= max_calls()) return;
     if (calling_.insert(id).second) scope_.spawn(send_to(id));
   }
 }
@@ -158,7 +158,7 @@
       due.push_back(id);
     }
     for (const auto& id : due) {
-      if (calling_.size() >= most_calls() / 2) break;
+      if (calling_.size() >= max_calls() / 2) break;
       announced_at_[id] = at;
       if (calling_.insert(id).second) scope_.spawn(send_fencing_token(id));
     }
--- a/src/control/command_sender.hpp
+++ b/src/control/command_sender.hpp
@@ -50,7 +50,7 @@
   double now() const { return services_.reactor.now(); }
   /// Guards the sockets against hung machines by the hundred, each of which holds one until its
   /// call's time is over.
-  std::size_t most_calls() const {
+  std::size_t max_calls() const {
     return static_cast<std::size_t>(services_.settings.fd_limit) / 8;
   }
 
--- a/src/control/ending_reader.cpp
+++ b/src/control/ending_reader.cpp
@@ -8,14 +8,14 @@
 using store::Status;
 
 namespace {
-constexpr std::size_t kMostAtOnce = 8;
+constexpr std::size_t kMaxAtOnce = 8;
 }
 
 void OutcomeReader::read_unknown() {
   const double now = reactor_.now();
   std::erase_if(retry_at_, [&](const auto& entry) { return entry.second <= now; });
   for (const auto& id : cluster_.unknown_outcomes()) {
-    if (reading_.size() >= kMostAtOnce) return;
+    if (reading_.size() >= kMaxAtOnce) return;
     if (retry_at_.contains(id)) continue;
     if (reading_.insert(id).second) scope_.spawn(read_one(id));
   }
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -108,10 +108,10 @@
   for (const auto& [id, m] : cluster_.machines()) {
     if (!m.terminating || !may_delete(m)) continue;
     auto& list = id > deletions_after_ ? names : from_start;
-    if (list.size() < most_deletions_) list.push_back(id);
+    if (list.size() < max_deletions_) list.push_back(id);
   }
   for (auto& id : from_start) {
-    if (names.size() < most_deletions_) names.push_back(std::move(id));
+    if (names.size() < max_deletions_) names.push_back(std::move(id));
   }
   return names;
 }
@@ -124,10 +124,10 @@
   if (removal == cloud::Removal::refused) {
     spdlog::error("the cloud refuses to delete {} machines, {} among them", names.size(),
                   names.front());
-    most_deletions_ = std::max<std::size_t>(names.size() / 2, 1);
+    max_deletions_ = std::max<std::size_t>(names.size() / 2, 1);
     return;
   }
-  most_deletions_ = std::min(2 * most_deletions_, cloud::kMostDeletions);
+  max_deletions_ = std::min(2 * max_deletions_, cloud::kMaxDeletions);
   note_deleted(names);
   for (const auto& name : names) cluster_.remove_machine(name, now());
   work_.set();
@@ -139,7 +139,7 @@
     co_await wait;
     const auto names = due_deletions();
     if (names.empty()) continue;
-    const bool may_be_more = names.size() == most_deletions_;
+    const bool may_be_more = names.size() == max_deletions_;
     auto terminating = services_.cloud.remove(names);
     const auto removal = co_await terminating;
     note_removal(names, removal);
--- a/src/control/machine_lifecycle.hpp
+++ b/src/control/machine_lifecycle.hpp
@@ -57,7 +57,7 @@
   double term_began_;
   /// The next deletion names so many machines at most, beginning after this one: requests that the
   /// cloud refuses become smaller and pass on, so that one name does not hold up all others.
-  std::size_t most_deletions_ = cloud::kMostDeletions;
+  std::size_t max_deletions_ = cloud::kMaxDeletions;
   std::string deletions_after_;
   /// When they were deleted: names never come back, but a lagging list or a late report may show
   /// them for a while yet.
--- a/src/control/needs_check.cpp
+++ b/src/control/needs_check.cpp
@@ -9,7 +9,7 @@
 namespace {
 /// Jobs read for one request. What was read is trusted for a while, so a user who asks again gets
 /// further.
-constexpr int kMostReads = 32;
+constexpr int kMaxReads = 32;
 }  // namespace
 
 Task<DependencyCheck::Verdict> DependencyCheck::look_at(std::string id, Progress& progress,
@@ -22,7 +22,7 @@
     dependencies = live->dependencies;
     co_return Verdict::clear;
   }
-  if (++progress.reads > kMostReads || sent >= progress.until) co_return Verdict::unclear;
+  if (++progress.reads > kMaxReads || sent >= progress.until) co_return Verdict::unclear;
   auto finding = lookup_.find(id);
   const auto found = co_await finding;
   switch (found.kind) {
--- a/src/control/needs_check.hpp
+++ b/src/control/needs_check.hpp
@@ -28,13 +28,13 @@
   };
 
   DependencyCheck(net::Reactor& reactor, double cancel_s, JobLookup& lookup)
-      : reactor_(reactor), trusted_s_(cancel_s / 4), lookup_(lookup), live_(kMostTrusted) {}
+      : reactor_(reactor), trusted_s_(cancel_s / 4), lookup_(lookup), live_(kMaxTrusted) {}
 
   net::Task<Verdict> check(std::vector<std::string> dependencies);
 
  private:
   /// Jobs, several times those that are live at once in the fleets in service.
-  static constexpr std::size_t kMostTrusted = 16'384;
+  static constexpr std::size_t kMaxTrusted = 16'384;
 
   /// A job that was live and not cancelled.
   struct Live {
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -82,28 +82,28 @@
 }
 
 bool Node::connections_overloaded() const {
-  constexpr double kMostLoad = 0.5;  // the rest is for users and newcomers
-  return connection_load_ && connection_load_() > kMostLoad;
+  constexpr double kMaxLoad = 0.5;  // the rest is for users and newcomers
+  return connection_load_ && connection_load_() > kMaxLoad;
 }
 
 // A report that comes straight here costs two packets and a connection; forwarded ones come and go
 // together with others, at the expense of a node that has more to spare.
 bool Node::heartbeats_overloaded() {
-  constexpr double kMostShare = 0.1;  // of this node's own, for reports of its own zone
-  constexpr double kPackets = 2;      // a report and its answer
+  constexpr double kMaxShare = 0.1;  // of this node's own, for reports of its own zone
+  constexpr double kPackets = 2;     // a report and its answer
   const double cost =
       direct_heartbeats_.per_second(services_.reactor.now()) * kPackets * base::kPacketCost;
-  return cost > kMostShare * services_.settings.core_share || connections_overloaded();
+  return cost > kMaxShare * services_.settings.core_share || connections_overloaded();
 }
 
 // One after the other, and no more than a tenth of them in the time between two reports: the rate
 // tells only later what each has changed.
 double Node::relief_interval() {
-  constexpr double kFewest = 10, kMostPart = 0.1;
+  constexpr double kMin = 10, kMaxFraction = 0.1;
   const double heartbeat_interval_s = services_.settings.heartbeat_interval_s;
   const double direct =
       direct_heartbeats_.per_second(services_.reactor.now()) * heartbeat_interval_s;
-  return heartbeat_interval_s / std::max(kFewest, kMostPart * direct);
+  return heartbeat_interval_s / std::max(kMin, kMaxFraction * direct);
 }
 
 /// The zone's own controllers; any, where none stands in the zone.
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -127,8 +127,8 @@
     ++plan[{pool.type, least->first, pool.spot}];
   }
   for (const auto& [kind, n] : plan) {
-    for (int left = n; left > 0; left -= cloud::kMostRented) {
-      scope_.spawn(rent(kind, std::min(left, cloud::kMostRented)));
+    for (int left = n; left > 0; left -= cloud::kMaxMachinesPerRequest) {
+      scope_.spawn(rent(kind, std::min(left, cloud::kMaxMachinesPerRequest)));
     }
   }
 }
--- a/src/control/record.cpp
+++ b/src/control/record.cpp
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-std::vector<std::string> write_record(const sched::Job& job, std::size_t most_bytes) {
+std::vector<std::string> write_record(const sched::Job& job, std::size_t max_bytes) {
   std::vector<std::string> done, placements;
   for (const auto& [from, to] : job.done.ranges()) {
     done.push_back("[" + std::to_string(from) + "," + std::to_string(to) + "]");
@@ -82,7 +82,7 @@
       first = false;
       text.append("\"").append(name).append("\":[");
       bool begun = false;
-      while (next < from.size() && text.size() + from[next].size() + kFrame < most_bytes) {
+      while (next < from.size() && text.size() + from[next].size() + kFrame < max_bytes) {
         if (begun) text += ",";
         begun = true;
         text += from[next++];
--- a/src/control/record.hpp
+++ b/src/control/record.hpp
@@ -27,12 +27,12 @@
 std::string outcome_key(const std::string& id);
 std::string part_key(const std::string& id, int part);
 
-/// The texts of the main value and of its parts, none longer than `most_bytes`.
+/// The texts of the main value and of its parts, none longer than `max_bytes`.
 ///
 /// A job that needs others stands under another name in its record. A controller of a version from
 /// before such jobs takes the record for malformed and leaves it alone, where it would otherwise
 /// start the job's tasks too early and write the record again without what it needs (invariant 15).
-std::vector<std::string> write_record(const sched::Job& job, std::size_t most_bytes);
+std::vector<std::string> write_record(const sched::Job& job, std::size_t max_bytes);
 /// Reads the main value; `parts` says how many more there are.
 std::optional<sched::Job> read_record(const std::string& text, int& parts);
 /// Adds a part's lists. False if it is malformed or of another write than the main value;
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -27,14 +27,14 @@
 }
 
 Task<void> RecordReloader::run() {
-  constexpr std::size_t kMostAtOnce = 8;
+  constexpr std::size_t kMaxAtOnce = 8;
   for (;;) {
     const double every = settings_.heartbeat_interval_s / 4;
     net::Signal::Wait wait(due_, requested_.empty() ? 4 * every : every);
     co_await wait;
     const std::vector<std::string> due(requested_.begin(), requested_.end());
     for (const auto& id : due) {
-      if (reading_.size() >= kMostAtOnce) break;
+      if (reading_.size() >= kMaxAtOnce) break;
       if (reading_.insert(id).second) scope_.spawn(reload_requested(id));
     }
   }
--- a/src/control/report_forwarder.cpp
+++ b/src/control/report_forwarder.cpp
@@ -126,7 +126,7 @@
     return state_heard() < heard_at_ + settings_.heartbeat_interval_s / 2;
   };
   Response response;
-  if (body.size() < peer::kMostText) {
+  if (body.size() < peer::kMaxText) {
     Forwarding forwarding(*this, std::move(body));
     auto& pending = forwarding.pending;
     while (!pending.done && reactor_.now() < until) {
--- a/src/control/report_forwarder.hpp
+++ b/src/control/report_forwarder.hpp
@@ -33,8 +33,8 @@
         // Guards against an answer to a former run, whose question was held up on the way, being
         // taken for one to ours: the time of day goes faster than reports come.
         next_id_(static_cast<std::uint64_t>(reactor.wall_ms()) << 16),
-        trusted_(kMostWorkers),
-        visits_(kMostWorkers) {}
+        trusted_(kMaxWorkers),
+        visits_(kMaxWorkers) {}
 
   /// Without it nothing is forwarded.
   void set_send(Send send) { send_ = std::move(send); }
@@ -93,7 +93,7 @@
   };
   /// Workers of which something is remembered, some 150 bytes each; many times the machines of the
   /// fleets in service.
-  static constexpr std::size_t kMostWorkers = 32'768;
+  static constexpr std::size_t kMaxWorkers = 32'768;
 
   void send_to_leader(Forwarding& forwarding);
   bool may_respond_as_delegate(const wire::Heartbeat& heartbeat) const;
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -13,8 +13,8 @@
 using wire::JobState;
 
 namespace {
-constexpr double kShareOfRequests = 0.25;            ///< of this node's, for exchanges
-constexpr double kLeastInterval = kUserTimeout / 8;  ///< seconds
+constexpr double kShareOfRequests = 0.25;          ///< of this node's, for exchanges
+constexpr double kMinInterval = kUserTimeout / 8;  ///< seconds
 constexpr int kPageItems = 200;
 }  // namespace
 
@@ -29,7 +29,7 @@
 }
 
 double StatusCache::interval() const {
-  return std::max(1 / (kShareOfRequests * store_.request_rate()), kLeastInterval);
+  return std::max(1 / (kShareOfRequests * store_.request_rate()), kMinInterval);
 }
 
 bool StatusCache::note_question() {
@@ -89,7 +89,7 @@
   net::Sleep pace(reactor_, std::max(exchange_sent_ + interval() - reactor_.now(), 0.0));
   co_await pace;
   exchange_sent_ = reactor_.now();
-  if (revision_ && exchange_sent_ - caught_up_sent_ > std::max(most_gap(), 2 * interval())) {
+  if (revision_ && exchange_sent_ - caught_up_sent_ > std::max(max_gap(), 2 * interval())) {
     revision_.reset();
   }
   if (!revision_) {
@@ -107,7 +107,7 @@
 // From here on every change is taken in; what is stored already is read page by page. What is not
 // on the first page is not known yet, so its answer is as good as one with all changes.
 Task<void> StatusCache::begin() {
-  jobs_ = base::RecentMap<Entry>(kMostJobs);
+  jobs_ = base::RecentMap<Entry>(kMaxJobs);
   read_after_ = "";
   const double sent = exchange_sent_;
   auto reading = read_stored();
--- a/src/control/status_cache.hpp
+++ b/src/control/status_cache.hpp
@@ -33,7 +33,7 @@
         settings_(settings),
         store_(store),
         questions_(kRateWindow),
-        jobs_(kMostJobs) {}
+        jobs_(kMaxJobs) {}
 
   enum class Kind {
     known,        ///< live, with this status
@@ -58,9 +58,9 @@
   /// Over which the rate of questions is measured.
   static constexpr double kRateWindow = 2.0;
   /// Some 150 bytes each. A job that is forgotten costs a read when it is asked about.
-  static constexpr std::size_t kMostJobs = 16'384;
+  static constexpr std::size_t kMaxJobs = 16'384;
   /// An answer with all changes since the last exchange should be no longer than this.
-  static constexpr double kMostAnswerKb = 1024;
+  static constexpr double kMaxResponseKb = 1024;
 
   struct Entry {
     std::uint64_t revision = 0;
@@ -75,8 +75,8 @@
   void take_in(const std::vector<wire::StoredValue>& items);
   void wake_waiting();
   /// So long after an exchange, the next one's answer may be too large: all is read anew.
-  double most_gap() const {
-    return kMostAnswerKb / (settings_.state_write_rps * settings_.value_kb);
+  double max_gap() const {
+    return kMaxResponseKb / (settings_.state_write_rps * settings_.value_kb);
   }
 
   net::Reactor& reactor_;
--- a/src/control/users.cpp
+++ b/src/control/users.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 constexpr double kSlowAnswer = 0.1;
-constexpr double kLeastInProgress = 4;
+constexpr double kMinInProgress = 4;
 constexpr const char* kNoStateService = "the state service does not answer";
 }  // namespace
 
@@ -37,9 +37,9 @@
       lookup_(services.store, std::move(state_reached)),
       dependency_check_(services.reactor, services.settings.cancel_s, lookup_),
       status_cache_(services.reactor, services.settings, services.store),
-      limiter_(kLeastInProgress, services.settings.fd_limit / 8.0, kSlowAnswer),
+      limiter_(kMinInProgress, services.settings.fd_limit / 8.0, kSlowAnswer),
       // One that waits for a shared exchange is not slow.
-      question_limiter_(kLeastInProgress, services.settings.fd_limit / 8.0,
+      question_limiter_(kMinInProgress, services.settings.fd_limit / 8.0,
                         kSlowAnswer + 2 * status_cache_.interval()) {}
 
 Task<Response> Users::handle(Request request) {
--- a/src/defrag/move_budget.cpp
+++ b/src/defrag/move_budget.cpp
@@ -4,13 +4,13 @@
 #include <iterator>
 
 namespace cranklock::defrag {
-std::size_t MoveBudget::most_at_once(std::size_t tasks) const {
+std::size_t MoveBudget::max_at_once(std::size_t tasks) const {
   const auto share = static_cast<std::size_t>(settings_.share_at_once * static_cast<double>(tasks));
   return std::max<std::size_t>(share, 1);
 }
 
 std::size_t MoveBudget::left(const std::string& job, std::size_t tasks, double now) const {
-  const std::size_t most = std::max(settings_.moves_per_job_and_hour, most_at_once(tasks));
+  const std::size_t most = std::max(settings_.moves_per_job_and_hour, max_at_once(tasks));
   const auto known = jobs_.find(job);
   if (known == jobs_.end()) return most;
   const auto& begun = known->second.begun;
@@ -22,7 +22,7 @@
 bool MoveBudget::may_begin(const std::string& job, std::size_t tasks, double now) const {
   if (under_way_ >= at_once_) return false;
   const auto known = jobs_.find(job);
-  if (known != jobs_.end() && known->second.under_way >= most_at_once(tasks)) return false;
+  if (known != jobs_.end() && known->second.under_way >= max_at_once(tasks)) return false;
   return left(job, tasks, now) > 0;
 }
 
@@ -50,8 +50,8 @@
   --known->second.under_way;
   --under_way_;
   const bool slow = took_s > settings_.slow_s;
-  at_once_ = slow ? std::max<std::size_t>(at_once_ / 2, 1)
-                  : std::min(at_once_ + 1, settings_.most_at_once);
+  at_once_ =
+      slow ? std::max<std::size_t>(at_once_ / 2, 1) : std::min(at_once_ + 1, settings_.max_at_once);
 }
 
 void MoveBudget::forget_before(double time) {
--- a/src/defrag/move_budget.hpp
+++ b/src/defrag/move_budget.hpp
@@ -14,7 +14,7 @@
   std::size_t moves_per_job_and_hour = 4;
   /// Of a job's tasks, at most this share moves at once; a job of few tasks moves one.
   double share_at_once = 0.25;
-  std::size_t most_at_once = 32;
+  std::size_t max_at_once = 32;
   /// A move that takes longer speaks for fewer at once.
   double slow_s = 30;
 };
@@ -50,7 +50,7 @@
     std::size_t under_way = 0;
   };
   void forget_before(double time);
-  std::size_t most_at_once(std::size_t tasks) const;
+  std::size_t max_at_once(std::size_t tasks) const;
 
   MoveBudgetSettings settings_;
   std::map<std::string, JobMoves> jobs_;
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -115,7 +115,7 @@
           }};
 }
 
-void MoveExecutor::look(std::size_t most_bytes, std::int64_t wall_ms, double now) {
+void MoveExecutor::look(std::size_t max_bytes, std::int64_t wall_ms, double now) {
   // What is stored of a plan that is over has to go first: one plan at a time.
   if (wanted_.plan || stored_.plan || !knows_fleet(now)) return;
   std::erase_if(not_before_, [&](const auto& entry) { return entry.second <= now; });
@@ -134,7 +134,7 @@
     move.step = MoveStep::restarting;
     longest.past.push_back({move.task.job, wall_ms});
   }
-  if (write_move_record(longest).size() > most_bytes) return;
+  if (write_move_record(longest).size() > max_bytes) return;
   wanted_ = std::move(record);
   plan_known_ = now;
   placed_ = false;
--- a/src/defrag/move_executor.hpp
+++ b/src/defrag/move_executor.hpp
@@ -42,8 +42,8 @@
   /// Goes on with the plan as far as is possible now, or drops it.
   void advance(std::int64_t wall_ms, double now);
 
-  /// Looks for a plan where there is none. `most_bytes` bounds its record.
-  void look(std::size_t most_bytes, std::int64_t wall_ms, double now);
+  /// Looks for a plan where there is none. `max_bytes` bounds its record.
+  void look(std::size_t max_bytes, std::int64_t wall_ms, double now);
   bool has_plan() const { return wanted_.plan.has_value(); }
   /// Drops the plan, whatever its step.
   void drop(DropReason reason, double now);
--- a/src/defrag/move_plan.cpp
+++ b/src/defrag/move_plan.cpp
@@ -41,7 +41,7 @@
   if (!object.IsObject()) return std::nullopt;
   const auto machine = wire::read_text(object, "machine");
   const auto tasks = wire::read_count(object, "tasks");
-  if (!machine || !tasks || *tasks == 0 || *tasks > wire::kMostTasks) return std::nullopt;
+  if (!machine || !tasks || *tasks == 0 || *tasks > wire::kMaxTasks) return std::nullopt;
   return PlannedPlace{*machine, static_cast<std::uint32_t>(*tasks)};
 }
 
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -33,14 +33,14 @@
   // On a whole core a million looks take some tens of milliseconds; a smaller share looks less far.
   constexpr double kLooksOnACore = 500'000;
   PlanLimits limits;
-  limits.most_looks = static_cast<std::size_t>(kLooksOnACore * cluster.settings().core_share);
-  limits.most_cost_s = boot_s;
+  limits.max_candidates = static_cast<std::size_t>(kLooksOnACore * cluster.settings().core_share);
+  limits.max_cost_s = boot_s;
   return limits;
 }
 
 /// How many such tasks fit into so much room.
 double tasks_that_fit(const wire::Resources& task, const wire::Resources& resources) {
-  double tasks = wire::kMostTasks;
+  double tasks = wire::kMaxTasks;
   if (task.cpus > 0) tasks = std::min(tasks, std::floor(resources.cpus / task.cpus));
   if (task.gpus > 0) tasks = std::min(tasks, std::floor(resources.gpus / task.gpus));
   if (task.memory_gb > 0) tasks = std::min(tasks, std::floor(resources.memory_gb / task.memory_gb));
--- a/src/defrag/planner.cpp
+++ b/src/defrag/planner.cpp
@@ -13,7 +13,7 @@
 using wire::Resources;
 
 /// The order in which machines are emptied, where several cost the same or nearly so.
-enum class Preference { least_cost, fewest_moves, least_room };
+enum class Preference { min_cost, min_moves, min_resources };
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
@@ -24,9 +24,9 @@
 }
 
 double fetch_s(const Resident& resident, const Host& host) {
-  constexpr double kLeastRate = 0.01;
+  constexpr double kMinRate = 0.01;
   if (host.images.contains(resident.spec->image)) return 0;
-  return resident.spec->image_gb / std::max(host.fetch_gb_per_s, kLeastRate);
+  return resident.spec->image_gb / std::max(host.fetch_gb_per_s, kMinRate);
 }
 
 /// Residents whose moves make room for one task more on a host.
@@ -43,7 +43,7 @@
 
   /// One plan, or none. `zone` bounds where the demand is placed; empty: anywhere.
   std::optional<Plan> run(const std::string& zone, Preference preference);
-  bool looked_long() const { return looks_ >= limits_.most_looks; }
+  bool looked_long() const { return looks_ >= limits_.max_candidates; }
 
  private:
   /// What the plan has done to a host so far.
@@ -132,7 +132,7 @@
 }
 
 std::optional<Eviction> Search::cheapest_eviction(std::size_t host) {
-  constexpr std::size_t kMostTried = 10;
+  constexpr std::size_t kMaxTried = 10;
   const Host& from = hosts_[host];
   std::vector<std::size_t> movable;
   Resources most = use_[host].free;
@@ -150,7 +150,7 @@
     };
     return price(a) < price(b);
   });
-  if (movable.size() <= kMostTried) return best_subset(host, movable);
+  if (movable.size() <= kMaxTried) return best_subset(host, movable);
   Eviction eviction;
   Resources freed = use_[host].free;
   for (const auto i : movable) {
@@ -164,11 +164,11 @@
 
 double Search::priority(const Eviction& eviction, std::size_t host, Preference preference) const {
   switch (preference) {
-    case Preference::least_cost:
+    case Preference::min_cost:
       return eviction.cost_s;
-    case Preference::fewest_moves:
+    case Preference::min_moves:
       return static_cast<double>(eviction.residents.size());
-    case Preference::least_room:
+    case Preference::min_resources:
       break;
   }
   double size = 0;
@@ -276,8 +276,8 @@
 }  // namespace
 
 Planned plan_moves(const std::vector<Host>& hosts, const Demand& demand, const PlanLimits& limits) {
-  constexpr std::array kPreferences{Preference::least_cost, Preference::fewest_moves,
-                                    Preference::least_room};
+  constexpr std::array kPreferences{Preference::min_cost, Preference::min_moves,
+                                    Preference::min_resources};
   Planned planned;
   std::size_t looks = 0;
   Search search(hosts, demand, limits, looks);
@@ -285,7 +285,7 @@
     for (const auto preference : kPreferences) {
       auto plan = search.run(zone, preference);
       if (!plan) continue;
-      if (plan->moves.size() > limits.most_moves || plan->cost_s > limits.most_cost_s) {
+      if (plan->moves.size() > limits.max_moves || plan->cost_s > limits.max_cost_s) {
         planned.why = NoPlan::too_dear;
       } else if (!planned.plan || plan->cost_s < planned.plan->cost_s) {
         planned.plan = std::move(plan);
--- a/src/defrag/planner.hpp
+++ b/src/defrag/planner.hpp
@@ -43,11 +43,11 @@
 
 /// What a plan may cost, and how long it may be looked for.
 struct PlanLimits {
-  std::size_t most_moves = 64;
+  std::size_t max_moves = 64;
   /// A plan that costs more is not worth it: waiting, for a boot say, would cost less.
-  double most_cost_s = 1e9;
+  double max_cost_s = 1e9;
   /// Machines looked at, all searches together; bounds the planner's time.
-  std::size_t most_looks = 1'000'000;
+  std::size_t max_candidates = 1'000'000;
 };
 
 /// One resident's way to another machine. The room there is taken before the old room is free.
--- a/src/net/buffer_budget.hpp
+++ b/src/net/buffer_budget.hpp
@@ -12,7 +12,7 @@
  public:
   static constexpr std::size_t kAlwaysTaken = std::size_t{8} * 1024;
 
-  explicit BufferBudget(std::size_t most) : most_(most) {}
+  explicit BufferBudget(std::size_t max_bytes) : max_(max_bytes) {}
 
   std::size_t held() const { return held_; }
 
@@ -28,7 +28,7 @@
     bool grow(std::size_t bytes) {
       bytes_ += bytes;
       budget_.held_ += bytes;
-      return bytes_ <= kAlwaysTaken || budget_.held_ <= budget_.most_;
+      return bytes_ <= kAlwaysTaken || budget_.held_ <= budget_.max_;
     }
     /// The request has been answered.
     void release() {
@@ -42,7 +42,7 @@
   };
 
  private:
-  std::size_t most_;
+  std::size_t max_;
   std::size_t held_ = 0;
 };
 
--- a/src/net/limiter.cpp
+++ b/src/net/limiter.cpp
@@ -16,11 +16,11 @@
   best_s_ = best_s_ == 0.0 ? took_s : std::min(took_s, best_s_ * 1.01);
   if (took_s > 2 * best_s_ && took_s > target_s_) {
     if (now - shrunk_at_ > took_s) {
-      limit_ = std::max(least_, limit_ * 0.8);
+      limit_ = std::max(min_, limit_ * 0.8);
       shrunk_at_ = now;
     }
   } else {
-    limit_ = std::min(most_, limit_ + 1.0 / limit_);
+    limit_ = std::min(max_, limit_ + 1.0 / limit_);
   }
 }
 
--- a/src/net/limiter.hpp
+++ b/src/net/limiter.hpp
@@ -9,7 +9,7 @@
 class Limiter {
  public:
   Limiter(double least, double most, double target_s)
-      : least_(least), most_(most), target_s_(target_s), limit_(most / 2) {}
+      : min_(least), max_(most), target_s_(target_s), limit_(most / 2) {}
 
   bool try_enter();
   void leave(double took_s, double now);
@@ -17,7 +17,7 @@
   int inside() const { return inside_; }
 
  private:
-  double least_, most_, target_s_, limit_;
+  double min_, max_, target_s_, limit_;
   double best_s_ = 0.0;
   double shrunk_at_ = -1e9;
   int inside_ = 0;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -48,11 +48,11 @@
   co_return true;
 }
 
-Task<long> read_some(EvReactor& reactor, int fd, char* into, std::size_t most, double until) {
+Task<long> read_some(EvReactor& reactor, int fd, char* into, std::size_t max_bytes, double until) {
   for (;;) {
     Ready ready(reactor, fd, false, until - reactor.now());
     if (!co_await ready) co_return -1;
-    const auto n = ::recv(fd, into, most, 0);
+    const auto n = ::recv(fd, into, max_bytes, 0);
     if (n < 0 && try_later()) continue;
     co_return n;
   }
--- a/src/peer/links.cpp
+++ b/src/peer/links.cpp
@@ -16,13 +16,13 @@
 
 Task<void> Links::accept() {
   // A peer that restarts leaves its old connection behind until that goes quiet.
-  const std::size_t most = 4 * (settings_.others.size() + 1);
+  const std::size_t max_readers = 4 * (settings_.others.size() + 1);
   for (;;) {
     net::Ready ready(reactor_, listener_.get(), false, 3600.0);
     if (!co_await ready) continue;
     for (Fd fd = net::accept_from(listener_.get()); fd.valid();
          fd = net::accept_from(listener_.get())) {
-      if (readers_.size() < most) readers_.spawn(read(std::move(fd)));
+      if (readers_.size() < max_readers) readers_.spawn(read(std::move(fd)));
     }
   }
 }
@@ -57,13 +57,13 @@
 
 void Links::send(const std::string& to, const Frame& frame) {
   // A zone's workers may all report at once, each on a connection of its own.
-  const auto most_waiting = static_cast<std::size_t>(settings_.fd_limit);
+  const auto max_waiting = static_cast<std::size_t>(settings_.fd_limit);
   constexpr double kPartOfMemory = 1.0 / 32;  // for each of the other nodes
-  const auto most_bytes = static_cast<std::size_t>(settings_.ram_mb * 1024 * 1024 * kPartOfMemory);
+  const auto max_bytes = static_cast<std::size_t>(settings_.ram_mb * 1024 * 1024 * kPartOfMemory);
   const auto it = outboxes_.find(to);
   if (it == outboxes_.end()) return;
   Outbox& box = *it->second;
-  if (!box.connected || box.frames.size() >= most_waiting || box.bytes >= most_bytes) return;
+  if (!box.connected || box.frames.size() >= max_waiting || box.bytes >= max_bytes) return;
   box.frames.push_back(pack(frame));
   box.bytes += box.frames.back().size();
   if (box.frames.size() == 1) box.filled.set();
@@ -89,7 +89,7 @@
 }
 
 Task<void> Links::keep_link(base::Peer other) {
-  constexpr double kLeastWait = 0.001;  // the resolution of timers
+  constexpr double kMinWait = 0.001;  // the resolution of timers
   Outbox& box = *outboxes_.at(other.name);
   Fd fd;
   for (;;) {
@@ -108,7 +108,7 @@
       if (!co_await writing) fd = Fd();
     }
     const double pause = fd.valid() ? next_write(box) - reactor_.now() : every_s_;
-    net::Signal::Wait wait(box.filled, std::max(pause, kLeastWait));
+    net::Signal::Wait wait(box.filled, std::max(pause, kMinWait));
     co_await wait;
   }
 }
--- a/src/peer/packing.hpp
+++ b/src/peer/packing.hpp
@@ -10,8 +10,8 @@
 namespace cranklock::peer {
 
 inline constexpr std::size_t kHeader = 4;  ///< u16 length of what follows it, u8 version, u8 kind
-inline constexpr std::size_t kMostName = 64;
-inline constexpr std::size_t kMostText = 60'000;
+inline constexpr std::size_t kMaxName = 64;
+inline constexpr std::size_t kMaxText = 60'000;
 
 /// Writes fields one after the other. A text that is too long is cut.
 class Packer {
@@ -24,13 +24,13 @@
     return *this;
   }
   Packer& text(std::string_view v) {
-    v = v.substr(0, kMostName);
+    v = v.substr(0, kMaxName);
     number(static_cast<std::uint8_t>(v.size()));
     bytes_.append(v);
     return *this;
   }
   Packer& long_text(std::string_view v) {
-    v = v.substr(0, kMostText);
+    v = v.substr(0, kMaxText);
     number(static_cast<std::uint16_t>(v.size()));
     bytes_.append(v);
     return *this;
@@ -61,8 +61,8 @@
     }
     return static_cast<N>(v);
   }
-  std::string text() { return take(number<std::uint8_t>(), kMostName); }
-  std::string long_text() { return take(number<std::uint16_t>(), kMostText); }
+  std::string text() { return take(number<std::uint8_t>(), kMaxName); }
+  std::string long_text() { return take(number<std::uint16_t>(), kMaxText); }
   bool flag() {
     const auto v = number<std::uint8_t>();
     ok_ = ok_ && v <= 1;
@@ -72,8 +72,8 @@
   bool whole() const { return ok_ && bytes_.empty(); }
 
  private:
-  std::string take(std::size_t size, std::size_t most) {
-    if (size > most || size > bytes_.size()) return ok_ = false, std::string();
+  std::string take(std::size_t size, std::size_t max_bytes) {
+    if (size > max_bytes || size > bytes_.size()) return ok_ = false, std::string();
     std::string out(bytes_.substr(0, size));
     bytes_.remove_prefix(size);
     return out;
--- a/src/regions/demand.cpp
+++ b/src/regions/demand.cpp
@@ -8,25 +8,25 @@
 namespace {
 
 /// Tasks that could be placed at once; the record of a job bounds how many are placed at a time.
-std::size_t placeable_tasks(const sched::Job& job, std::size_t most_live) {
+std::size_t placeable_tasks(const sched::Job& job, std::size_t max_live) {
   const std::size_t live = job.live();
   const std::size_t waiting = job.pending_count();
   if (job.spec.kind != wire::JobKind::gang) {
-    return live < most_live ? std::min(waiting, most_live - live) : 0;
+    return live < max_live ? std::min(waiting, max_live - live) : 0;
   }
   // A gang is placed whole, when nothing is left of its last attempt.
-  return live == 0 && waiting <= most_live ? waiting : 0;
+  return live == 0 && waiting <= max_live ? waiting : 0;
 }
 
 }  // namespace
 
 std::map<std::string, TeamDemand> waiting_demands(sched::ClusterState& cluster, double now) {
   std::map<std::string, TeamDemand> demands;
-  const std::size_t most_live = sched::most_live_tasks(cluster.settings());
+  const std::size_t max_live = sched::max_live_tasks(cluster.settings());
   for (const auto& [id, job] : cluster.jobs()) {
     const bool waits =
         !job.cancelled() && !job.complete() && job.dependencies_met && job.backoff_until <= now;
-    const std::size_t tasks = waits ? placeable_tasks(job, most_live) : 0;
+    const std::size_t tasks = waits ? placeable_tasks(job, max_live) : 0;
     if (tasks == 0) continue;
     const auto [entry, first] = demands.try_emplace(job.spec.team);
     TeamDemand& demand = entry->second;
--- a/src/regions/frames.cpp
+++ b/src/regions/frames.cpp
@@ -119,7 +119,7 @@
       kind > static_cast<std::uint8_t>(Kind::receipt)) {
     return FrameResult::unknown_kind;
   }
-  if (length > kMostFrame) return FrameResult::too_long;
+  if (length > kMaxFrame) return FrameResult::too_long;
   if (buffer.size() < peer::kHeader + length) return FrameResult::more;
   Unpacker in(std::string_view(buffer).substr(peer::kHeader, length));
   RegionFrame frame = unpack_fields(static_cast<Kind>(kind), in);
--- a/src/regions/frames.hpp
+++ b/src/regions/frames.hpp
@@ -12,7 +12,7 @@
 
 inline constexpr std::uint8_t kFrameVersion = 1;
 /// Bytes that a frame may hold after its header; a longer one is refused before it is read.
-inline constexpr std::size_t kMostFrame = 512;
+inline constexpr std::size_t kMaxFrame = 512;
 
 /// The first frame of a connection and its heartbeat, in both directions.
 struct RegionHeartbeat {
--- a/src/regions/links.cpp
+++ b/src/regions/links.cpp
@@ -14,7 +14,7 @@
 /// Without a connection, how often it is looked whether there should be one.
 constexpr double kChecksPerHeartbeat = 4;
 /// Frames that wait for one link; more are dropped and come again.
-constexpr std::size_t kMostWaiting = 1024;
+constexpr std::size_t kMaxWaiting = 1024;
 
 }  // namespace
 
@@ -66,14 +66,14 @@
 
 Task<void> Links::accept() {
   // A leader that restarts leaves its old connection behind until that goes quiet.
-  const std::size_t most = 4 * (links_.size() + 1);
+  const std::size_t max_readers = 4 * (links_.size() + 1);
   for (;;) {
     constexpr double kWait = 3600;  // woken by connections, not by the time
     net::Ready ready(reactor_, listener_.get(), false, kWait);
     if (!co_await ready) continue;
     for (Fd fd = net::accept_from(listener_.get()); fd.valid();
          fd = net::accept_from(listener_.get())) {
-      if (readers_.size() < most) readers_.spawn(serve(std::move(fd)));
+      if (readers_.size() < max_readers) readers_.spawn(serve(std::move(fd)));
     }
   }
 }
@@ -164,8 +164,8 @@
     // A new leader is heard of soon after its take-over.
     const double pause = link.fd ? link.next_heartbeat - reactor_.now()
                                  : peer_heartbeat_interval(settings_) / kChecksPerHeartbeat;
-    constexpr double kLeastPause = 0.001;  // the resolution of timers
-    net::Signal::Wait wait(link.filled, std::max(pause, kLeastPause));
+    constexpr double kMinPause = 0.001;  // the resolution of timers
+    net::Signal::Wait wait(link.filled, std::max(pause, kMinPause));
     co_await wait;
   }
 }
@@ -194,7 +194,7 @@
 
 void Links::send(const std::string& region, const RegionFrame& frame) {
   const auto index = leader_link(region);
-  if (!index || links_[*index]->frames.size() >= kMostWaiting) return;
+  if (!index || links_[*index]->frames.size() >= kMaxWaiting) return;
   links_[*index]->frames.push_back(pack(frame));
   links_[*index]->filled.set();
 }
--- a/src/regions/share_book.cpp
+++ b/src/regions/share_book.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Transfers that a receiver keeps in mind before they are added, and that a giver sends at a time.
-constexpr std::size_t kMostUnacknowledged = 64;
+constexpr std::size_t kMaxUnacknowledged = 64;
 
 double to_amount(std::int64_t thousandths) {
   return static_cast<double>(thousandths) / static_cast<double>(Amounts::kUnit);
@@ -158,7 +158,7 @@
     from.receipt_owed = true;  // a copy, however old: it was added once
     return;
   }
-  if (transfer.sequence > from.received.value + kMostUnacknowledged) return;  // comes again
+  if (transfer.sequence > from.received.value + kMaxUnacknowledged) return;  // comes again
   from.arrived.emplace(transfer.sequence, transfer);
 }
 
@@ -179,7 +179,7 @@
   if (partner == partners_.end()) return out;
   const Partner& to = partner->second;
   for (auto it = to.out.upper_bound(to.acknowledged); it != to.out.end(); ++it) {
-    if (out.size() == kMostUnacknowledged) break;
+    if (out.size() == kMaxUnacknowledged) break;
     out.push_back(it->second);
   }
   return out;
@@ -253,7 +253,7 @@
 // The only place where share comes into being: by the founder, once for each team, from its whole
 // limit. The record of the team's share is the mark that it was done.
 std::optional<ShareBook::Operation> ShareBook::found_shares(const DemandOf& demand_of,
-                                                            std::size_t most_changes) const {
+                                                            std::size_t max_mutations) const {
   if (!is_founder()) return std::nullopt;
   Operation operation =
       begin(Operation::Kind::found, kFounderKey, write_founder(settings_.operators.regions.founder),
@@ -262,11 +262,11 @@
   const std::size_t counters = partners_.size();
   const std::size_t for_a_team = 1 + partners_.size();
   // Where a transaction has no room for gifts, the others ask for what they need.
-  const bool with_gifts = 1 + for_a_team + counters <= most_changes;
+  const bool with_gifts = 1 + for_a_team + counters <= max_mutations;
   for (const auto& [name, team] : teams_) {
     if (shares_.contains(name)) continue;
     const std::size_t mutations = operation.transaction.mutations.size() + for_a_team + counters;
-    if (!operation.shares.empty() && mutations > most_changes) break;
+    if (!operation.shares.empty() && mutations > max_mutations) break;
     found_team(operation, team, demand_of(name), with_gifts);
   }
   if (operation.shares.empty()) return std::nullopt;
@@ -274,7 +274,7 @@
   return operation;
 }
 
-std::optional<ShareBook::Operation> ShareBook::take_transfers(std::size_t most_changes) const {
+std::optional<ShareBook::Operation> ShareBook::take_transfers(std::size_t max_mutations) const {
   for (const auto& [region, from] : partners_) {
     const Counter& received = from.received;
     Operation operation = begin(Operation::Kind::take, received_key(region),
@@ -284,8 +284,8 @@
     std::map<std::string, Amounts> shares;
     const std::size_t others = founder_ ? 1 : 2;  // the counter, and who made the shares
     for (const auto& [sequence, transfer] : from.arrived) {
-      const bool fits =
-          shares.contains(transfer.team) || shares.empty() || shares.size() + others < most_changes;
+      const bool fits = shares.contains(transfer.team) || shares.empty() ||
+                        shares.size() + others < max_mutations;
       if (sequence != operation.through + 1 || !fits) break;
       const auto stored = shares_.find(transfer.team);
       const Amounts before = stored == shares_.end() ? Amounts{} : stored->second.amounts;
@@ -320,7 +320,7 @@
 }
 
 std::optional<ShareBook::Operation> ShareBook::give_share(const DemandOf& demand_of,
-                                                          std::size_t most_changes) {
+                                                          std::size_t max_mutations) {
   constexpr std::size_t kChangesEach = 2;  // the share, and the transfer
   for (auto& [region, to] : partners_) {
     Operation operation = begin(Operation::Kind::give, sent_key(region),
@@ -328,7 +328,7 @@
     auto& requests = to.requests;
     while (!requests.empty()) {
       const std::size_t mutations = operation.transaction.mutations.size() + kChangesEach + 1;
-      if (!operation.shares.empty() && mutations > most_changes) break;
+      if (!operation.shares.empty() && mutations > max_mutations) break;
       const ShareRequest request = std::move(requests.begin()->second);
       requests.erase(requests.begin());
       const Amounts granted = decide_request(region, request, demand_of(request.team));
@@ -346,7 +346,7 @@
 
 // A receipt proves that the receiver's counter has passed the transfer, which refuses every copy of
 // it from then on; so nothing needs to remember it any more.
-std::optional<ShareBook::Operation> ShareBook::clear_acknowledged(std::size_t most_changes) const {
+std::optional<ShareBook::Operation> ShareBook::clear_acknowledged(std::size_t max_mutations) const {
   for (const auto& [region, to] : partners_) {
     if (to.out.empty() || to.out.begin()->first > to.acknowledged) continue;
     Operation operation;
@@ -354,7 +354,7 @@
     operation.region = region;
     operation.transaction.compares = {leader_};
     for (const auto& [sequence, transfer] : to.out) {
-      if (sequence > to.acknowledged || operation.transaction.mutations.size() == most_changes)
+      if (sequence > to.acknowledged || operation.transaction.mutations.size() == max_mutations)
         break;
       operation.transaction.mutations.push_back({out_key(region, sequence), "", 0});
       operation.through = sequence;
@@ -365,23 +365,23 @@
 }
 
 std::optional<ShareBook::Operation> ShareBook::prepare(const DemandOf& demand_of,
-                                                       std::size_t most_changes) {
+                                                       std::size_t max_mutations) {
   if (frozen_) return std::nullopt;
-  if (auto operation = take_transfers(most_changes)) return operation;
-  if (auto operation = give_share(demand_of, most_changes)) return operation;
-  if (auto operation = found_shares(demand_of, most_changes)) return operation;
-  return clear_acknowledged(most_changes);
+  if (auto operation = take_transfers(max_mutations)) return operation;
+  if (auto operation = give_share(demand_of, max_mutations)) return operation;
+  if (auto operation = found_shares(demand_of, max_mutations)) return operation;
+  return clear_acknowledged(max_mutations);
 }
 
 std::optional<ShareBook::Transaction> ShareBook::next_transaction(const DemandOf& demand_of,
-                                                                  std::size_t most_changes) {
+                                                                  std::size_t max_mutations) {
   if (handed_out_ || reload_needed_ || leadership_lost_) return std::nullopt;
   if (write_unresolved_) {
     // Under the same conditions, so that only one of the two is ever carried out.
     handed_out_ = guard_sent_ = true;
     return Transaction{under_way_->transaction.compares, {under_way_->guard}};
   }
-  under_way_ = prepare(demand_of, most_changes);
+  under_way_ = prepare(demand_of, max_mutations);
   if (!under_way_) return std::nullopt;
   handed_out_ = true;
   guard_sent_ = false;
--- a/src/regions/share_book.hpp
+++ b/src/regions/share_book.hpp
@@ -57,9 +57,9 @@
     std::vector<wire::Compare> compares;
     std::vector<wire::Mutation> mutations;
   };
-  /// The next transaction to carry out, with at most `most_changes` changes; nothing when there is
+  /// The next transaction to carry out, with at most `max_mutations` changes; nothing when there is
   /// none, or one was handed out whose end is not known. `demand_of` tells what is in use now.
-  std::optional<Transaction> next_transaction(const DemandOf& demand_of, std::size_t most_changes);
+  std::optional<Transaction> next_transaction(const DemandOf& demand_of, std::size_t max_mutations);
   /// How the transaction that was handed out last has ended. Returns whether what this region
   /// holds has changed.
   bool finish_transaction(const store::CompareAndSwapResult& result);
@@ -111,15 +111,15 @@
   void add_transfer(Operation& operation, const std::string& region, const std::string& team,
                     const Amounts& amounts) const;
   void add_sent_counters(Operation& operation) const;
-  std::optional<Operation> found_shares(const DemandOf& demand_of, std::size_t most_changes) const;
+  std::optional<Operation> found_shares(const DemandOf& demand_of, std::size_t max_mutations) const;
   void found_team(Operation& operation, const base::Team& team, const TeamDemand& demand,
                   bool with_gifts) const;
-  std::optional<Operation> take_transfers(std::size_t most_changes) const;
-  std::optional<Operation> give_share(const DemandOf& demand_of, std::size_t most_changes);
+  std::optional<Operation> take_transfers(std::size_t max_mutations) const;
+  std::optional<Operation> give_share(const DemandOf& demand_of, std::size_t max_mutations);
   Amounts decide_request(const std::string& region, const ShareRequest& request,
                          const TeamDemand& demand) const;
-  std::optional<Operation> clear_acknowledged(std::size_t most_changes) const;
-  std::optional<Operation> prepare(const DemandOf& demand_of, std::size_t most_changes);
+  std::optional<Operation> clear_acknowledged(std::size_t max_mutations) const;
+  std::optional<Operation> prepare(const DemandOf& demand_of, std::size_t max_mutations);
   /// The record of the founder was written, at this revision.
   void note_founder(std::uint64_t revision);
   bool apply(const Operation& operation, std::uint64_t revision);
--- a/src/regions/share_service.cpp
+++ b/src/regions/share_service.cpp
@@ -11,7 +11,7 @@
 /// The longest pause between requests for share that nobody gives, in intervals of ask_every().
 constexpr double kLongestPause = 16;
 /// The least pause between two rounds of talk(), in the same measure.
-constexpr double kLeastPause = 1.0 / 20;
+constexpr double kMinPause = 1.0 / 20;
 
 /// A part of what is missing, in whole CPUs and GPUs so that the parts add up to at least all.
 Amounts part_of(const Amounts& missing, std::size_t parts) {
@@ -125,7 +125,7 @@
     send_receipts();
     send_requests();
     // Guards against a look at all jobs for each of hundreds of transfers.
-    net::Sleep rest(reactor_, kLeastPause * ask_every(settings_));
+    net::Sleep rest(reactor_, kMinPause * ask_every(settings_));
     co_await rest;
     // Woken by what is written and heard: what is missing is asked for again as soon as a part of
     // it has come.
--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -4,7 +4,7 @@
 
 namespace cranklock::sched {
 
-std::size_t most_live_tasks(const base::Settings& settings) {
+std::size_t max_live_tasks(const base::Settings& settings) {
   constexpr double kTaskBytes = 44;   // its number, attempt and machine, and a range of done tasks
   constexpr double kValueBytes = 80;  // what stands around the lists, and does not fill up, in each
   constexpr double kTxnBytes = 60.0 * 1024;
--- a/src/sched/availability.hpp
+++ b/src/sched/availability.hpp
@@ -12,7 +12,7 @@
 
 /// Tasks of one job that may be on machines at a time: its record is written whole in one
 /// transaction, so the limits of the state service bound it.
-std::size_t most_live_tasks(const base::Settings& settings);
+std::size_t max_live_tasks(const base::Settings& settings);
 
 /// Whether the team may use this much more.
 bool within_quota_limit(const ClusterState& cluster, const std::string& team,
--- a/src/sched/boot_times.cpp
+++ b/src/sched/boot_times.cpp
@@ -6,15 +6,15 @@
 namespace cranklock::sched {
 
 namespace {
-constexpr std::size_t kMostBoots = 9;    ///< remembered of each place
-constexpr std::size_t kFewestBoots = 3;  ///< that prove anything; one may be late by chance
-constexpr double kRemembered = 6;        ///< boots' lengths
+constexpr std::size_t kMaxBoots = 9;  ///< remembered of each place
+constexpr std::size_t kMinBoots = 3;  ///< that prove anything; one may be late by chance
+constexpr double kRemembered = 6;     ///< boots' lengths
 }  // namespace
 
 void BootTimes::note(const Place& place, Boot boot) {
   auto& boots = boots_[place];
   boots.push_back(boot);
-  if (boots.size() > kMostBoots) boots.pop_front();
+  if (boots.size() > kMaxBoots) boots.pop_front();
 }
 
 void BootTimes::note_up(const Place& place, double seconds, double now) {
@@ -46,7 +46,7 @@
   for (const Boot& boot : boots) {
     if (boot.seconds) seconds.push_back(*boot.seconds);
   }
-  if (seconds.size() < kFewestBoots) return ready_s;
+  if (seconds.size() < kMinBoots) return ready_s;
   const auto middle = seconds.begin() + static_cast<std::ptrdiff_t>(seconds.size() / 2);
   std::nth_element(seconds.begin(), middle, seconds.end());
   return std::max(*middle, ready_s);
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -115,11 +115,11 @@
 // Guards against a job with a mistake that every change of leader starts anew at full pace. The
 // record tells how often its tasks were started, and that none of them has come to anything.
 void ClusterState::restore_earlier_failures(Job& job, double now) const {
-  constexpr std::uint64_t kMostRounds = 5;
+  constexpr std::uint64_t kMaxRounds = 5;
   const bool shares_attempt = job.spec.kind == wire::JobKind::gang;
   const auto rounds = shares_attempt ? job.last_attempt : job.last_attempt / job.spec.tasks;
   if (rounds < 2 || job.done.size() > 0 || job.live() > 0) return;
-  job.earlier_rounds = static_cast<int>(std::min(rounds - 1, kMostRounds));
+  job.earlier_rounds = static_cast<int>(std::min(rounds - 1, kMaxRounds));
   job.backoff_until = now + settings_.heartbeat_interval_s * job.earlier_rounds;
 }
 
@@ -392,10 +392,10 @@
 
 // Counts rounds, not tasks: hundreds that were started together fail together.
 void ClusterState::back_off_retries(Job& job, double now) {
-  constexpr int kMostRounds = 5;
+  constexpr int kMaxRounds = 5;
   if (now < job.backoff_until) return;
   ++job.failures;
-  const int rounds = std::min(job.failures + job.earlier_rounds, kMostRounds);
+  const int rounds = std::min(job.failures + job.earlier_rounds, kMaxRounds);
   job.backoff_until = now + settings_.heartbeat_interval_s * (1 << rounds);
 }
 
@@ -675,7 +675,7 @@
 }
 
 std::vector<std::string> ClusterState::update_zone_reachability(double now) {
-  constexpr int kFewest = 3;  // fewer may fail together by chance
+  constexpr int kMin = 3;  // fewer may fail together by chance
   struct Zone {
     int workers = 0;
     double heard = 0;
@@ -697,7 +697,7 @@
       if (unreachable_until_.erase(name) == 0) continue;
       extend_lease_grace(name, now + 2 * settings_.lease_s);  // who is there will be heard by then
       changed_ = true;
-    } else if (others_reporting && zone.workers >= kFewest && !unreachable_until_.contains(name)) {
+    } else if (others_reporting && zone.workers >= kMin && !unreachable_until_.contains(name)) {
       // The machines come back with their zone, and with their images; but not for ever.
       unreachable_until_[name] = now + 3 * settings_.cancel_s;
       extend_lease_grace(name, unreachable_until_[name]);
--- a/src/sched/job.cpp
+++ b/src/sched/job.cpp
@@ -80,12 +80,12 @@
   return !done.contains(task) && live_placement(task) == nullptr;
 }
 
-std::vector<std::uint32_t> Job::pending(std::size_t most) const {
+std::vector<std::uint32_t> Job::pending(std::size_t max_tasks) const {
   std::vector<std::uint32_t> out;
   std::uint32_t next = 0;
   auto range = done.ranges().begin();
   auto placed = placements.begin();
-  while (next < spec.tasks && out.size() < most) {
+  while (next < spec.tasks && out.size() < max_tasks) {
     if (range != done.ranges().end() && next >= range->first) {
       next = std::max(next, range->second);
       ++range;
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -115,8 +115,8 @@
   bool is_pending(std::uint32_t task) const;
   /// The placement of the task that has not ended, if there is one.
   const Placement* live_placement(std::uint32_t task) const;
-  /// Up to `most` tasks that are neither done nor on any machine.
-  std::vector<std::uint32_t> pending(std::size_t most) const;
+  /// Up to `max_tasks` tasks that are neither done nor on any machine.
+  std::vector<std::uint32_t> pending(std::size_t max_tasks) const;
   std::uint32_t pending_count() const;
 };
 
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -54,8 +54,8 @@
 // or the loss of many machines, is dealt with in several passes, the most entitled work first.
 constexpr double kExposed =
     0.5;  ///< of a boot: what a replica's placement in an exposed zone weighs
-constexpr int kMostPlaced = 400;          ///< tasks a pass
-constexpr std::size_t kMostRounds = 100;  ///< of all machines, to make room
+constexpr int kMaxPlaced = 400;          ///< tasks a pass
+constexpr std::size_t kMaxRounds = 100;  ///< of all machines, to make room
 
 class Pass {
  public:
@@ -86,12 +86,12 @@
     place_rescheduled();
     for (Job* job : waiting_jobs()) {
       place(*job);
-      if (result_.placed >= kMostPlaced) {
+      if (result_.placed >= kMaxPlaced) {
         result_.cut_short = true;
         return std::move(result_);
       }
     }
-    most_looks_ = result_.looked_at + kMostRounds * slots_.size();
+    max_candidates_ = result_.looked_at + kMaxRounds * slots_.size();
     for (auto* job : unplaced_) make_room(*job);
     for (auto* job : unplaced_) {
       // What a plan of moves makes room for needs no machine beside it.
@@ -164,7 +164,7 @@
   std::vector<const Job*> no_room_for_;  ///< see is_hopeless()
   /// The same for making room, by team, rank and guarantee.
   std::map<std::tuple<std::string, wire::Priority, bool>, std::vector<const Job*>> no_victims_for_;
-  std::size_t most_looks_ = 0;
+  std::size_t max_candidates_ = 0;
   /// Whether anything runs of a rank, and whether some of it is not (0), or is (1), guaranteed.
   std::map<wire::Priority, std::array<bool, 2>> running_;
   std::map<std::string, Resources> planned_;  ///< by team, of shortfall already counted
@@ -216,7 +216,7 @@
       !job.is_pending(task)) {
     return false;
   }
-  return job.live() < most_live_tasks(cluster_.settings()) &&
+  return job.live() < max_live_tasks(cluster_.settings()) &&
          within_quota_limit(cluster_, job.spec.team, job.spec.resources) &&
          allows(job.spec, slot.kind) && zone_allows(job, zones_of(job), slot.kind.zone) &&
          job.spec.resources.fits_in(slot.free);
@@ -321,8 +321,8 @@
   // Its failure must be for want of room alone, and not for room that others may use.
   if (held_back_) return;
   if (job.spec.one_zone || job.spec.spread || job.failed_machines.size() == 1) return;
-  constexpr std::size_t kMost = 16;  // sizes differ little
-  if (failed.size() < kMost) failed.push_back(&job);
+  constexpr std::size_t kMaxEntries = 16;  // sizes differ little
+  if (failed.size() < kMaxEntries) failed.push_back(&job);
 }
 
 Slot* Pass::best_slot(const Job& job, const ZoneCount& zones, const std::string& only_zone) {
@@ -383,7 +383,7 @@
 
 void Pass::place(Job& job) {
   // More live tasks would not fit the job's record; the rest waits its turn.
-  const auto most = most_live_tasks(cluster_.settings());
+  const auto most = max_live_tasks(cluster_.settings());
   const auto live = job.live();
   const auto room_left = live < most ? most - live : 0;
   const auto tasks = job.pending(room_left);
@@ -488,7 +488,7 @@
   auto& failed = no_victims_for_[{job.spec.team, job.urgency.priority, job.guaranteed}];
   held_back_ = false;
   if (is_hopeless(job, failed)) return;
-  for (auto missing = job.pending_count(); missing > 0 && result_.looked_at < most_looks_;
+  for (auto missing = job.pending_count(); missing > 0 && result_.looked_at < max_candidates_;
        --missing) {
     planned += job.spec.resources;
     if (!within_quota_limit(cluster_, job.spec.team, planned)) return;
@@ -505,7 +505,7 @@
   std::vector<Choice> best;
   double best_loss = std::numeric_limits<double>::infinity();
   for (const auto& zone : gang_zones(job)) {
-    if (result_.looked_at >= most_looks_) break;
+    if (result_.looked_at >= max_candidates_) break;
     std::vector<Choice> choices;
     std::set<Slot*> taken;
     ZoneCount count;
--- a/src/sched/scaler.cpp
+++ b/src/sched/scaler.cpp
@@ -53,9 +53,9 @@
     }
     if (since_scale <= settings_.up_cooldown_s) return 0;
     // What boots already counts: the step is what is still missing, up to its cap.
-    const int by_share = static_cast<int>(settings_.most_step_share * reading.machines);
-    const int most_step = std::max(settings_.most_step, by_share);
-    const int resources = std::min(most_step, settings_.most_machines - reading.machines);
+    const int by_share = static_cast<int>(settings_.max_step_share * reading.machines);
+    const int max_step = std::max(settings_.max_step, by_share);
+    const int resources = std::min(max_step, settings_.max_machines - reading.machines);
     return std::clamp(std::max(reading.wanted, reading.missing), 0, std::max(resources, 0));
   }
   if (reading.score < settings_.low) {
@@ -63,7 +63,7 @@
       return 0;
     }
     if (since_scale <= settings_.down_cooldown_s) return 0;
-    const int above = reading.machines - settings_.least_machines;
+    const int above = reading.machines - settings_.min_machines;
     const int by_share = static_cast<int>(std::ceil(settings_.step_share * reading.machines));
     return -std::clamp(std::max(settings_.step_machines, by_share), 0, std::max(above, 0));
   }
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -96,9 +96,9 @@
 // Guards against a write that is too large for limits that fell without notice: repeated as it is,
 // it would be refused for ever.
 void Client::lower_limits() {
-  constexpr std::size_t kLeastBytes = 1024, kLeastChanges = 2;
-  value_bytes_ = std::max(value_bytes_ / 2, kLeastBytes);
-  txn_changes_ = std::max(txn_changes_ / 2, kLeastChanges);
+  constexpr std::size_t kMinBytes = 1024, kMinMutations = 2;
+  value_bytes_ = std::max(value_bytes_ / 2, kMinBytes);
+  txn_changes_ = std::max(txn_changes_ / 2, kMinMutations);
 }
 
 namespace {
@@ -178,9 +178,9 @@
   co_return result;
 }
 
-net::Task<RangeResult> Client::read_page(std::string prefix, std::string after, int most,
+net::Task<RangeResult> Client::read_page(std::string prefix, std::string after, int max_items,
                                          double timeout_s) {
-  net::Request request{"GET", "/store", wire::range_query(prefix, after, most), "", true};
+  net::Request request{"GET", "/store", wire::range_query(prefix, after, max_items), "", true};
   auto sending = send(std::move(request), timeout_s, {});
   const auto reply = co_await sending;
   RangeResult result;
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -75,8 +75,8 @@
   /// Everything under a prefix, page by page; `revision` is that of the first page, so that a watch
   /// from there misses nothing.
   net::Task<RangeResult> read_all(std::string prefix, double timeout_s);
-  /// Up to `most` values after a key; `more` where there are others.
-  net::Task<RangeResult> read_page(std::string prefix, std::string after, int most,
+  /// Up to `max_items` values after a key; `more` where there are others.
+  net::Task<RangeResult> read_page(std::string prefix, std::string after, int max_items,
                                    double timeout_s);
   /// Every change after the revision, at once. Does not wait for the budget, since many share the
   /// answer: whoever asks keeps the pace. `failed` when the revision is too old.
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -113,7 +113,7 @@
   if (!priority) return "Rank: expected production, high, standard or best_effort";
   job.priority = *priority;
   const auto tasks = read_count(o, "Teeth");
-  if (!tasks || *tasks < 1 || *tasks > kMostTasks) return "Teeth: expected 1 to 100000";
+  if (!tasks || *tasks < 1 || *tasks > kMaxTasks) return "Teeth: expected 1 to 100000";
   job.tasks = static_cast<std::uint32_t>(*tasks);
   const auto image = read_text(o, "Cast");
   if (!image || image->empty() || image->size() > 500) return "Cast: expected an image";
@@ -389,8 +389,8 @@
   });
 }
 
-std::string machine_page_query(std::string_view after, int most) {
-  std::string q = "Most=" + std::to_string(most);
+std::string machine_page_query(std::string_view after, int max_items) {
+  std::string q = "Most=" + std::to_string(max_items);
   if (!after.empty()) q.append("&Since=").append(after);
   return q;
 }
@@ -478,8 +478,8 @@
   });
 }
 
-std::string range_query(std::string_view prefix, std::string_view after, int most) {
-  std::string q = "Under=" + std::string(prefix) + "&Most=" + std::to_string(most);
+std::string range_query(std::string_view prefix, std::string_view after, int max_items) {
+  std::string q = "Under=" + std::string(prefix) + "&Most=" + std::to_string(max_items);
   if (!after.empty()) q.append("&Since=").append(after);
   return q;
 }
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -57,7 +57,7 @@
   std::vector<std::string> dependencies;
 };
 
-inline constexpr std::uint32_t kMostTasks = 100'000;
+inline constexpr std::uint32_t kMaxTasks = 100'000;
 inline constexpr std::size_t kMaxDependencies = 256;  ///< jobs that one job may name as needed
 
 /// "j-" and digits, the form that every job id has.
@@ -154,7 +154,7 @@
   bool more = false;
 };
 std::optional<MachinePage> parse_machine_page(std::string_view body);
-std::string machine_page_query(std::string_view after, int most);
+std::string machine_page_query(std::string_view after, int max_items);
 
 // The state service.
 struct StoredValue {
@@ -187,7 +187,7 @@
 std::optional<std::uint64_t> parse_revision(std::string_view body);
 std::optional<RangePage> parse_range(std::string_view body);
 std::optional<RangePage> parse_watch(std::string_view body);
-std::string range_query(std::string_view prefix, std::string_view after, int most);
+std::string range_query(std::string_view prefix, std::string_view after, int max_items);
 std::string watch_query(std::string_view prefix, std::uint64_t since, int wait_ms);
 std::string lease_request(int life_ms);
 std::optional<std::uint64_t> parse_lease(std::string_view body);
--- a/tests/fragmented_fleet.cpp
+++ b/tests/fragmented_fleet.cpp
@@ -36,7 +36,7 @@
     host.free = room_of(kGpus);
     host.fetch_gb_per_s = kFetchRate;
     host.receives = draw(0, 9) > 0;
-    for (int n = draw(size.least_residents, size.most_residents); n > 0; --n) {
+    for (int n = draw(size.min_residents, size.max_residents); n > 0; --n) {
       wire::JobSpec& spec = add_spec(1 << draw(0, 2));
       if (!spec.resources.fits_in(host.free)) continue;
       host.free -= spec.resources;
--- a/tests/fragmented_fleet.hpp
+++ b/tests/fragmented_fleet.hpp
@@ -16,9 +16,9 @@
  public:
   struct Size {
     int hosts = 4;
-    int most_residents = 3;  ///< on each
+    int max_residents = 3;  ///< on each
     int zones = 2;
-    int least_residents = 0;
+    int min_residents = 0;
   };
   FragmentedFleet(const Size& size, unsigned seed);
   FragmentedFleet(const FragmentedFleet&) = delete;
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -77,8 +77,8 @@
     return stored ? static_cast<int>(stored->past.size()) : 0;
   }
   /// Runs in small steps until it holds.
-  bool until(double most_s, const std::function<bool()>& holds) {
-    for (double passed = 0; passed < most_s && !holds(); passed += kLook) {
+  bool until(double timeout_s, const std::function<bool()>& holds) {
+    for (double passed = 0; passed < timeout_s && !holds(); passed += kLook) {
       w.run(kLook);
       look();
     }
--- a/tests/moves_property_test.cpp
+++ b/tests/moves_property_test.cpp
@@ -103,10 +103,10 @@
         w.lost_txns = w.late_txns = 0;
         break;
       case Action::hang_machine:
-        if (machines_in_trouble() < kMostInTrouble) machine(step.detail).hangs = true;
+        if (machines_in_trouble() < kMaxInTrouble) machine(step.detail).hangs = true;
         break;
       case Action::kill_machine:
-        if (machines_in_trouble() < kMostInTrouble) kill(machine(step.detail));
+        if (machines_in_trouble() < kMaxInTrouble) kill(machine(step.detail));
         break;
       case Action::wake_machines:
         for (auto& [id, worker] : w.workers) w.wake(*worker);
@@ -132,7 +132,7 @@
   }
 
   /// The most moves that stood in a record.
-  std::size_t most_moves() const { return most_moves_; }
+  std::size_t max_moves() const { return max_moves_; }
 
   /// All troubles are over: no plan outlives its bound, and no room stays held.
   void heal() {
@@ -149,7 +149,7 @@
   }
 
  private:
-  static constexpr int kMostInTrouble = 1;
+  static constexpr int kMaxInTrouble = 1;
   template <typename Visit>
   void each_node(Visit visit) {
     for (int node = 0; node < fragments_.w.nodes(); ++node) visit(node);
@@ -186,7 +186,7 @@
     RC_ASSERT(w.rules.broken.empty());
     const auto record = fragments_.record();
     if (!record) return;
-    most_moves_ = std::max(most_moves_, record->past.size());
+    max_moves_ = std::max(max_moves_, record->past.size());
     check_budgets(*record);
     if (record->plan) check_age(*record->plan);
     check_machines();
@@ -223,7 +223,7 @@
   Fragments fragments_;
   double served_since_ = 0;
   int jobs_ = 0;
-  std::size_t most_moves_ = 0;
+  std::size_t max_moves_ = 0;
 };
 
 RC_GTEST_PROP(MovesProperty, NoRuleBreaksAndNoRoomStaysHeld, (unsigned seed)) {
@@ -231,7 +231,7 @@
   RandomRun run(seed);
   for (const auto& step : steps) run.take(step);
   run.heal();
-  RC_CLASSIFY(run.most_moves() > 0, "a task was moved");
+  RC_CLASSIFY(run.max_moves() > 0, "a task was moved");
 }
 
 }  // namespace
--- a/tests/moves_replicas_test.cpp
+++ b/tests/moves_replicas_test.cpp
@@ -15,14 +15,14 @@
 /// The fragmented fleet of `Fragments`, whose small tasks are replicas with chats.
 class Chats {
  public:
-  static constexpr std::size_t kMostChats = 20;  // that one replica carries
+  static constexpr std::size_t kMaxChats = 20;  // that one replica carries
   Fragments fragments{settings(), 3, replicas()};
   TestCluster& w = fragments.w;
-  RouterStandIn router{kMostChats};
+  RouterStandIn router{kMaxChats};
   bool router_answers = true;
   double router_slow_s = 0;
   int requests = 0, dropped = 0;
-  int most_drained = 0;  ///< replicas at once
+  int max_drained = 0;  ///< replicas at once
 
   explicit Chats(int chats = 12, int turns = 6) : turns_(turns) {
     w.router = [this](const net::Request& request) -> std::optional<net::Response> {
@@ -68,7 +68,7 @@
     for (const auto& replica : replicas) {
       drained += router.is_drained(replica.task, w.reactor.now()) ? 1 : 0;
     }
-    most_drained = std::max(most_drained, drained);
+    max_drained = std::max(max_drained, drained);
     router.set_replicas(std::move(replicas), w.reactor.now());
   }
   net::Task<void> watch_replicas() {
@@ -114,7 +114,7 @@
   EXPECT_EQ(chats.dropped, 0);
   EXPECT_GT(chats.requests, 300);
   EXPECT_EQ(chats.fragments.moves_begun(), 2);
-  EXPECT_EQ(chats.most_drained, 1);  // of four replicas, one at a time
+  EXPECT_EQ(chats.max_drained, 1);  // of four replicas, one at a time
 }
 
 // A chat that does not end is carried over, with a request of its own.
--- a/tests/ops_troubles_test.cpp
+++ b/tests/ops_troubles_test.cpp
@@ -18,7 +18,7 @@
   return spec;
 }
 
-std::uint64_t most_sessions(const TestCluster& w) {
+std::uint64_t max_epochs(const TestCluster& w) {
   std::uint64_t most = 0;
   for (const auto& [id, worker] : w.workers) most = std::max(most, worker->agent_epoch);
   return most;
@@ -39,7 +39,7 @@
     ASSERT_EQ(w.running("j-000002"), 4);
   }
   void expect_undisturbed() {
-    EXPECT_EQ(most_sessions(w), 1U);
+    EXPECT_EQ(max_epochs(w), 1U);
     EXPECT_EQ(w.running("j-000001"), 4);
     EXPECT_EQ(w.running("j-000002"), 4);
     for (const auto& [task, starts] : w.starts) EXPECT_EQ(starts, 1) << task;
@@ -140,7 +140,7 @@
   w.wake_node(1);
   w.start_node(other);
   w.run(15);
-  EXPECT_EQ(most_sessions(w), 1U);
+  EXPECT_EQ(max_epochs(w), 1U);
   EXPECT_EQ(w.running("j-000001"), 4);
   EXPECT_EQ(w.running("j-000002"), 4);
 }
@@ -166,7 +166,7 @@
     w.stop_node(0);
     w.run(30);
     EXPECT_GE(w.leader(), 3);
-    EXPECT_EQ(most_sessions(w), 1U) << moment;
+    EXPECT_EQ(max_epochs(w), 1U) << moment;
     EXPECT_EQ(w.running("j-000001"), 8);
     for (const auto& [task, starts] : w.starts) EXPECT_EQ(starts, 1) << task;
   }
@@ -354,7 +354,7 @@
   }
   EXPECT_EQ(w.running("j-000001"), 8);
   EXPECT_LE(w.rented, rented + 1);
-  EXPECT_EQ(most_sessions(w), 1U);
+  EXPECT_EQ(max_epochs(w), 1U);
   for (const auto& [task, starts] : w.starts) EXPECT_EQ(starts, 1) << task;
 }
 
@@ -436,7 +436,7 @@
     EXPECT_LT(w.reactor.now() - asked, 1);
     EXPECT_EQ(w.state_of(storm.node, name(0)), "withdrawn");
     EXPECT_TRUE(wait_for(w, 5, [&] { return w.held(name(0)) == 0; }));
-    EXPECT_EQ(most_sessions(w), 1U);
+    EXPECT_EQ(max_epochs(w), 1U);
     storm.over = true;
     w.run(5);
   }
@@ -613,7 +613,7 @@
 // and a cancellation is answered at once. A machine that really is faulty is found all the same.
 TEST(OpsTroubles, BrokenJobsMeetAGuestSwarm) {
   auto settings = with_guests();
-  settings.operators.scaler.least_machines = 5;  // none is given back for want of work
+  settings.operators.scaler.min_machines = 5;  // none is given back for want of work
   TestCluster w(3, {"a", "a", "a"}, settings);
   w.run_s = 6;
   for (int i = 0; i < 5; ++i) w.add_worker("a");
--- a/tests/planner_benchmark.cpp
+++ b/tests/planner_benchmark.cpp
@@ -16,8 +16,8 @@
   spec.one_zone = spec.spread = false;
   const cranklock::defrag::Demand demand{&spec, static_cast<std::size_t>(state.range(1))};
   cranklock::defrag::PlanLimits limits;
-  limits.most_moves = 1000;
-  limits.most_looks = static_cast<std::size_t>(state.range(2));
+  limits.max_moves = 1000;
+  limits.max_candidates = static_cast<std::size_t>(state.range(2));
   std::size_t moves = 0;
   bool found = false;
   for (auto _ : state) {
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -128,7 +128,7 @@
   const auto whole = plan_moves(fleet.hosts, {&spec, spec.tasks}, limits);
   ASSERT_TRUE(whole.plan);
   EXPECT_EQ(whole.plan->places.size(), spec.tasks);
-  limits.most_looks = 2 * fleet.hosts.size();
+  limits.max_candidates = 2 * fleet.hosts.size();
   EXPECT_EQ(plan_moves(fleet.hosts, {&spec, spec.tasks}, limits).why, NoPlan::looked_long);
 }
 
@@ -169,7 +169,7 @@
     }
     RC_ASSERT(under_way[job] <= kTasks * settings.share_at_once);
     RC_ASSERT(budget.at_once() >= 1U);
-    RC_ASSERT(budget.at_once() <= settings.most_at_once);
+    RC_ASSERT(budget.at_once() <= settings.max_at_once);
     const auto& times = begun[job];
     const auto most = settings.moves_per_job_and_hour;
     if (times.size() > most) {
--- a/tests/router_stand_in.cpp
+++ b/tests/router_stand_in.cpp
@@ -50,7 +50,7 @@
   for (const auto& replica : replicas_) {
     if (replica.task.job != task.job) continue;
     chats += chats_at(replica.task, false);
-    if (replica.task != task && !is_drained(replica.task, now)) resources += most_chats_;
+    if (replica.task != task && !is_drained(replica.task, now)) resources += max_chats_;
   }
   return resources > 0 && chats <= resources;
 }
--- a/tests/router_stand_in.hpp
+++ b/tests/router_stand_in.hpp
@@ -23,8 +23,8 @@
     std::string machine, address;
   };
 
-  /// `most_chats` is what one replica carries.
-  explicit RouterStandIn(std::size_t most_chats) : most_chats_(most_chats) {}
+  /// `max_chats` is what one replica carries.
+  explicit RouterStandIn(std::size_t max_chats) : max_chats_(max_chats) {}
 
   /// All replicas that run now.
   void set_replicas(std::vector<Replica> replicas, double now);
@@ -60,7 +60,7 @@
   bool others_can_carry(const wire::TaskName& task, double now) const;
   bool must_leave(const Chat& chat, double now) const;
 
-  std::size_t most_chats_;
+  std::size_t max_chats_;
   std::vector<Replica> replicas_;
   std::map<int, Chat> chats_;
   std::map<wire::TaskName, Drain> drains_;
--- a/tests/scaler_test.cpp
+++ b/tests/scaler_test.cpp
@@ -14,8 +14,8 @@
   s.high = 0.9, s.low = 0.5;
   s.up_window_s = 10, s.down_window_s = 60;
   s.up_cooldown_s = 20, s.down_cooldown_s = 90;
-  s.step_machines = 1, s.step_share = 0.2, s.most_step = 50;
-  s.least_machines = 0, s.most_machines = 100;
+  s.step_machines = 1, s.step_share = 0.2, s.max_step = 50;
+  s.min_machines = 0, s.max_machines = 100;
   return s;
 }
 
@@ -63,7 +63,7 @@
 
 TEST(Scaler, ShrinksSlowlyAndNeverBelowTheFloor) {
   PoolScenario s;
-  s.settings.least_machines = 3;
+  s.settings.min_machines = 3;
   EXPECT_EQ(s.steps(12, 0.1, 10, 0), 0);
   EXPECT_EQ(s.step(0.1, 10, 0), -2);
   EXPECT_EQ(s.steps(18, 0.1, 4, 0), 0);
@@ -87,8 +87,8 @@
 
 TEST(Scaler, StepsAndPoolsAreCapped) {
   PoolScenario s;
-  s.settings.most_step = 7;
-  s.settings.most_machines = 12;
+  s.settings.max_step = 7;
+  s.settings.max_machines = 12;
   EXPECT_EQ(s.steps(3, 5, 2, 40), 7);
   EXPECT_EQ(s.steps(5, 5, 9, 40), 3);
   EXPECT_EQ(s.steps(5, 5, 12, 40), 0);
@@ -107,7 +107,7 @@
   small.settings = base::ScalerSettings();
   int first = 0;
   while (first == 0 && small.now < 120) first = small.step(5, 100, kWanted);
-  EXPECT_EQ(first, small.settings.most_step);
+  EXPECT_EQ(first, small.settings.max_step);
 }
 
 // Guards against renting again and again, for as long as a machine boots, what is on its way.
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -294,12 +294,12 @@
   }
   for (const auto& name : lost) w.workers[name]->hangs = true;
   const int old = w.leader();
-  w.most_calls_under_way = 0;
+  w.max_calls_in_flight = 0;
   w.crash_node(old);
   w.run(2 * settings.lease_s);
   ASSERT_GE(w.leader(), 0);
   EXPECT_EQ(w.ran_twice, 0);
-  EXPECT_LE(w.most_calls_under_way, settings.fd_limit / 8);
+  EXPECT_LE(w.max_calls_in_flight, settings.fd_limit / 8);
   w.run(180);
   bool in_a_row = false;  // four requests, of a hundred machines each
   for (std::size_t i = 3; i < w.deletions.size(); ++i) {
@@ -337,7 +337,7 @@
   constexpr int kMachines = 4200;
   constexpr double kSpan = 30;
   auto settings = small_settings();
-  settings.operators.scaler.least_machines = kMachines;
+  settings.operators.scaler.min_machines = kMachines;
   TestCluster w(1, {}, settings);
   w.run(2);
   for (int i = 0; i < kMachines; ++i) w.add_worker();
@@ -346,7 +346,7 @@
   w.run(kSpan);
   const double calls = kSpan * settings.cloud_rps / 2;
   EXPECT_LE(w.list_requests, 0.5 * calls + 1);
-  EXPECT_GE(w.list_requests, kMachines / cloud::kMostListed);  // it is read all the same
+  EXPECT_GE(w.list_requests, kMachines / cloud::kMaxListed);  // it is read all the same
 }
 
 // 4,200 workers, half of them in a zone without a controller, and five nodes that have connections
@@ -360,7 +360,7 @@
   settings.cancel_s = 52;
   settings.fd_limit = 1100;
   settings.cloud_rps = 12;
-  settings.operators.scaler.least_machines = kWorkers;
+  settings.operators.scaler.min_machines = kWorkers;
   const auto limit = base::public_connections(settings);
   TestCluster w(kNodes, std::vector<std::string>(kNodes, "a"), settings);
   w.heartbeat_spread = 0.25;
@@ -441,8 +441,8 @@
 TEST(Scenario, AZonesSecondNodeRelievesALeaderThatReportsCrowd) {
   auto settings = small_settings();
   constexpr int kWorkers = 30;
-  const double most_a_second = 0.1 * settings.core_share / (2 * base::kPacketCost);
-  settings.core_share *= kWorkers / 3.0 / most_a_second;  // a third of them would not crowd it
+  const double max_per_second = 0.1 * settings.core_share / (2 * base::kPacketCost);
+  settings.core_share *= kWorkers / 3.0 / max_per_second;  // a third of them would not crowd it
   TestCluster w(3, {"a", "a", "a"}, settings);
   w.run(1);
   for (int i = 0; i < kWorkers; ++i) w.add_worker("a");
--- a/tests/settings_compatibility_test.cpp
+++ b/tests/settings_compatibility_test.cpp
@@ -197,10 +197,10 @@
   EXPECT_EQ(scaler.down_cooldown_s, 11.5);
   EXPECT_EQ(scaler.step_machines, 2);
   EXPECT_EQ(scaler.step_share, 0.06);
-  EXPECT_EQ(scaler.most_step, 51);
-  EXPECT_EQ(scaler.most_step_share, 0.26);
-  EXPECT_EQ(scaler.least_machines, 7);
-  EXPECT_EQ(scaler.most_machines, 5000);
+  EXPECT_EQ(scaler.max_step, 51);
+  EXPECT_EQ(scaler.max_step_share, 0.26);
+  EXPECT_EQ(scaler.min_machines, 7);
+  EXPECT_EQ(scaler.max_machines, 5000);
   EXPECT_EQ(operators.boot_patience, 3.5);
 }
 
@@ -216,10 +216,10 @@
   EXPECT_EQ(scaler.down_cooldown_s, 10);
   EXPECT_EQ(scaler.step_machines, 1);
   EXPECT_EQ(scaler.step_share, 0.05);
-  EXPECT_EQ(scaler.most_step, 50);
-  EXPECT_EQ(scaler.most_step_share, 0.25);
-  EXPECT_EQ(scaler.least_machines, 0);
-  EXPECT_EQ(scaler.most_machines, 100'000);
+  EXPECT_EQ(scaler.max_step, 50);
+  EXPECT_EQ(scaler.max_step_share, 0.25);
+  EXPECT_EQ(scaler.min_machines, 0);
+  EXPECT_EQ(scaler.max_machines, 100'000);
   EXPECT_EQ(operators.boot_patience, 3);
 }
 
--- a/tests/share_simulation.cpp
+++ b/tests/share_simulation.cpp
@@ -91,11 +91,11 @@
     EXPECT_FALSE(book.reload_needed());
     return true;
   }
-  constexpr std::size_t kMostChanges = 8;
+  constexpr std::size_t kMaxMutations = 8;
   const auto transaction = book.next_transaction(
-      [&](const std::string& team) { return demand(region, team); }, kMostChanges);
+      [&](const std::string& team) { return demand(region, team); }, kMaxMutations);
   if (!transaction) return false;
-  EXPECT_LE(transaction->mutations.size(), kMostChanges);
+  EXPECT_LE(transaction->mutations.size(), kMaxMutations);
   store::CompareAndSwapResult result;  // unknown
   if (fate == Fate::answered) result = region.store.apply(*transaction);
   if (fate == Fate::applied_mute) region.store.apply(*transaction);
--- a/tests/state_stand_in.cpp
+++ b/tests/state_stand_in.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t kMostEvents = 10'000;
+constexpr std::size_t kMaxEvents = 10'000;
 
 Response answer(int status, std::string body = "{}") {
   return control::make_response(status, std::move(body));
@@ -53,8 +53,8 @@
 Response StateStandIn::range(const Request& request) const {
   const std::string prefix = net::query_field(request.query, "Under");
   const std::string since = net::query_field(request.query, "Since");
-  const std::string most_text = net::query_field(request.query, "Most");
-  const std::size_t most = most_text.empty() ? 1000 : std::stoul(most_text);
+  const std::string max_text = net::query_field(request.query, "Most");
+  const std::size_t most = max_text.empty() ? 1000 : std::stoul(max_text);
   auto next = since.empty() ? values.lower_bound(prefix) : values.upper_bound(since);
   JsonWriter w;
   w.begin().key("Rows").list();
@@ -141,7 +141,7 @@
 
 void StateStandIn::note(Event event) {
   events_.push_back(std::move(event));
-  if (events_.size() <= kMostEvents) return;
+  if (events_.size() <= kMaxEvents) return;
   forgotten_ = events_.front().revision;
   events_.pop_front();
 }
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -599,7 +599,7 @@
     ~UnderWay() { --count; }
   };
   const UnderWay one{++calls_under_way};
-  most_calls_under_way = std::max(most_calls_under_way, calls_under_way);
+  max_calls_in_flight = std::max(max_calls_in_flight, calls_under_way);
   constexpr std::size_t kPrefix = std::string_view("worker:").size();
   const auto [begin, end] = workers.equal_range(address.substr(kPrefix));
   for (auto it = begin; it != end; ++it) {
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -226,8 +226,8 @@
   bool keeps_heartbeats = false;  ///< copies of reports come to all nodes when a new leader begins
   double kept_s = 0;              ///< or so long after
   int ran_twice = 0;
-  int calls_under_way = 0, most_calls_under_way = 0;  ///< to workers, from all nodes
-  std::map<std::string, int> starts;                  ///< by task
+  int calls_under_way = 0, max_calls_in_flight = 0;  ///< to workers, from all nodes
+  std::map<std::string, int> starts;                 ///< by task
 
   /// Passes an event of one of its nodes to `on_traffic`, with its time and region filled in.
   void observe(TrafficEvent event) const;
@@ -292,8 +292,8 @@
 
 /// Runs until it holds; false when that takes too long.
 template <typename Holds>
-bool wait_for(TestCluster& w, double most_s, Holds holds) {
-  for (double t = 0; t < most_s && !holds(); t += 0.25) w.run(0.25);
+bool wait_for(TestCluster& w, double timeout_s, Holds holds) {
+  for (double t = 0; t < timeout_s && !holds(); t += 0.25) w.run(0.25);
   return holds();
 }
 
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -390,8 +390,8 @@
   Fragments fragments(settings, 3, make_job(kSmall, JobKind::service, 4, 3).spec);
   auto& cluster = fragments.w;
   vary(cluster, seed);
-  constexpr int kChats = 12, kMostChats = 20;
-  RouterStandIn router{kMostChats};
+  constexpr int kChats = 12, kMaxChats = 20;
+  RouterStandIn router{kMaxChats};
   const auto look = [&] {
     std::vector<RouterStandIn::Replica> replicas;
     for (const auto& [id, worker] : cluster.workers) {
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -140,7 +140,7 @@
     auto settings = small_settings();
     settings.value_kb = value_kb;
     settings.txn_ops = txn_ops;
-    const auto most = static_cast<std::uint32_t>(sched::most_live_tasks(settings));
+    const auto most = static_cast<std::uint32_t>(sched::max_live_tasks(settings));
     EXPECT_GT(most, 100U);
     auto job = long_job(most);
     for (auto& placement : job.placements) {
