--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -11,8 +11,8 @@
     : reactor_(reactor),
       transport_(transport),
       settings_(settings),
-      rentals_(reactor, settings.cloud_rps / 2),
-      others_(reactor, settings.cloud_rps / 2) {}
+      scale_out_budget_(reactor, settings.cloud_rps / 2),
+      other_budget_(reactor, settings.cloud_rps / 2) {}
 
 net::Task<net::Reply> Client::send(net::Request request, store::Budget& budget) {
   for (double wait = 0; (wait = budget.take(1)) > 0;) {
@@ -26,39 +26,40 @@
 
 net::Task<std::optional<std::vector<wire::MachineType>>> Client::types() {
   net::Request request{"GET", "/machine_types", "", "", true};
-  auto sending = send(std::move(request), others_);
+  auto sending = send(std::move(request), other_budget_);
   const auto reply = co_await sending;
   if (reply.status() != 200) co_return std::nullopt;
   co_return wire::parse_machine_types(reply.response.body);
 }
 
-net::Task<RentResult> Client::rent(wire::Rental rental) {
-  net::Request request{"POST", "/rentals", "", wire::rental_request(rental), true};
-  auto sending = send(std::move(request), rentals_);
+net::Task<ScaleOutResult> Client::scale_out(wire::ScaleOutRequest scale_out_request) {
+  net::Request request{"POST", "/rentals", "", wire::write_scale_out_request(scale_out_request),
+                       true};
+  auto sending = send(std::move(request), scale_out_budget_);
   const auto reply = co_await sending;
-  RentResult result;
+  ScaleOutResult result;
   if (reply.kind == net::Reply::Kind::not_sent || reply.status() == 429) {
-    result.kind = RentResult::Kind::refused;
+    result.kind = ScaleOutResult::Kind::refused;
   } else if (reply.status() == 200) {
-    if (auto machines = wire::parse_rented(reply.response.body)) {
-      result.kind = RentResult::Kind::rented;
+    if (auto machines = wire::parse_scale_out_response(reply.response.body)) {
+      result.kind = ScaleOutResult::Kind::rented;
       result.machines = std::move(*machines);
     }
   } else if (reply.status() == 503) {
     const bool trouble = reply.response.body.find("trouble") != std::string::npos;
-    result.kind = trouble ? RentResult::Kind::refused : RentResult::Kind::no_capacity;
+    result.kind = trouble ? ScaleOutResult::Kind::refused : ScaleOutResult::Kind::no_capacity;
   } else if (reply.status() == 400) {
-    result.kind = RentResult::Kind::no_capacity;
+    result.kind = ScaleOutResult::Kind::no_capacity;
   }
   co_return result;
 }
 
-net::Task<Removal> Client::remove(std::vector<std::string> machines) {
+net::Task<DeletionResult> Client::remove(std::vector<std::string> machines) {
   net::Request request{"POST", "/rentals/delete", "", wire::delete_request(machines), true};
-  auto sending = send(std::move(request), others_);
+  auto sending = send(std::move(request), other_budget_);
   const auto reply = co_await sending;
-  if (reply.status() == 200) co_return Removal::done;
-  co_return reply.status() == 400 ? Removal::refused : Removal::unavailable;
+  if (reply.status() == 200) co_return DeletionResult::done;
+  co_return reply.status() == 400 ? DeletionResult::refused : DeletionResult::unavailable;
 }
 
 double Client::list_interval(const base::Settings& settings, std::size_t machines) {
@@ -75,7 +76,7 @@
     net::Request request{"GET", "/rentals",
                          wire::machine_page_query(all.empty() ? "" : all.back().id, kMaxListed), "",
                          true};
-    auto sending = send(std::move(request), others_);
+    auto sending = send(std::move(request), other_budget_);
     const auto reply = co_await sending;
     if (reply.status() != 200) co_return std::nullopt;
     auto page = wire::parse_machine_page(reply.response.body);
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -20,13 +20,13 @@
 /// Machines on a page of the list, at most (PROTOCOL).
 inline constexpr int kMaxListed = 500;
 
-enum class Removal {
+enum class DeletionResult {
   done,         ///< proof that the machines are gone
   refused,      ///< the cloud does not take this request; the same again would fare no better
   unavailable,  ///< nothing is known; it may be asked again
 };
 
-struct RentResult {
+struct ScaleOutResult {
   enum class Kind { rented, no_capacity, refused, unknown };
   Kind kind = Kind::unknown;
   std::vector<std::string> machines;
@@ -38,8 +38,8 @@
 
   net::Task<std::optional<std::vector<wire::MachineType>>> types();
   /// `unknown` must be asked again under the same name: it may have been, or yet be, carried out.
-  net::Task<RentResult> rent(wire::Rental rental);
-  net::Task<Removal> remove(std::vector<std::string> machines);
+  net::Task<ScaleOutResult> scale_out(wire::ScaleOutRequest scale_out_request);
+  net::Task<DeletionResult> remove(std::vector<std::string> machines);
   net::Task<std::optional<std::vector<wire::ListedMachine>>> list();
   /// How long to wait between two lists of so many machines: reading their pages takes no more than
   /// half of the calls that are left for other things than rentals.
@@ -51,8 +51,8 @@
   net::Reactor& reactor_;
   net::Transport& transport_;
   const base::Settings& settings_;
-  store::Budget rentals_;  ///< DESIGN: rentals start at half the cloud's call rate
-  store::Budget others_;
+  store::Budget scale_out_budget_;  ///< DESIGN: rentals start at half the cloud's call rate
+  store::Budget other_budget_;
 };
 
 }  // namespace cranklock::cloud
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -24,7 +24,7 @@
   scope.spawn(follow_list());
   scope.spawn(follow_types());
   scope.spawn(supervise());
-  scope.spawn(delete_retired());
+  scope.spawn(delete_terminating());
 }
 
 // ---- the cloud ----
@@ -86,7 +86,7 @@
   return std::max(due, heard);
 }
 
-void MachineLifecycle::retire(Machine& m, const char* why) {
+void MachineLifecycle::terminate(Machine& m, const char* why) {
   if (m.terminating) return;
   m.terminating = true;
   spdlog::info("machine {} ({} in {}{}) is returned: {}", m.id, m.kind.type, m.kind.zone,
@@ -118,10 +118,11 @@
 
 // Guards against a machine that the cloud refuses to delete, and with it all that are named in the
 // same request: half as many are named next, and others, until it stands alone.
-void MachineLifecycle::note_removal(const std::vector<std::string>& names, cloud::Removal removal) {
-  if (removal == cloud::Removal::unavailable) return;
+void MachineLifecycle::record_deletion_result(const std::vector<std::string>& names,
+                                              cloud::DeletionResult deletion_result) {
+  if (deletion_result == cloud::DeletionResult::unavailable) return;
   deletions_after_ = names.back();
-  if (removal == cloud::Removal::refused) {
+  if (deletion_result == cloud::DeletionResult::refused) {
     spdlog::error("the cloud refuses to delete {} machines, {} among them", names.size(),
                   names.front());
     max_deletions_ = std::max<std::size_t>(names.size() / 2, 1);
@@ -133,7 +134,7 @@
   work_.set();
 }
 
-Task<void> MachineLifecycle::delete_retired() {
+Task<void> MachineLifecycle::delete_terminating() {
   for (;;) {
     net::Signal::Wait wait(deletions_, services_.settings.heartbeat_interval_s);
     co_await wait;
@@ -141,9 +142,9 @@
     if (names.empty()) continue;
     const bool may_be_more = names.size() == max_deletions_;
     auto terminating = services_.cloud.remove(names);
-    const auto removal = co_await terminating;
-    note_removal(names, removal);
-    if (removal == cloud::Removal::done) {
+    const auto deletion_result = co_await terminating;
+    record_deletion_result(names, deletion_result);
+    if (deletion_result == cloud::DeletionResult::done) {
       if (may_be_more) deletions_.set();
       continue;
     }
@@ -164,7 +165,7 @@
                                      double at) {
   const auto& s = services_.settings;
   const auto* type = cluster_.type(m.kind.type);
-  if (m.failed) return retire(m, "it has stopped on its own");
+  if (m.failed) return terminate(m, "it has stopped on its own");
   if (!m.heartbeat_received) {
     // A list alone proves nothing; a machine that has not reported for several boot times, to a
     // leader who has been there for long enough, does no work.
@@ -174,18 +175,18 @@
     // Nor has one that its zone's cut keeps from reporting failed to come up.
     if (at - m.provisioned_at > patience && at - term_began_ > s.lease_s * 2 &&
         at > m.lease_grace_until) {
-      retire(m, "it never came up");
+      terminate(m, "it never came up");
     }
     return;
   }
   if (m.lease_expired && at - m.last_response > 2 * s.lease_s && at > m.lease_grace_until) {
-    return retire(m, "it is silent");
+    return terminate(m, "it is silent");
   }
   // Its deletion proves what its lease would prove only later: its work starts elsewhere the
   // sooner.
-  if (sched::is_reclaimed(cluster_, m, zones, at)) return retire(m, "it is taken");
+  if (sched::is_reclaimed(cluster_, m, zones, at)) return terminate(m, "it is taken");
   const bool tried = m.fault_confirmed || at - m.quarantined_since > cluster_.quarantine_period();
-  if (m.quarantined && m.idle() && tried) return retire(m, "it fails what it starts");
+  if (m.quarantined && m.idle() && tried) return terminate(m, "it fails what it starts");
   if (!m.reclaim_at) return;
   // Its work moves while it still runs: what saves is told to save.
   for (const auto& held : m.tasks) {
@@ -235,12 +236,12 @@
     for (const auto& p : job.placements) {
       if (p.ended) continue;
       Machine* m = cluster_.machine(p.machine);
-      if (m != nullptr && overdue) retire(*m, "a cancelled task may still be on it");
+      if (m != nullptr && overdue) terminate(*m, "a cancelled task may still be on it");
       if (m == nullptr && (overdue || all_known)) unknown.push_back(p.machine);
     }
   }
   for (const auto& name : unknown) {
-    retire(cluster_.upsert_machine(name, {}, at), "nothing is known of it");
+    terminate(cluster_.upsert_machine(name, {}, at), "nothing is known of it");
   }
 }
 
--- a/src/control/machine_lifecycle.hpp
+++ b/src/control/machine_lifecycle.hpp
@@ -26,7 +26,7 @@
   /// Starts the duties: following the cloud's list and types, supervision and deletions.
   void start(net::Scope& scope);
   /// Marks the machine for deletion; nothing is placed on it from now on.
-  void retire(sched::Machine& machine, const char* why);
+  void terminate(sched::Machine& machine, const char* why);
   /// Whether its deletion was answered lately: a lagging list or a late report may still show it.
   bool is_deleted(const std::string& machine) const { return deleted_.contains(machine); }
 
@@ -34,13 +34,14 @@
   net::Task<void> follow_list();
   net::Task<void> follow_types();
   net::Task<void> supervise();
-  net::Task<void> delete_retired();
+  net::Task<void> delete_terminating();
 
   void take_in_list(const std::vector<wire::ListedMachine>& machines);
   /// Machines to be deleted next, no more than one request may name.
   bool may_delete(const sched::Machine& machine) const;
   std::vector<std::string> due_deletions() const;
-  void note_removal(const std::vector<std::string>& names, cloud::Removal removal);
+  void record_deletion_result(const std::vector<std::string>& names,
+                              cloud::DeletionResult deletion_result);
   void note_deleted(const std::vector<std::string>& names);
   void report_expired_leases(double at);
   void check_placements(double at);
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -71,9 +71,9 @@
         pool.stamp(reading.machines + change, wall);
         spdlog::info("pool {} grows by {} from {}: score {:.2f}", name, change, reading.machines,
                      reading.score);
-        grow(id, change);
+        scale_out(id, change);
       } else if (change < 0 && leader_lease_.valid(at)) {
-        const int given = shrink(id, -change);
+        const int given = scale_in(id, -change);
         if (given > 0) {
           pool.stamp(reading.machines - given, wall);
           spdlog::info("pool {} shrinks by {} from {}: score {:.2f}", name, given, reading.machines,
@@ -89,7 +89,7 @@
   }
 }
 
-void PoolScaler::grow(const sched::PoolId& pool, int machines) {
+void PoolScaler::scale_out(const sched::PoolId& pool, int machines) {
   // What waits decides on the zone; what the step adds beyond that goes to the zone that has
   // fewest; a zone without a controller, which loses its work in a cut, gets half of a share.
   std::map<sched::MachineKind, int> plan;
@@ -128,21 +128,22 @@
   }
   for (const auto& [kind, n] : plan) {
     for (int left = n; left > 0; left -= cloud::kMaxMachinesPerRequest) {
-      scope_.spawn(rent(kind, std::min(left, cloud::kMaxMachinesPerRequest)));
+      scope_.spawn(request_machines(kind, std::min(left, cloud::kMaxMachinesPerRequest)));
     }
   }
 }
 
-Task<void> PoolScaler::rent(sched::MachineKind kind, int count) {
+Task<void> PoolScaler::request_machines(sched::MachineKind kind, int count) {
   // The token makes the name unique among leaders, the sequence among our own.
   const std::string name = "r-" + std::to_string(leader_lease_.fencing_token()) + "-" +
-                           std::to_string(++rental_sequence_);
+                           std::to_string(++request_sequence_);
   const auto& figures = services_.settings.operators.scaler;
   for (;;) {
     if (!leader_lease_.valid(now())) co_return;
-    auto renting = services_.cloud.rent({name, kind.type, kind.zone, kind.spot, count});
-    const auto result = co_await renting;
-    using Kind = cloud::RentResult::Kind;
+    auto requesting =
+        services_.cloud.request_machines({name, kind.type, kind.zone, kind.spot, count});
+    const auto result = co_await requesting;
+    using Kind = cloud::ScaleOutResult::Kind;
     if (result.kind == Kind::rented) {
       for (const auto& id : result.machines) {
         if (!term_.is_deleted(id)) cluster_.upsert_machine(id, kind, now()).provisioned_here = true;
@@ -167,7 +168,7 @@
   }
 }
 
-int PoolScaler::shrink(const sched::PoolId& pool, int machines) {
+int PoolScaler::scale_in(const sched::PoolId& pool, int machines) {
   std::vector<Machine*> idle;
   for (auto& [id, m] : cluster_.machines()) {
     // An emptied machine that a plan holds for large work is not idle.
@@ -182,7 +183,7 @@
   int given = 0;
   for (Machine* m : idle) {
     if (given == machines) break;
-    term_.retire(*m, "nothing needs it");
+    term_.terminate(*m, "nothing needs it");
     ++given;
   }
   return given;
--- a/src/control/pool_scaler.hpp
+++ b/src/control/pool_scaler.hpp
@@ -22,7 +22,7 @@
   /// What it needs of the term that it serves.
   struct Term {
     std::function<bool()> is_lost;
-    std::function<void(sched::Machine& machine, const char* why)> retire;
+    std::function<void(sched::Machine& machine, const char* why)> terminate;
     std::function<bool(const std::string& machine)> is_deleted;
   };
 
@@ -43,9 +43,9 @@
 
  private:
   void forget_refusals(double at);
-  net::Task<void> rent(sched::MachineKind kind, int count);
-  void grow(const sched::PoolId& pool, int machines);
-  int shrink(const sched::PoolId& pool, int machines);
+  net::Task<void> request_machines(sched::MachineKind kind, int count);
+  void scale_out(const sched::PoolId& pool, int machines);
+  int scale_in(const sched::PoolId& pool, int machines);
   net::Task<void> write_pool(std::string name);
   double now() const { return services_.reactor.now(); }
 
@@ -60,7 +60,7 @@
   std::map<std::string, std::uint64_t> pool_revisions_;
   std::map<sched::MachineKind, double> refused_until_;
   sched::Shortfall shortfall_;
-  std::uint64_t rental_sequence_ = 0;
+  std::uint64_t request_sequence_ = 0;
   net::Scope scope_;  ///< last, so that its routines end before what they use
 };
 
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -31,7 +31,7 @@
   struct Entry {
     std::string id;
     std::uint64_t revision;
-    bool retire;
+    bool terminate;
     int parts;
     JobOutcome outcome;                   ///< of one that is retired
     std::vector<std::string> left_parts;  ///< of one that is retired, for which there was no room
@@ -76,7 +76,7 @@
   std::vector<wire::Mutation> mutations;
   const bool over = job.cancelled() ? job.live() == 0 : job.complete();
   if (over) {
-    entry.retire = true;
+    entry.terminate = true;
     entry.outcome.state = job.cancelled() ? wire::JobState::cancelled : wire::JobState::done;
     entry.outcome.tasks = job.done.size();
     // Kept only for those that wait for it, whose own times count from here.
@@ -237,7 +237,7 @@
   for (auto& entry : batch.entries) {
     Job* job = cluster_.job(entry.id);
     if (job == nullptr) continue;
-    if (entry.retire) {
+    if (entry.terminate) {
       stale_parts_.insert(stale_parts_.end(), entry.left_parts.begin(), entry.left_parts.end());
       note_retired(entry.id, entry.outcome);
       continue;
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -73,7 +73,7 @@
 
 PoolScaler::Term Term::scaler_duties() {
   return {[this] { return is_lost_; },
-          [this](Machine& machine, const char* why) { machines_.retire(machine, why); },
+          [this](Machine& machine, const char* why) { machines_.terminate(machine, why); },
           [this](const std::string& machine) { return machines_.is_deleted(machine); }};
 }
 
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -136,7 +136,7 @@
   void stop_victims(const Job& job, const Choice& choice);
   std::vector<std::string> gang_zones(const Job& job) const;
   void foresee_losses();
-  bool may_rent(const Job& job, const ZoneCount& zones, const MachineKind& kind) const;
+  bool may_scale_out(const Job& job, const ZoneCount& zones, const MachineKind& kind) const;
   double price_of(const Job& job, const ZoneCount& zones, const MachineKind& kind,
                   const wire::MachineType& type) const;
   std::optional<MachineKind> cheapest_kind(const Job& job, const ZoneCount& zones) const;
@@ -622,7 +622,7 @@
 }
 
 // Whether a machine of this kind may be asked for now, for a task of the job.
-bool Pass::may_rent(const Job& job, const ZoneCount& zones, const MachineKind& kind) const {
+bool Pass::may_scale_out(const Job& job, const ZoneCount& zones, const MachineKind& kind) const {
   if (!allows(job.spec, kind) || !zone_allows(job, zones, kind.zone)) return false;
   const auto refused = refused_until_.find(kind);
   return refused == refused_until_.end() || refused->second <= now_;
@@ -652,7 +652,7 @@
       if (cluster_.is_unreachable(zone)) continue;
       for (const bool spot : {true, false}) {
         const MachineKind kind{name, zone, spot};
-        if (!may_rent(job, zones, kind)) continue;
+        if (!may_scale_out(job, zones, kind)) continue;
         const double price = price_of(job, zones, kind, type);
         if (price < best_price) best = kind, best_price = price;
       }
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -351,14 +351,14 @@
   w.list_end().end();
 }
 
-std::string rental_request(const Rental& r) {
+std::string write_scale_out_request(const ScaleOutRequest& r) {
   JsonWriter w;
   w.begin().key("Charter").text(r.request).key("Frame").text(r.type).key("Yard").text(r.zone);
   w.key("Loaners").flag(r.spot).key("Count").integer(r.count).end();
   return w.take();
 }
 
-std::optional<std::vector<std::string>> parse_rented(std::string_view body) {
+std::optional<std::vector<std::string>> parse_scale_out_response(std::string_view body) {
   return with_object(body, [](const Json& o) { return read_texts(o, "Rigs"); });
 }
 
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -133,13 +133,13 @@
 std::optional<std::vector<MachineType>> parse_machine_types(std::string_view body);
 void write_machine_types(JsonWriter& w, const std::vector<MachineType>& types);
 
-struct Rental {
+struct ScaleOutRequest {
   std::string request, type, zone;
   bool spot = false;
   int count = 1;
 };
-std::string rental_request(const Rental& rental);
-std::optional<std::vector<std::string>> parse_rented(std::string_view body);
+std::string write_scale_out_request(const ScaleOutRequest& scale_out_request);
+std::optional<std::vector<std::string>> parse_scale_out_response(std::string_view body);
 std::string delete_request(const std::vector<std::string>& machines);
 
 enum class MachineState { booting, running, failed };
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -282,9 +282,9 @@
 }
 
 TEST(CloudProtocol, MachinesAreRentedWithEveryField) {
-  EXPECT_EQ(wire::rental_request({"r-7", "g8", "b", true, 3}),
+  EXPECT_EQ(wire::write_scale_out_request({"r-7", "g8", "b", true, 3}),
             R"({"Charter":"r-7","Frame":"g8","Yard":"b","Loaners":true,"Count":3})");
-  EXPECT_EQ(wire::parse_rented(R"({"Rigs":["n-1","n-2"]})"), (Texts{"n-1", "n-2"}));
+  EXPECT_EQ(wire::parse_scale_out_response(R"({"Rigs":["n-1","n-2"]})"), (Texts{"n-1", "n-2"}));
 }
 
 TEST(CloudProtocol, MachinesAreGivenBackByTheirNames) {
@@ -458,7 +458,7 @@
 TEST(CloudProtocol, EachOperationHasItsMethodAndPath) {
   Clients c;
   EXPECT_EQ(c.request_of(c.cloud->types()), "cloud:1 GET /machine_types");
-  EXPECT_EQ(c.request_of(c.cloud->rent({"r-7", "g8", "b", false, 1})),
+  EXPECT_EQ(c.request_of(c.cloud->scale_out({"r-7", "g8", "b", false, 1})),
             "cloud:1 POST /rentals "
             R"({"Charter":"r-7","Frame":"g8","Yard":"b","Loaners":false,"Count":1})");
   EXPECT_EQ(c.request_of(c.cloud->remove({"n-1"})),
@@ -470,13 +470,13 @@
   Clients c;
   const auto kind_for = [&](const std::string& body) {
     c.transport.body = body;
-    auto renting = c.cloud->rent({"r-7", "g8", "b", false, 1});
+    auto renting = c.cloud->scale_out({"r-7", "g8", "b", false, 1});
     renting.start();
     c.reactor.run_until(c.reactor.now() + 10);
     return renting.take().kind;
   };
-  EXPECT_EQ(kind_for(R"({"error":"trouble"})"), cloud::RentResult::Kind::refused);
-  EXPECT_EQ(kind_for(R"({"error":"no capacity"})"), cloud::RentResult::Kind::no_capacity);
+  EXPECT_EQ(kind_for(R"({"error":"trouble"})"), cloud::ScaleOutResult::Kind::refused);
+  EXPECT_EQ(kind_for(R"({"error":"no capacity"})"), cloud::ScaleOutResult::Kind::no_capacity);
 }
 
 // Whole answers of a cluster to users.
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -137,7 +137,7 @@
   EXPECT_FALSE(parse_compare_and_swap_response("{}"));
   EXPECT_FALSE(parse_watch(R"({"LedgerTurn":1,"News":[{"Write":"a","Mark":1}]})"));
   EXPECT_FALSE(parse_machine_page(R"({"Rigs":[{"Id":"n-1"}]})"));
-  EXPECT_FALSE(parse_rented(R"({"Rigs":[1]})"));
+  EXPECT_FALSE(parse_scale_out_response(R"({"Rigs":[1]})"));
 }
 
 TEST(Wire, TaskSetsJoinNeighbours) {
