--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -89,7 +89,7 @@
     region_links.emplace(
         reactor, settings, [&] { return node.leader_fencing_token(); },
         [&](const std::string& region, const regions::RegionFrame& frame) {
-          node.heard_region(region, frame);
+          node.on_region_frame(region, frame);
         });
     if (!region_links->listen()) {
       spdlog::error("{} can't be listened on",
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -14,13 +14,13 @@
 using sched::Machine;
 
 CommandSender::CommandSender(Services services, const LeaderLease& lease,
-                             sched::ClusterState& cluster, net::Signal& work, Term term)
+                             sched::ClusterState& cluster, net::Signal& work, Callbacks callbacks)
     : services_(services),
       leader_lease_(lease),
       cluster_(cluster),
       work_(work),
-      term_(std::move(term)),
-      term_began_(services.reactor.now()) {}
+      callbacks_(std::move(callbacks)),
+      term_started_at_(services.reactor.now()) {}
 
 namespace {
 /// What the leader lease is good for. What a user has cancelled is stopped even when it is in
@@ -42,7 +42,7 @@
 
 void CommandSender::send_commands() {
   const double at = now();
-  if (term_.is_lost()) return;
+  if (callbacks_.is_lost()) return;
   const Allowed allowed{leader_lease_.may_start(at), leader_lease_.valid(at)};
   std::set<std::string> machines;
   for (const auto& [id, job] : cluster_.jobs()) {
@@ -85,7 +85,7 @@
 
 // `heartbeat` is the worker's where it executed the orders; otherwise they were certainly not
 // executed.
-void CommandSender::confirm_starts(Machine& machine, std::uint64_t agent_epoch,
+void CommandSender::resolve_starts(Machine& machine, std::uint64_t agent_epoch,
                                    const std::vector<wire::Command>& commands,
                                    const std::optional<wire::Heartbeat>& heartbeat) {
   for (const auto& command : commands) {
@@ -127,10 +127,10 @@
   if (reply.answered() && (!heartbeat || heartbeat->machine != id)) co_return;  // tells nothing
   machine = cluster_.machine(id);
   if (machine == nullptr) co_return;
-  confirm_starts(*machine, agent_epoch, commands, reply.status() == 200 ? heartbeat : std::nullopt);
+  resolve_starts(*machine, agent_epoch, commands, reply.status() == 200 ? heartbeat : std::nullopt);
   if (!heartbeat) co_return;
   if (heartbeat->fencing_token > leader_lease_.fencing_token()) {
-    term_.lose("a worker has seen a higher token");
+    callbacks_.lose("a worker has seen a higher token");
     co_return;
   }
   cluster_.reconcile_heartbeat(*heartbeat, false, now());
@@ -145,7 +145,7 @@
     Sleep pause(services_.reactor, s.heartbeat_interval_s / 2);
     co_await pause;
     const double at = now();
-    if (at - term_began_ < 1.5 * s.heartbeat_interval_s) continue;  // most come by themselves
+    if (at - term_started_at_ < 1.5 * s.heartbeat_interval_s) continue;  // most come by themselves
     std::vector<std::string> due;
     std::erase_if(announced_at_,
                   [&](const auto& call) { return cluster_.machine(call.first) == nullptr; });
@@ -179,12 +179,12 @@
     const auto reply = co_await calling;
     if (reply.status() != 200 && reply.status() != 409) break;
     const auto heartbeat = wire::parse_heartbeat(reply.response.body);
-    if (!heartbeat || heartbeat->machine != id || term_.is_deleted(id)) break;
+    if (!heartbeat || heartbeat->machine != id || callbacks_.is_deleted(id)) break;
     if (heartbeat->fencing_token > leader_lease_.fencing_token()) {
-      term_.lose("a worker has seen a higher token");
+      callbacks_.lose("a worker has seen a higher token");
       break;
     }
-    term_.heard_worker();
+    callbacks_.on_agent_message();
     cluster_.reconcile_heartbeat(*heartbeat, false, now());
     work_.set();
     if (reply.status() == 200 || heartbeat->agent_epoch == agent_epoch) break;
--- a/src/control/command_sender.hpp
+++ b/src/control/command_sender.hpp
@@ -23,16 +23,16 @@
 class CommandSender {
  public:
   /// What it needs of the term that it serves.
-  struct Term {
+  struct Callbacks {
     std::function<bool()> is_lost;
     std::function<void(const char* why)> lose;  ///< a worker has seen a higher token
-    std::function<void()> heard_worker;
+    std::function<void()> on_agent_message;
     std::function<bool(const std::string& machine)> is_deleted;
   };
 
   /// Made when the term begins. All that is referred to outlives the sender.
   CommandSender(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
-                net::Signal& work, Term term);
+                net::Signal& work, Callbacks callbacks);
 
   /// Sends what is due to each worker that is not being called already.
   void send_commands();
@@ -43,7 +43,7 @@
  private:
   net::Task<void> send_to(std::string machine);
   std::vector<wire::Command> take_due_commands(sched::Machine& machine);
-  void confirm_starts(sched::Machine& machine, std::uint64_t agent_epoch,
+  void resolve_starts(sched::Machine& machine, std::uint64_t agent_epoch,
                       const std::vector<wire::Command>& commands,
                       const std::optional<wire::Heartbeat>& heartbeat);
   net::Task<void> send_fencing_token(std::string machine);
@@ -58,8 +58,8 @@
   const LeaderLease& leader_lease_;
   sched::ClusterState& cluster_;
   net::Signal& work_;
-  Term term_;
-  double term_began_;
+  Callbacks callbacks_;
+  double term_started_at_;
   std::set<std::string> calling_;               ///< workers under way
   std::map<std::string, double> announced_at_;  ///< when workers were last told of our token
   net::Scope scope_;  ///< last, so that its routines end before what they use
--- a/src/control/job_follower.cpp
+++ b/src/control/job_follower.cpp
@@ -15,18 +15,18 @@
 using sched::Job;
 using store::Status;
 
-JobFollower::JobFollower(Services services, LeaderLease& lease, sched::ClusterState& cluster,
-                         RecordReloader& reloader, net::Signal& work, Term term)
+JobWatcher::JobWatcher(Services services, LeaderLease& lease, sched::ClusterState& cluster,
+                       RecordReloader& reloader, net::Signal& work, Callbacks callbacks)
     : services_(services),
       leader_lease_(lease),
       cluster_(cluster),
       reloader_(reloader),
       work_(work),
-      term_(std::move(term)) {}
+      callbacks_(std::move(callbacks)) {}
 
 // ---- take-over ----
 
-Task<bool> JobFollower::load() {
+Task<bool> JobWatcher::load() {
   const double sent = now();
   auto reading = services_.store.read_all(kJobsPrefix, kStoreTimeout);
   const auto jobs = co_await reading;
@@ -41,7 +41,7 @@
   co_return true;
 }
 
-Task<bool> JobFollower::load_one(const wire::StoredValue& item) {
+Task<bool> JobWatcher::load_one(const wire::StoredValue& item) {
   int parts = 0;
   auto job = read_record(item.data, parts);
   if (!job) {
@@ -64,20 +64,20 @@
 // Guards against a deletion put off by every change of leader: the record tells when its user
 // cancelled, as well as two clocks of the day agree. What came with the changes was not stored yet
 // when all was known last.
-double JobFollower::cancelled_since(std::int64_t at_ms) const {
+double JobWatcher::cancelled_since(std::int64_t at_ms) const {
   const double age = static_cast<double>(services_.reactor.wall_ms() - at_ms) / 1000 +
                      2 * services_.settings.clock_error_s;
   return std::min(std::max(now() - std::max(age, 0.0), known_before_), now());
 }
 
-void JobFollower::put(Job job) {
+void JobWatcher::put(Job job) {
   if (job.cancelled()) job.cancelled_since = cancelled_since(job.cancelled_at_ms);
   cluster_.upsert_job(std::move(job), now());
 }
 
 // ---- changes ----
 
-Task<void> JobFollower::follow() {
+Task<void> JobWatcher::follow() {
   std::uint64_t since = loaded_revision_;
   // As long as the pause between renewals: what an answer proves is as old as its question.
   const double wait = LeaderLease::lease_life(services_.settings) / 4;
@@ -116,7 +116,7 @@
 
 // Cancellations are acted on as they come: other changes wait until no transaction of ours is under
 // way, which may take as long as the state service pleases.
-void JobFollower::note_changes(std::vector<wire::StoredValue> items, double sent) {
+void JobWatcher::note_changes(std::vector<wire::StoredValue> items, double sent) {
   bool stops = false;
   for (auto& item : items) {
     Job* known = cluster_.job(job_of_key(item.key));
@@ -131,10 +131,10 @@
   leader_lease_.caught_up(sent);
   known_before_ = std::max(known_before_, sent);
   if (!pending_.empty()) work_.set();
-  if (stops) term_.job_cancelled();
+  if (stops) callbacks_.job_cancelled();
 }
 
-void JobFollower::apply_changes() {
+void JobWatcher::apply_changes() {
   while (!pending_.empty()) {
     const auto item = std::move(pending_.front());
     pending_.pop_front();
@@ -142,7 +142,7 @@
   }
 }
 
-void JobFollower::apply_change(const wire::StoredValue& item) {
+void JobWatcher::apply_change(const wire::StoredValue& item) {
   const auto id = job_of_key(item.key);
   const Job* known = cluster_.job(id);
   if (known != nullptr && item.revision <= known->revision) return;
@@ -162,7 +162,7 @@
   }
   job->revision = item.revision;
   if (known == nullptr) {
-    term_.job_accepted();
+    callbacks_.job_accepted();
     spdlog::info("job {} accepted: {} of team {}, {} tasks", id, job->spec.job_class,
                  job->spec.team, job->spec.tasks);
   } else if (job->cancelled()) {
--- a/src/control/job_follower.hpp
+++ b/src/control/job_follower.hpp
@@ -19,17 +19,17 @@
 /// node. Cancellations are acted on as they come; all else waits until no transaction of the
 /// leader's own is under way. It tells the leader lease up to when all changes are known (invariant
 /// 11).
-class JobFollower {
+class JobWatcher {
  public:
   /// What it needs of the term that it serves.
-  struct Term {
+  struct Callbacks {
     std::function<void()> job_accepted;
     std::function<void()> job_cancelled;
   };
 
   /// Made when the term begins. All that is referred to outlives it.
-  JobFollower(Services services, LeaderLease& lease, sched::ClusterState& cluster,
-              RecordReloader& reloader, net::Signal& work, Term term);
+  JobWatcher(Services services, LeaderLease& lease, sched::ClusterState& cluster,
+             RecordReloader& reloader, net::Signal& work, Callbacks callbacks);
 
   /// Reads all live jobs; false when the state service did not let it.
   net::Task<bool> load();
@@ -53,7 +53,7 @@
   sched::ClusterState& cluster_;
   RecordReloader& reloader_;
   net::Signal& work_;
-  Term term_;
+  Callbacks callbacks_;
   std::uint64_t loaded_revision_ = 0;
   std::deque<wire::StoredValue> pending_;
   double known_before_ = -1e9;  ///< when the changes last taken in were asked for
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -18,7 +18,7 @@
       cluster_(cluster),
       work_(work),
       deletions_(services.reactor),
-      term_began_(services.reactor.now()) {}
+      term_started_at_(services.reactor.now()) {}
 
 void MachineLifecycle::start(net::Scope& scope) {
   scope.spawn(follow_list());
@@ -81,8 +81,8 @@
 double MachineLifecycle::cancel_due(const Job& job) const {
   const auto& s = services_.settings;
   const double due = job.cancelled_since + (s.cancel_s - s.heartbeat_interval_s) / 2;
-  const double heard =
-      std::min(term_began_ + 2.5 * s.heartbeat_interval_s, job.cancelled_since + s.cancel_s * 0.75);
+  const double heard = std::min(term_started_at_ + 2.5 * s.heartbeat_interval_s,
+                                job.cancelled_since + s.cancel_s * 0.75);
   return std::max(due, heard);
 }
 
@@ -173,7 +173,7 @@
         type != nullptr ? cluster_.expected_boot(*type, m.kind.zone, at) : s.lease_s;
     const double patience = s.operators.boot_patience * expected;
     // Nor has one that its zone's cut keeps from reporting failed to come up.
-    if (at - m.provisioned_at > patience && at - term_began_ > s.lease_s * 2 &&
+    if (at - m.provisioned_at > patience && at - term_started_at_ > s.lease_s * 2 &&
         at > m.lease_grace_until) {
       terminate(m, "it never came up");
     }
@@ -229,7 +229,7 @@
 // only proof left.
 void MachineLifecycle::check_placements(double at) {
   const auto& s = services_.settings;
-  const bool all_known = at - term_began_ > 2 * s.list_lag_s + s.lease_s;
+  const bool all_known = at - term_started_at_ > 2 * s.list_lag_s + s.lease_s;
   std::vector<std::string> unknown;
   for (const auto& [id, job] : cluster_.jobs()) {
     const bool overdue = job.cancelled() && at > cancel_due(job);
--- a/src/control/machine_lifecycle.hpp
+++ b/src/control/machine_lifecycle.hpp
@@ -55,7 +55,7 @@
   sched::ClusterState& cluster_;
   net::Signal& work_;
   net::Signal deletions_;
-  double term_began_;
+  double term_started_at_;
   /// The next deletion names so many machines at most, beginning after this one: requests that the
   /// cloud refuses become smaller and pass on, so that one name does not hold up all others.
   std::size_t max_deletions_ = cloud::kMaxDeletions;
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -17,12 +17,12 @@
 using store::Status;
 
 MoveService::MoveService(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
-                         net::Signal& work, Term term)
+                         net::Signal& work, Callbacks callbacks)
     : services_(services),
       leader_lease_(lease),
       cluster_(cluster),
       work_(work),
-      term_(std::move(term)),
+      callbacks_(std::move(callbacks)),
       executor_(cluster, lease.fencing_token(), services.settings.operators.defrag.drain.named(),
                 services.reactor.now()),
       due_(services.reactor) {}
@@ -46,7 +46,7 @@
     log_plans();
     net::Signal::Wait wait(due_, services_.settings.heartbeat_interval_s / 4);
     co_await wait;
-    if (term_.is_lost()) co_return;
+    if (callbacks_.is_lost()) co_return;
     executor_.advance(wall_ms(), now());
     look();
     log_plans();
@@ -97,7 +97,7 @@
     executor_.note_stored(record);
     due_.set();
   } else if (result.status == Status::failed && compare_failed(kLeaderKey)) {
-    term_.lose("the leader's key has changed");
+    callbacks_.lose("the leader's key has changed");
   } else if (result.status == Status::failed) {
     if (compare_failed(kMovesOffKey)) {
       executor_.drop(DropReason::off, now());
--- a/src/control/move_service.hpp
+++ b/src/control/move_service.hpp
@@ -28,7 +28,7 @@
 class MoveService {
  public:
   /// What it needs of the term that it serves.
-  struct Term {
+  struct Callbacks {
     std::function<bool()> is_lost;
     std::function<void(const char* why)> lose;
   };
@@ -36,7 +36,7 @@
   /// Made when a term begins. All that is referred to outlives it. `work` is set when placement has
   /// something to look at.
   MoveService(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
-              net::Signal& work, Term term);
+              net::Signal& work, Callbacks callbacks);
 
   /// Reads the record; false when the state service did not let it.
   net::Task<bool> load();
@@ -58,7 +58,7 @@
   const LeaderLease& leader_lease_;
   sched::ClusterState& cluster_;
   net::Signal& work_;
-  Term term_;
+  Callbacks callbacks_;
   defrag::MoveExecutor executor_;
   net::Signal due_;
   std::uint64_t revision_ = 0;  ///< of the record as last known; 0: there is none
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -15,7 +15,7 @@
 
 Node::Node(Services services)
     : services_(services),
-      users_(services, [this] { return reaches_state(); }),
+      job_api_(services, [this] { return reaches_state(); }),
       forwarder_(services.reactor, services.settings),
       lost_(services.reactor),
       roster_(4 * peer_heartbeat_interval(services.settings)),
@@ -37,7 +37,7 @@
 }
 
 bool Node::ready() const {
-  if (!users_.knows_types()) return false;
+  if (!job_api_.knows_types()) return false;
   // When nobody reaches the state service, users are better told so at once by a node than turned
   // away by the balancer, which would take its time to come back.
   return reaches_state() ||
@@ -65,11 +65,11 @@
     return on_peer_heartbeat(*peer_heartbeat);
   if (const auto* forwarded = std::get_if<peer::ForwardedHeartbeat>(&frame))
     return on_forwarded_heartbeat(from, *forwarded);
-  forwarder_.answered(std::get<peer::ForwardedResponse>(frame));
+  forwarder_.on_response(std::get<peer::ForwardedResponse>(frame));
 }
 
-void Node::heard_region(const std::string& region, const regions::RegionFrame& frame) {
-  if (leads()) term_->heard_region(region, frame);
+void Node::on_region_frame(const std::string& region, const regions::RegionFrame& frame) {
+  if (leads()) term_->on_region_frame(region, frame);
 }
 
 void Node::on_forwarded_heartbeat(const std::string& from,
@@ -98,7 +98,7 @@
 
 // One after the other, and no more than a tenth of them in the time between two reports: the rate
 // tells only later what each has changed.
-double Node::relief_interval() {
+double Node::redirect_interval() {
   constexpr double kMin = 10, kMaxFraction = 0.1;
   const double heartbeat_interval_s = services_.settings.heartbeat_interval_s;
   const double direct =
@@ -122,14 +122,14 @@
   const bool may_stay =
       heartbeat.zone == services_.settings.zone || !services_.settings.has_node(heartbeat.zone);
   const double now = services_.reactor.now();
-  if (may_stay && (now < next_relief_ || !heartbeats_overloaded())) return {};
+  if (may_stay && (now < next_redirect_at_ || !heartbeats_overloaded())) return {};
   const auto candidates = possible_forwarders(heartbeat.zone);
   // Each worker begins at another of them, so that they share the work.
   const auto first = std::hash<std::string>{}(heartbeat.machine);
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const auto& name = candidates[(first + i) % candidates.size()]->name;
     if (!term_->may_redirect(heartbeat.machine, name)) continue;
-    if (may_stay) next_relief_ = now + relief_interval();
+    if (may_stay) next_redirect_at_ = now + redirect_interval();
     return name;
   }
   return {};
@@ -138,8 +138,8 @@
 void Node::on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
   const double now = services_.reactor.now();
   roster_.heard(peer_heartbeat, now);
-  forwarder_.heard(peer_heartbeat);
-  if (term_ != nullptr) term_->heard(peer_heartbeat);
+  forwarder_.on_peer_heartbeat(peer_heartbeat);
+  if (term_ != nullptr) term_->on_peer_heartbeat(peer_heartbeat);
   // A leader that lost only the state service learns here that it has a successor, long before it
   // would have to stop answering; until it does, its workers stay with it.
   if (term_ != nullptr && peer_heartbeat.fencing_token > leader_lease_->fencing_token()) {
@@ -154,7 +154,7 @@
 }
 
 bool Node::cut_off_from_workers() const {
-  if (!term_->hears_no_worker() || services_.settings.others.empty()) return false;
+  if (!term_->hears_no_agent() || services_.settings.others.empty()) return false;
   const double now = services_.reactor.now();
   // Nobody hears any: there are none, or they are cut off from all. But a node that hears neither
   // workers nor peers has itself lost the network.
@@ -189,8 +189,8 @@
       auto storing = store_types(w.take());
       stored = co_await storing;
     }
-    if (types && !types->empty()) users_.set_types(std::move(*types));
-    Sleep pause(services_.reactor, users_.knows_types() && stored
+    if (types && !types->empty()) job_api_.set_types(std::move(*types));
+    Sleep pause(services_.reactor, job_api_.knows_types() && stored
                                        ? 60.0
                                        : services_.settings.heartbeat_interval_s / 3);
     co_await pause;
@@ -305,7 +305,7 @@
   services_.store.set_leading(true);
   leader_lease_ =
       std::make_unique<LeaderLease>(services_.settings, grant.fencing_token, grant.sent);
-  term_ = std::make_unique<Term>(services_, *leader_lease_, lost_, region_network_);
+  term_ = std::make_unique<LeaderTerm>(services_, *leader_lease_, lost_, region_network_);
   auto loading = term_->load();
   bool keeps = co_await loading;
   if (keeps) {
@@ -315,7 +315,8 @@
                  term_->cluster().jobs().size());
   }
   // Leaves the leadership to a node that may have it.
-  if (term_->is_unfit()) abstain_until_ = services_.reactor.now() + 2 * services_.settings.lease_s;
+  if (term_->is_ineligible())
+    abstain_until_ = services_.reactor.now() + 2 * services_.settings.lease_s;
   while (keeps && !term_->is_lost()) {
     const double sent = services_.reactor.now();
     auto renewing = services_.store.renew_lease(grant.lease, life / 3);
@@ -347,7 +348,7 @@
   co_await dropping;
 }
 
-Task<Response> Node::checkin(Request request) {
+Task<Response> Node::handle_heartbeat_request(Request request) {
   auto heartbeat = wire::parse_heartbeat(request.body);
   if (!heartbeat) {
     spdlog::error("a malformed report was refused");
@@ -390,7 +391,7 @@
   };
   if (path == "/checkin") {
     if (request.method != "POST") co_return only("POST");
-    auto work = checkin(std::move(request));
+    auto work = handle_heartbeat_request(std::move(request));
     auto response = co_await work;
     co_return response;
   }
@@ -400,7 +401,7 @@
     co_return make_response(200, "{}");
   }
   if (path.starts_with(kJobs) && (path.size() == kJobs.size() || path[kJobs.size()] == '/')) {
-    auto work = users_.handle(std::move(request));
+    auto work = job_api_.handle(std::move(request));
     auto response = co_await work;
     co_return response;
   }
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -41,7 +41,7 @@
   /// How leaders of other regions are reached, where the settings name regions.
   void set_region_network(regions::RegionNetwork* network) { region_network_ = network; }
   /// Takes what the leader of another region says; ignored while this node does not lead.
-  void heard_region(const std::string& region, const regions::RegionFrame& frame);
+  void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
   /// 0: this node does not lead.
   std::uint64_t leader_fencing_token() const {
     return leads() ? leader_lease_->fencing_token() : 0;
@@ -50,7 +50,7 @@
     return settings.heartbeat_interval_s / 3;
   }
   bool leads() const { return term_ != nullptr && serving_; }
-  Term* term() { return term_.get(); }
+  LeaderTerm* term() { return term_.get(); }
 
  private:
   struct LeadershipGrant {
@@ -60,7 +60,7 @@
   };
   net::Task<LeadershipGrant> acquire_leadership();
   net::Task<void> serve_term(LeadershipGrant grant);
-  net::Task<net::Response> checkin(net::Request request);
+  net::Task<net::Response> handle_heartbeat_request(net::Request request);
   net::Task<bool> store_types(std::string text);
   void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat);
   void on_forwarded_heartbeat(const std::string& from, const peer::ForwardedHeartbeat& forwarded);
@@ -72,14 +72,14 @@
   bool connections_overloaded() const;
   bool heartbeats_overloaded();
   /// Until the next worker may be handed on that could as well stay here.
-  double relief_interval();
+  double redirect_interval();
   void note_leader(const store::ReadResult& found);
   bool reaches_state() const;
   bool cut_off_from_workers() const;
   std::string believed_leader() const;
 
   Services services_;
-  Users users_;
+  JobApi job_api_;
   HeartbeatForwarder forwarder_;
   HeartbeatForwarder::Send send_;
   std::function<double()> connection_load_;
@@ -87,7 +87,7 @@
   net::Signal lost_;
   peer::Roster roster_;
   std::unique_ptr<LeaderLease> leader_lease_;
-  std::unique_ptr<Term> term_;
+  std::unique_ptr<LeaderTerm> term_;
   net::Scope duties_;
   bool serving_ = false;  ///< the term has loaded its cluster state
   std::string leader_;    ///< whom the state service named last; empty: nobody
@@ -96,7 +96,7 @@
   double state_heard_ = 0;
   double workers_heard_ = -1e9;
   base::EventRate direct_heartbeats_;  ///< to this node as the leader
-  double next_relief_ = 0;             ///< when a worker of this zone may be handed on again
+  double next_redirect_at_ = 0;        ///< when a worker of this zone may be handed on again
   std::uint64_t nonce_ = 0;
   std::uint64_t incarnation_;  ///< of this process, as its hellos name it
 };
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -17,13 +17,13 @@
 using store::Status;
 
 PoolScaler::PoolScaler(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
-                       net::Signal& work, Term term)
+                       net::Signal& work, Callbacks callbacks)
     : services_(services),
       leader_lease_(lease),
       cluster_(cluster),
       work_(work),
-      term_(std::move(term)),
-      term_began_(services.reactor.now()) {}
+      callbacks_(std::move(callbacks)),
+      term_started_at_(services.reactor.now()) {}
 
 Task<bool> PoolScaler::load() {
   auto reading_pools = services_.store.read_all(kPoolsPrefix, kStoreTimeout);
@@ -52,10 +52,10 @@
   for (;;) {
     Sleep pause(services_.reactor, figures.every_s);
     co_await pause;
-    if (cluster_.types().empty() || term_.is_lost()) continue;
+    if (cluster_.types().empty() || callbacks_.is_lost()) continue;
     const double at = now();
     forget_refusals(at);
-    const bool settled = first_ever_ || at - term_began_ >= figures.down_window_s;
+    const bool settled = first_ever_ || at - term_started_at_ >= figures.down_window_s;
     const auto readings = sched::read_pools(cluster_, shortfall_, figures.high);
     std::vector<std::string> changed;
     for (const auto& [id, reading] : readings) {
@@ -140,13 +140,13 @@
   const auto& figures = services_.settings.operators.scaler;
   for (;;) {
     if (!leader_lease_.valid(now())) co_return;
-    auto requesting =
-        services_.cloud.request_machines({name, kind.type, kind.zone, kind.spot, count});
+    auto requesting = services_.cloud.scale_out({name, kind.type, kind.zone, kind.spot, count});
     const auto result = co_await requesting;
     using Kind = cloud::ScaleOutResult::Kind;
     if (result.kind == Kind::rented) {
       for (const auto& id : result.machines) {
-        if (!term_.is_deleted(id)) cluster_.upsert_machine(id, kind, now()).provisioned_here = true;
+        if (!callbacks_.is_deleted(id))
+          cluster_.upsert_machine(id, kind, now()).provisioned_here = true;
       }
       if (static_cast<int>(result.machines.size()) < count) {
         refused_until_[kind] = now() + figures.up_cooldown_s;
@@ -183,7 +183,7 @@
   int given = 0;
   for (Machine* m : idle) {
     if (given == machines) break;
-    term_.terminate(*m, "nothing needs it");
+    callbacks_.terminate(*m, "nothing needs it");
     ++given;
   }
   return given;
--- a/src/control/pool_scaler.hpp
+++ b/src/control/pool_scaler.hpp
@@ -20,7 +20,7 @@
 class PoolScaler {
  public:
   /// What it needs of the term that it serves.
-  struct Term {
+  struct Callbacks {
     std::function<bool()> is_lost;
     std::function<void(sched::Machine& machine, const char* why)> terminate;
     std::function<bool(const std::string& machine)> is_deleted;
@@ -28,7 +28,7 @@
 
   /// Made when the term begins. All that is referred to outlives the scaler.
   PoolScaler(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
-             net::Signal& work, Term term);
+             net::Signal& work, Callbacks callbacks);
 
   /// Reads what is stored of the pools; false when the state service did not let it.
   net::Task<bool> load();
@@ -53,8 +53,8 @@
   const LeaderLease& leader_lease_;
   sched::ClusterState& cluster_;
   net::Signal& work_;
-  Term term_;
-  double term_began_;
+  Callbacks callbacks_;
+  double term_started_at_;
   bool first_ever_ = false;  ///< no leader before has stored a pool
   std::map<std::string, sched::Pool> pools_;
   std::map<std::string, std::uint64_t> pool_revisions_;
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -134,7 +134,7 @@
 }
 
 /// Overdue records and starts in turn, so that neither waits for all of the other, then the rest.
-std::vector<Job*> in_turn(const std::map<WriteClass, std::vector<Job*>>& classes) {
+std::vector<Job*> interleave(const std::map<WriteClass, std::vector<Job*>>& classes) {
   const auto of = [&](WriteClass write_class) {
     const auto it = classes.find(write_class);
     return it == classes.end() ? std::vector<Job*>() : it->second;
@@ -173,7 +173,7 @@
   auto& overdue = classes[WriteClass::overdue];
   std::stable_sort(overdue.begin(), overdue.end(),
                    [](const Job* a, const Job* b) { return a->dirty_since < b->dirty_since; });
-  return in_turn(classes);
+  return interleave(classes);
 }
 
 RecordWriter::Batch RecordWriter::next_batch() {
--- a/src/control/report_forwarder.cpp
+++ b/src/control/report_forwarder.cpp
@@ -11,12 +11,12 @@
 using net::Response;
 using net::Task;
 
-void HeartbeatForwarder::heard(const peer::PeerHeartbeat& peer_heartbeat) {
+void HeartbeatForwarder::on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
   if (peer_heartbeat.fencing_token == 0 || peer_heartbeat.fencing_token < fencing_token_) return;
   fencing_token_ = peer_heartbeat.fencing_token;
   leader_ = peer_heartbeat.name;
   leader_ms_ = peer_heartbeat.sent_clock_ms;
-  heard_at_ = reactor_.now();
+  leader_heard_at_ = reactor_.now();
 }
 
 void HeartbeatForwarder::describe(peer::PeerHeartbeat& peer_heartbeat) const {
@@ -30,15 +30,15 @@
 }
 
 bool HeartbeatForwarder::reaches_leader() const {
-  return fencing_token_ > 0 && reactor_.now() - heard_at_ < patience(settings_);
+  return fencing_token_ > 0 && reactor_.now() - leader_heard_at_ < leader_timeout(settings_);
 }
 
 bool HeartbeatForwarder::leader_expected() const {
   if (reaches_leader()) return true;
   constexpr double kTakeOver = 1.5;  // of the leader lease's life: it ends, and another is taken
-  const double silent = reactor_.now() - heard_at_;
+  const double silent = reactor_.now() - leader_heard_at_;
   return fencing_token_ > 0 && may_wait_() &&
-         silent < patience(settings_) + kTakeOver * LeaderLease::lease_life(settings_);
+         silent < leader_timeout(settings_) + kTakeOver * LeaderLease::lease_life(settings_);
 }
 
 // Guards the leader's timing of leases: it counts on no answer of ours while it is heard here, and
@@ -84,7 +84,7 @@
   return reactor_.now() - last_visit(machine).sent_away_at < settings_.lease_s;
 }
 
-void HeartbeatForwarder::answered(const peer::ForwardedResponse& answer) {
+void HeartbeatForwarder::on_response(const peer::ForwardedResponse& answer) {
   const auto it = pending_.find(answer.id);
   if (it == pending_.end()) return;  // too late: its worker has been answered otherwise
   it->second->answer = answer;
@@ -123,7 +123,7 @@
   const double until = sent + 0.8 * kWorkersPatience;
   // What came last from outside is the leader's, give or take what lies between two hellos.
   const auto cut_off = [&] {
-    return state_heard() < heard_at_ + settings_.heartbeat_interval_s / 2;
+    return state_heard() < leader_heard_at_ + settings_.heartbeat_interval_s / 2;
   };
   Response response;
   if (body.size() < peer::kMaxText) {
--- a/src/control/report_forwarder.hpp
+++ b/src/control/report_forwarder.hpp
@@ -43,12 +43,12 @@
 
   /// A leader that has not been heard for so long can't be reached. Only then does a forwarder
   /// answer in its stead; until then, so the leader knows, no forwarder that it heard from has.
-  static double patience(const base::Settings& settings) {
+  static double leader_timeout(const base::Settings& settings) {
     return std::min(1.2 * settings.heartbeat_interval_s, 3.0);
   }
 
-  void heard(const peer::PeerHeartbeat& peer_heartbeat);
-  void answered(const peer::ForwardedResponse& answer);
+  void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat);
+  void on_response(const peer::ForwardedResponse& answer);
   /// What this node's hellos say of it.
   void describe(peer::PeerHeartbeat& peer_heartbeat) const;
   /// A leader is heard that may have reports forwarded to it.
@@ -112,7 +112,7 @@
   std::string leader_;
   std::uint64_t fencing_token_ = 0;  ///< the highest that a leader was heard with
   std::uint64_t leader_ms_ = 0;
-  double heard_at_ = -1e9;
+  double leader_heard_at_ = -1e9;
   double delegate_responded_at_ = -1;
   std::uint64_t next_id_;
   std::map<std::uint64_t, Pending*> pending_;
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -32,10 +32,10 @@
   return std::max(1 / (kShareOfRequests * store_.request_rate()), kMinInterval);
 }
 
-bool StatusCache::note_question() {
+bool StatusCache::record_read() {
   const double now = reactor_.now();
-  questions_.note(now);
-  return questions_.per_second(now) * interval() > 1;
+  reads_.note(now);
+  return reads_.per_second(now) * interval() > 1;
 }
 
 /// Marks that one of those who wait carries an exchange out. When that one goes away, with its
@@ -63,8 +63,8 @@
     const double left = until - reactor_.now();
     if (failed_sent_ >= asked || left <= 0) co_return found;
     if (!running_) {
-      auto exchanging = exchange();
-      co_await exchanging;
+      auto syncing = sync();
+      co_await syncing;
       continue;
     }
     net::Signal signal(reactor_);
@@ -84,12 +84,12 @@
   co_return found;
 }
 
-Task<void> StatusCache::exchange() {
+Task<void> StatusCache::sync() {
   const Running running(*this);
-  net::Sleep pace(reactor_, std::max(exchange_sent_ + interval() - reactor_.now(), 0.0));
+  net::Sleep pace(reactor_, std::max(sync_sent_at_ + interval() - reactor_.now(), 0.0));
   co_await pace;
-  exchange_sent_ = reactor_.now();
-  if (revision_ && exchange_sent_ - caught_up_sent_ > std::max(max_gap(), 2 * interval())) {
+  sync_sent_at_ = reactor_.now();
+  if (revision_ && sync_sent_at_ - caught_up_sent_ > std::max(max_gap(), 2 * interval())) {
     revision_.reset();
   }
   if (!revision_) {
@@ -109,7 +109,7 @@
 Task<void> StatusCache::begin() {
   jobs_ = base::RecentMap<Entry>(kMaxJobs);
   read_after_ = "";
-  const double sent = exchange_sent_;
+  const double sent = sync_sent_at_;
   auto reading = read_stored();
   revision_ = co_await reading;
   if (revision_) {
@@ -131,7 +131,7 @@
 }
 
 Task<void> StatusCache::catch_up() {
-  const double sent = exchange_sent_;
+  const double sent = sync_sent_at_;
   auto asking = store_.changes_since(kJobsPrefix, *revision_, kUserTimeout);
   const auto changes = co_await asking;
   if (changes.status == Status::ok) {
--- a/src/control/status_cache.hpp
+++ b/src/control/status_cache.hpp
@@ -32,7 +32,7 @@
       : reactor_(reactor),
         settings_(settings),
         store_(store),
-        questions_(kRateWindow),
+        reads_(kRateWindow),
         jobs_(kMaxJobs) {}
 
   enum class Kind {
@@ -47,7 +47,7 @@
 
   /// Notes a question. True when there are so many that shared exchanges cost less than a read for
   /// each.
-  bool note_question();
+  bool record_read();
   /// Waits for an exchange that is sent from now on.
   net::Task<Found> find(std::string id);
   /// Seconds between two exchanges: they take a quarter of this node's requests at most, and users
@@ -68,7 +68,7 @@
   };
   struct Running;
 
-  net::Task<void> exchange();
+  net::Task<void> sync();
   net::Task<void> begin();
   net::Task<std::optional<std::uint64_t>> read_stored();
   net::Task<void> catch_up();
@@ -82,11 +82,11 @@
   net::Reactor& reactor_;
   const base::Settings& settings_;
   store::Client& store_;
-  base::EventRate questions_;
+  base::EventRate reads_;
   base::RecentMap<Entry> jobs_;
   std::optional<std::uint64_t> revision_;  ///< up to which all changes were taken in
   std::optional<std::string> read_after_;  ///< the key after which stored jobs are still unread
-  double exchange_sent_ = -1e9;            ///< the last one, answered or not
+  double sync_sent_at_ = -1e9;             ///< the last one, answered or not
   double caught_up_sent_ = -1e9;           ///< the last one whose changes were taken in
   double failed_sent_ = -1e9;              ///< the last one without an answer
   bool running_ = false;                   ///< one of those who wait carries an exchange out
--- a/src/control/term.cpp
+++ b/src/control/term.cpp
@@ -18,8 +18,8 @@
 using sched::Machine;
 using store::Status;
 
-Term::Term(Services services, LeaderLease& lease, net::Signal& lost,
-           regions::RegionNetwork* regions)
+LeaderTerm::LeaderTerm(Services services, LeaderLease& lease, net::Signal& lost,
+                       regions::RegionNetwork* regions)
     : services_(services),
       leader_lease_(lease),
       lost_(lost),
@@ -31,59 +31,59 @@
       reloader_(
           services.reactor, services.settings, services.store, cluster_,
           [this](Job job) { jobs_.put(std::move(job)); }, work_),
-      jobs_(services, lease, cluster_, reloader_, work_, job_duties()),
+      jobs_(services, lease, cluster_, reloader_, work_, job_callbacks()),
       writer_(services.reactor, services.settings, services.store, cluster_, reloader_,
               lease.fencing_token()),
-      commands_(services, lease, cluster_, work_, command_duties()),
-      scaler_(services, lease, cluster_, work_, scaler_duties()) {
+      commands_(services, lease, cluster_, work_, command_callbacks()),
+      scaler_(services, lease, cluster_, work_, scaler_callbacks()) {
   const double advise_every_s = services.settings.operators.defrag.advise_every_s;
   if (advise_every_s > 0) advisor_ = std::make_unique<defrag::Advisor>(cluster_, advise_every_s);
   if (services.settings.operators.defrag.moves) {
-    moves_ = std::make_unique<MoveService>(services, lease, cluster_, work_, move_duties());
+    moves_ = std::make_unique<MoveService>(services, lease, cluster_, work_, move_callbacks());
   }
   if (regions == nullptr) return;
   shares_ = std::make_unique<regions::ShareService>(
       services.reactor, services.settings, services.store, *regions,
-      wire::Compare{kLeaderKey, lease.fencing_token()}, share_duties());
+      wire::Compare{kLeaderKey, lease.fencing_token()}, share_callbacks());
   cluster_.set_team_shares(&shares_->book());
 }
 
-void Term::lose(const char* why) {
+void LeaderTerm::lose(const char* why) {
   if (is_lost_) return;
   is_lost_ = true;
   spdlog::info("leadership lost, token {}: {}", leader_lease_.fencing_token(), why);
   lost_.set();
 }
 
-bool Term::hears_no_worker() const {
+bool LeaderTerm::hears_no_agent() const {
   const auto& s = services_.settings;
   const double span = std::max(3 * s.heartbeat_interval_s, s.lease_s / 3);
   return now() > last_heard_ + span;
 }
 
-JobFollower::Term Term::job_duties() {
+JobWatcher::Callbacks LeaderTerm::job_callbacks() {
   return {[this] { pass_awaited_ = true; }, [this] { commands_.send_commands(); }};
 }
 
-CommandSender::Term Term::command_duties() {
+CommandSender::Callbacks LeaderTerm::command_callbacks() {
   return {[this] { return is_lost_; }, [this](const char* why) { lose(why); },
           [this] { last_heard_ = now(); },
           [this](const std::string& machine) { return machines_.is_deleted(machine); }};
 }
 
-PoolScaler::Term Term::scaler_duties() {
+PoolScaler::Callbacks LeaderTerm::scaler_callbacks() {
   return {[this] { return is_lost_; },
           [this](Machine& machine, const char* why) { machines_.terminate(machine, why); },
           [this](const std::string& machine) { return machines_.is_deleted(machine); }};
 }
 
-MoveService::Term Term::move_duties() {
+MoveService::Callbacks LeaderTerm::move_callbacks() {
   return {[this] { return is_lost_; }, [this](const char* why) { lose(why); }};
 }
 
 // ---- shares of team limits ----
 
-regions::ShareService::Term Term::share_duties() {
+regions::ShareService::Callbacks LeaderTerm::share_callbacks() {
   return {[this] { return regions::waiting_demands(cluster_, now()); },
           [this](const std::string& team) { return regions::used_share(cluster_, team); },
           [this] {
@@ -93,21 +93,21 @@
           [this] { lose("the leader's key has changed"); }};
 }
 
-void Term::heard_region(const std::string& region, const regions::RegionFrame& frame) {
-  if (shares_ && !is_lost_) shares_->heard(region, frame);
+void LeaderTerm::on_region_frame(const std::string& region, const regions::RegionFrame& frame) {
+  if (shares_ && !is_lost_) shares_->on_region_frame(region, frame);
 }
 
 // Guards against a node whose operator's file names no regions, as after a roll-back: it would use
 // the whole of each limit, which other regions hold parts of.
-Task<bool> Term::load_shares() {
+Task<bool> LeaderTerm::load_shares() {
   if (shares_) {
     auto loading = shares_->load();
     co_return co_await loading;
   }
   auto reading = services_.store.read(regions::kFounderKey, kStoreTimeout);
   const auto found = co_await reading;
-  is_unfit_ = found.status == Status::ok;
-  if (is_unfit_) {
+  is_ineligible_ = found.status == Status::ok;
+  if (is_ineligible_) {
     spdlog::error("limits are shared with other regions, and the settings name none: not leading");
   }
   co_return found.status == Status::failed;
@@ -115,7 +115,7 @@
 
 // ---- take-over ----
 
-Task<bool> Term::load() {
+Task<bool> LeaderTerm::load() {
   auto loading_shares = load_shares();
   if (!co_await loading_shares) co_return false;
   auto reading_types = services_.store.read(kTypesKey, kStoreTimeout);
@@ -136,7 +136,7 @@
   co_return co_await loading_moves;
 }
 
-void Term::start(net::Scope& scope) {
+void LeaderTerm::start(net::Scope& scope) {
   scope.spawn(decide());
   scope.spawn(reloader_.run());
   scope.spawn(jobs_.follow());
@@ -149,7 +149,7 @@
 
 // ---- reports ----
 
-Response Term::handle_heartbeat(const wire::Heartbeat& heartbeat) {
+Response LeaderTerm::handle_heartbeat(const wire::Heartbeat& heartbeat) {
   Response response;
   const double at = now();
   if (heartbeat.fencing_token > leader_lease_.fencing_token()) {
@@ -194,9 +194,9 @@
   return response;
 }
 
-peer::ForwardedResponse Term::handle_forwarded_heartbeat(const wire::Heartbeat& heartbeat,
-                                                         const std::string& forwarder,
-                                                         std::uint64_t id) {
+peer::ForwardedResponse LeaderTerm::handle_forwarded_heartbeat(const wire::Heartbeat& heartbeat,
+                                                               const std::string& forwarder,
+                                                               std::uint64_t id) {
   const auto response = handle_heartbeat(heartbeat);
   peer::ForwardedResponse answer{id, static_cast<std::uint16_t>(response.status),
                                  leader_lease_.fencing_token(), 0, response.body};
@@ -219,12 +219,12 @@
   return answer;
 }
 
-void Term::heard(const peer::PeerHeartbeat& peer_heartbeat) {
+void LeaderTerm::on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
   const bool ours = peer_heartbeat.echoed_fencing_token == leader_lease_.fencing_token();
   const double never = -1;
   cluster_.record_forwarder(peer_heartbeat.name, peer_heartbeat.incarnation,
                             ours ? static_cast<double>(peer_heartbeat.echoed_clock_ms) / 1000 +
-                                       HeartbeatForwarder::patience(services_.settings) * 0.98
+                                       HeartbeatForwarder::leader_timeout(services_.settings) * 0.98
                                  : 0,
                             peer_heartbeat.delegate_responded_ms == peer::kNever
                                 ? never
@@ -232,7 +232,7 @@
                             now());
 }
 
-bool Term::may_redirect(const std::string& id, const std::string& forwarder) {
+bool LeaderTerm::may_redirect(const std::string& id, const std::string& forwarder) {
   Machine* m = cluster_.machine(id);
   const double at = now();
   if (m == nullptr || !m->token_acknowledged || !cluster_.is_forwarder_reachable(forwarder, at))
--- a/src/control/term.hpp
+++ b/src/control/term.hpp
@@ -26,12 +26,12 @@
 
 namespace cranklock::control {
 
-class Term {
+class LeaderTerm {
  public:
   /// `lost` is set when a higher token or a failed condition shows that the leadership is gone.
   /// `regions` reaches the leaders of other regions; nullptr where the settings name none.
-  Term(Services services, LeaderLease& lease, net::Signal& lost,
-       regions::RegionNetwork* regions = nullptr);
+  LeaderTerm(Services services, LeaderLease& lease, net::Signal& lost,
+             regions::RegionNetwork* regions = nullptr);
 
   /// Reads pools, machine types and live jobs; false when the state service did not let it.
   net::Task<bool> load();
@@ -43,19 +43,19 @@
   peer::ForwardedResponse handle_forwarded_heartbeat(const wire::Heartbeat& heartbeat,
                                                      const std::string& forwarder,
                                                      std::uint64_t id);
-  void heard(const peer::PeerHeartbeat& peer_heartbeat);
+  void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat);
   /// The same of another region's leader.
-  void heard_region(const std::string& region, const regions::RegionFrame& frame);
+  void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
   /// Nullptr where the settings name no regions.
   const regions::ShareService* shares() const { return shares_.get(); }
   /// Whether the worker may be sent to report to this node of its own zone.
   bool may_redirect(const std::string& machine, const std::string& forwarder);
   bool is_lost() const { return is_lost_; }
   /// This node's settings don't let it lead, and loading again will not change that.
-  bool is_unfit() const { return is_unfit_; }
+  bool is_ineligible() const { return is_ineligible_; }
   void lose(const char* why);
   /// Nothing was heard of any worker for so long that this node may be cut off from them.
-  bool hears_no_worker() const;
+  bool hears_no_agent() const;
   sched::ClusterState& cluster() { return cluster_; }
 
  private:
@@ -64,20 +64,20 @@
 
   net::Task<void> write_jobs();
   void advise_on_moves();
-  MoveService::Term move_duties();
+  MoveService::Callbacks move_callbacks();
   /// Whether shares of other regions bind this node, and it knows them.
   net::Task<bool> load_shares();
-  regions::ShareService::Term share_duties();
-  JobFollower::Term job_duties();
-  CommandSender::Term command_duties();
-  PoolScaler::Term scaler_duties();
+  regions::ShareService::Callbacks share_callbacks();
+  JobWatcher::Callbacks job_callbacks();
+  CommandSender::Callbacks command_callbacks();
+  PoolScaler::Callbacks scaler_callbacks();
   double now() const { return services_.reactor.now(); }
 
   Services services_;
   LeaderLease& leader_lease_;
   net::Signal& lost_;
   bool is_lost_ = false;
-  bool is_unfit_ = false;
+  bool is_ineligible_ = false;
   sched::ClusterState cluster_;
   net::Signal work_;
   double last_heard_;
@@ -85,7 +85,7 @@
   MachineLifecycle machines_;
   OutcomeReader outcomes_;
   RecordReloader reloader_;
-  JobFollower jobs_;
+  JobWatcher jobs_;
   RecordWriter writer_;
   CommandSender commands_;
   PoolScaler scaler_;
--- a/src/control/term_decide.cpp
+++ b/src/control/term_decide.cpp
@@ -19,7 +19,7 @@
 
 // ---- decisions ----
 
-Task<void> Term::decide() {
+Task<void> LeaderTerm::decide() {
   double last_pass = 0;
   for (;;) {
     net::Signal::Wait wait(work_, services_.settings.heartbeat_interval_s / 2);
@@ -60,12 +60,12 @@
   }
 }
 
-void Term::advise_on_moves() {
+void LeaderTerm::advise_on_moves() {
   if (!advisor_ || cluster_.types().empty()) return;
   if (const auto advice = advisor_->look(now())) spdlog::info("{}", defrag::to_string(*advice));
 }
 
-Task<void> Term::write_jobs() {
+Task<void> LeaderTerm::write_jobs() {
   for (;;) {
     if (is_lost_) co_return;
     auto writing = writer_.write_next();
--- a/src/control/users.cpp
+++ b/src/control/users.cpp
@@ -32,18 +32,18 @@
   return r;
 }
 
-Users::Users(Services services, std::function<bool()> state_reached)
+JobApi::JobApi(Services services, std::function<bool()> state_reached)
     : services_(services),
       lookup_(services.store, std::move(state_reached)),
       dependency_check_(services.reactor, services.settings.cancel_s, lookup_),
       status_cache_(services.reactor, services.settings, services.store),
-      limiter_(kMinInProgress, services.settings.fd_limit / 8.0, kSlowAnswer),
+      write_limiter_(kMinInProgress, services.settings.fd_limit / 8.0, kSlowAnswer),
       // One that waits for a shared exchange is not slow.
-      question_limiter_(kMinInProgress, services.settings.fd_limit / 8.0,
-                        kSlowAnswer + 2 * status_cache_.interval()) {}
+      read_limiter_(kMinInProgress, services.settings.fd_limit / 8.0,
+                    kSlowAnswer + 2 * status_cache_.interval()) {}
 
-Task<Response> Users::handle(Request request) {
-  net::Limiter& limiter = is_question(request) ? question_limiter_ : limiter_;
+Task<Response> JobApi::handle(Request request) {
+  net::Limiter& limiter = is_read(request) ? read_limiter_ : write_limiter_;
   if (!limiter.try_enter()) co_return retry_later("too many requests in progress");
   struct Leave {
     net::Limiter& limiter;
@@ -57,7 +57,7 @@
   co_return response;
 }
 
-Task<Response> Users::route(Request request) {
+Task<Response> JobApi::route(Request request) {
   constexpr std::string_view kJobs = "/v1/jobs", kCancelSuffix = "/withdraw";
   const auto refuse_method = [](const char* allowed) {
     Response r = make_response(405, wire::error_response("method not allowed"));
@@ -89,7 +89,7 @@
   co_return response;
 }
 
-std::string Users::impossible(const wire::JobSpec& spec) const {
+std::string JobApi::infeasible_reason(const wire::JobSpec& spec) const {
   if (std::find(spec.dependencies.begin(), spec.dependencies.end(), spec.id) !=
       spec.dependencies.end()) {
     return "needs itself";
@@ -136,7 +136,7 @@
 }
 }  // namespace
 
-Task<std::optional<JobState>> Users::state_to_tell(StoredJob found) {
+Task<std::optional<JobState>> JobApi::reportable_state(StoredJob found) {
   constexpr int kTries = 2;  // the record may change meanwhile
   for (int tries = 0; tries < kTries; ++tries) {
     if (found.kind == StoredJob::Kind::ended) co_return found.outcome.state;
@@ -158,14 +158,14 @@
   co_return std::nullopt;
 }
 
-Task<Response> Users::known_job(std::string id, StoredJob found) {
-  auto telling = state_to_tell(std::move(found));
+Task<Response> JobApi::respond_for_existing(std::string id, StoredJob found) {
+  auto telling = reportable_state(std::move(found));
   const auto state = co_await telling;
   if (!state) co_return retry_later(kNoStateService);
   co_return make_response(200, wire::job_response(id, *state));
 }
 
-Task<Response> Users::submit(std::string body) {
+Task<Response> JobApi::submit(std::string body) {
   auto submission = parse_submission(body);
   body = std::string();  // its memory too
   if (!submission.is_object)
@@ -177,7 +177,8 @@
   // As they are known now: they may be learnt while what is stored is looked up, and a refusal that
   // rests on nothing would be final.
   const bool types_known = !types_.empty();
-  std::string reason = malformed || !types_known ? "" : impossible(std::get<wire::JobSpec>(parsed));
+  std::string reason =
+      malformed || !types_known ? "" : infeasible_reason(std::get<wire::JobSpec>(parsed));
   auto dependencies = DependencyCheck::Verdict::clear;
   if (!malformed && types_known && reason.empty()) {
     auto checking = dependency_check_.check(std::get<wire::JobSpec>(parsed).dependencies);
@@ -192,7 +193,7 @@
     auto found = co_await looking;
     if (found.kind == StoredJob::Kind::unclear) co_return retry_later(kNoStateService);
     if (found.kind != StoredJob::Kind::absent) {
-      auto answering = known_job(*id, std::move(found));
+      auto answering = respond_for_existing(*id, std::move(found));
       auto response = co_await answering;
       co_return response;
     }
@@ -211,7 +212,7 @@
   co_return response;
 }
 
-Task<Response> Users::accept(wire::JobSpec spec, bool cancelled) {
+Task<Response> JobApi::accept(wire::JobSpec spec, bool cancelled) {
   const std::string id = spec.id;
   sched::Job job;
   job.spec = std::move(spec);
@@ -238,15 +239,15 @@
   if (found.kind != StoredJob::Kind::live && found.kind != StoredJob::Kind::ended) {
     co_return retry_later(kNoStateService);
   }
-  auto answering = known_job(id, std::move(found));
+  auto answering = respond_for_existing(id, std::move(found));
   auto response = co_await answering;
   co_return response;
 }
 
-Task<Response> Users::status(std::string id) {
+Task<Response> JobApi::status(std::string id) {
   const auto no_such = [] { return make_response(404, wire::error_response("no such job")); };
   if (!wire::valid_job_id(id)) co_return no_such();
-  const bool share = status_cache_.note_question();
+  const bool share = status_cache_.record_read();
   if (share && lookup_.known_outcome(id) == nullptr && lookup_.state_reached()) {
     auto asking = status_cache_.find(id);
     const auto found = co_await asking;
@@ -262,13 +263,13 @@
   const bool ended = found.kind == StoredJob::Kind::ended;
   const std::uint64_t done = ended ? found.outcome.tasks : found.job.done.size();
   const std::uint64_t running = ended ? 0 : found.job.placements.size();
-  auto telling = state_to_tell(std::move(found));
+  auto telling = reportable_state(std::move(found));
   const auto state = co_await telling;
   if (!state) co_return retry_later(kNoStateService);
   co_return make_response(200, wire::job_status(id, *state, done, running));
 }
 
-Task<Status> Users::write_cancellation(std::string id, const StoredJob& found) {
+Task<Status> JobApi::write_cancellation(std::string id, const StoredJob& found) {
   // Only the mark is set, so that the parts of a long record stay as they are.
   const std::string mark = "\"w\":0";
   const auto at = found.text.rfind(mark);
@@ -283,7 +284,7 @@
   co_return written.status;
 }
 
-Task<Response> Users::cancel(std::string id) {
+Task<Response> JobApi::cancel(std::string id) {
   if (!wire::valid_job_id(id)) co_return make_response(404, wire::error_response("no such job"));
   const double until = services_.reactor.now() + 2 * kUserTimeout;
   while (services_.reactor.now() < until) {
--- a/src/regions/share_service.cpp
+++ b/src/regions/share_service.cpp
@@ -28,12 +28,12 @@
 
 ShareService::ShareService(net::Reactor& reactor, const base::Settings& settings,
                            store::Client& store, RegionNetwork& network, wire::Compare leader,
-                           Term term)
+                           Callbacks callbacks)
     : reactor_(reactor),
       settings_(settings),
       store_(store),
       network_(network),
-      term_(std::move(term)),
+      callbacks_(std::move(callbacks)),
       book_(settings, std::move(leader)),
       schedule_(ask_every(settings), kLongestPause * ask_every(settings)),
       to_write_(reactor),
@@ -57,7 +57,7 @@
 TeamDemand ShareService::demand_of(const std::string& team) const {
   const auto waiting = waiting_.find(team);
   TeamDemand demand = waiting == waiting_.end() ? TeamDemand{} : waiting->second;
-  demand.used = term_.used(team);  // at this moment: placements may have come since
+  demand.used = callbacks_.used(team);  // at this moment: placements may have come since
   return demand;
 }
 
@@ -65,7 +65,7 @@
   to_tell_.set();
 }
 
-void ShareService::heard(const std::string& region, const RegionFrame& frame) {
+void ShareService::on_region_frame(const std::string& region, const RegionFrame& frame) {
   if (const auto* request = std::get_if<ShareRequest>(&frame)) {
     book_.note_request(region, *request);
   } else if (const auto* transfer = std::get_if<ShareTransfer>(&frame)) {
@@ -81,13 +81,13 @@
   const double retry_s = settings_.heartbeat_interval_s / 8;
   for (;;) {
     if (book_.leadership_lost()) {
-      term_.leadership_lost();
+      callbacks_.leadership_lost();
       co_return;
     }
     if (book_.reload_needed()) {
       auto reloading = load();
       if (co_await reloading) {
-        term_.shares_changed();
+        callbacks_.shares_changed();
       } else {
         net::Sleep pause(reactor_, retry_s);
         co_await pause;
@@ -104,7 +104,7 @@
     auto writing =
         store_.compare_and_swap(transaction->compares, transaction->mutations, kStoreTimeout);
     const auto result = co_await writing;
-    if (book_.finish_transaction(result)) term_.shares_changed();
+    if (book_.finish_transaction(result)) callbacks_.shares_changed();
     if (!founded_ && book_.all_founded()) {
       founded_ = true;
       spdlog::info("the shares of {} teams are made: {:.1f} s after the term began",
@@ -153,7 +153,7 @@
 }
 
 void ShareService::send_requests() {
-  waiting_ = term_.waiting_demands();
+  waiting_ = callbacks_.waiting_demands();
   const auto regions = network_.reachable();
   if (regions.empty() || book_.is_frozen()) return;
   for (const auto& team : settings_.teams) {
--- a/src/regions/share_service.hpp
+++ b/src/regions/share_service.hpp
@@ -33,7 +33,7 @@
 class ShareService {
  public:
   /// What the service needs from the term that it serves.
-  struct Term {
+  struct Callbacks {
     /// Teams with waiting work, and what each takes.
     std::function<std::map<std::string, TeamDemand>()> waiting_demands;
     std::function<Amounts(const std::string& team)> used;
@@ -42,13 +42,13 @@
   };
 
   ShareService(net::Reactor& reactor, const base::Settings& settings, store::Client& store,
-               RegionNetwork& network, wire::Compare leader, Term term);
+               RegionNetwork& network, wire::Compare leader, Callbacks callbacks);
 
   /// Reads what this region holds; false when the state service did not let it. Until then nothing
   /// is held.
   net::Task<bool> load();
   void start(net::Scope& scope);
-  void heard(const std::string& region, const RegionFrame& frame);
+  void on_region_frame(const std::string& region, const RegionFrame& frame);
   /// Work has come, and may lack share.
   void look_again();
   const ShareBook& book() const { return book_; }
@@ -70,7 +70,7 @@
   const base::Settings& settings_;
   store::Client& store_;
   RegionNetwork& network_;
-  Term term_;
+  Callbacks callbacks_;
   ShareBook book_;
   RequestSchedule schedule_;
   std::map<std::string, TeamDemand> waiting_;  ///< as looked at last
--- a/tests/report_forwarder_test.cpp
+++ b/tests/report_forwarder_test.cpp
@@ -28,7 +28,7 @@
   void hear(std::uint64_t fencing_token = 7) {
     peer::PeerHeartbeat peer_heartbeat{"n9", fencing_token, true, true};
     peer_heartbeat.sent_clock_ms = 5;
-    forwarder.heard(peer_heartbeat);
+    forwarder.on_peer_heartbeat(peer_heartbeat);
   }
   /// The status, once the worker's patience is nearly over at the latest.
   int forward(std::uint64_t fencing_token = 7, int delegation_ms = -1) {
@@ -36,7 +36,8 @@
                                   [this] { return state_heard; });
     task.start();
     if (delegation_ms >= 0 && !task.done()) {
-      forwarder.answered({sent.back().id, 200, 7, static_cast<std::uint32_t>(delegation_ms), "{}"});
+      forwarder.on_response(
+          {sent.back().id, 200, 7, static_cast<std::uint32_t>(delegation_ms), "{}"});
     }
     for (int i = 0; i < 40 && !task.done(); ++i) reactor.run_until(reactor.now() + 0.1);
     EXPECT_TRUE(task.done());
@@ -104,7 +105,7 @@
     const auto own = heartbeat(name(i), 1, 1);
     auto task = c.forwarder.forward(own, "{}", [&c] { return c.state_heard; });
     task.start();
-    c.forwarder.answered({c.sent.back().id, 200, 7, 20'000, "{}"});
+    c.forwarder.on_response({c.sent.back().id, 200, 7, 20'000, "{}"});
     c.reactor.run_until(c.reactor.now() + 0.0001);
     ASSERT_TRUE(task.done());
     c.forwarder.note_forwarded(heartbeat("b-" + name(i), 1, 1, {}, 7, "b"));
@@ -168,10 +169,10 @@
   c.hear(9);
   c.reactor.run_until(c.reactor.now() + 0.5);
   ASSERT_EQ(c.sent.size(), 2U);
-  c.forwarder.answered({first, 200, 7, 20'000, "old"});
+  c.forwarder.on_response({first, 200, 7, 20'000, "old"});
   c.reactor.run_until(c.reactor.now() + 0.1);
   ASSERT_FALSE(task.done());
-  c.forwarder.answered({c.sent[1].id, 200, 9, 20'000, "new"});
+  c.forwarder.on_response({c.sent[1].id, 200, 9, 20'000, "new"});
   c.reactor.run_until(c.reactor.now() + 0.1);
   ASSERT_TRUE(task.done());
   const auto response = task.take();
@@ -200,12 +201,12 @@
     c.sent.push_back(std::get<peer::ForwardedHeartbeat>(frame));
   });
   peer::PeerHeartbeat peer_heartbeat{"n9", 7, true, true};
-  restarted.heard(peer_heartbeat);
+  restarted.on_peer_heartbeat(peer_heartbeat);
   auto task = restarted.forward(heartbeat("n-1", 1, 2), "{}", [] { return 0.0; });
   task.start();
   ASSERT_EQ(c.sent.size(), 1u);
   EXPECT_GT(c.sent[0].id, before.sent[0].id + 10'000);
-  restarted.answered({before.sent[0].id, 200, 7, 20'000, "{}"});
+  restarted.on_response({before.sent[0].id, 200, 7, 20'000, "{}"});
   EXPECT_FALSE(task.done());
 }
 
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -225,7 +225,7 @@
   }
 }
 
-void TestCluster::heard_region(const std::string& region, const regions::RegionFrame& frame) {
+void TestCluster::on_region_frame(const std::string& region, const regions::RegionFrame& frame) {
   const std::string packed = regions::pack(frame);
   TrafficEvent event;
   event.kind = TrafficEvent::Kind::region_frame;
@@ -234,7 +234,7 @@
     if (host) {
       event.node = static_cast<int>(&host - hosts_.data());
       observe(event);
-      host->node.heard_region(region, frame);
+      host->node.on_region_frame(region, frame);
     }
   }
 }
@@ -287,7 +287,7 @@
   return -1;
 }
 
-control::Term* TestCluster::term(int node) {
+control::LeaderTerm* TestCluster::term(int node) {
   const auto& host = hosts_[static_cast<std::size_t>(node)];
   return host ? host->node.term() : nullptr;
 }
@@ -852,8 +852,8 @@
       continue;
     }
     if (apart(zone_of(target), w.kind.zone) || held_from_workers.contains(target)) {
-      Sleep patience(reactor, 4);
-      co_await patience;
+      Sleep leader_timeout(reactor, 4);
+      co_await leader_timeout;
       w.target = next;
       continue;
     }
@@ -872,8 +872,8 @@
     const auto response = co_await asking;
     keep_or_close(w, target, response && response->status == 200);
     if (w.cannot_receive) {
-      Sleep patience(reactor, std::max(sent + 4 - reactor.now(), 0.0));
-      co_await patience;
+      Sleep leader_timeout(reactor, std::max(sent + 4 - reactor.now(), 0.0));
+      co_await leader_timeout;
       w.target = next;
       continue;
     }
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -122,7 +122,7 @@
   /// The index of the node that serves as leader, or -1. One that stands still does not.
   int leader() const;
   /// What the node's term knows; nullptr while it leads none.
-  control::Term* term(int node);
+  control::LeaderTerm* term(int node);
   int nodes() const { return static_cast<int>(hosts_.size()); }
   bool is_up(int node) const { return hosts_[static_cast<std::size_t>(node)] != nullptr; }
   /// A user's request to one node; runs the cluster until it is answered.
@@ -140,7 +140,7 @@
 
   void add_user(const wire::JobSpec& spec, UserHabits habits = {});
   /// Delivers to all nodes what the leader of another region says.
-  void heard_region(const std::string& region, const regions::RegionFrame& frame);
+  void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
 
   FakeReactor reactor;
   base::Settings base_settings;
--- a/tests/two_region_clusters.hpp
+++ b/tests/two_region_clusters.hpp
@@ -34,7 +34,7 @@
       west.run(kStep);
       for (; !frames_.empty(); frames_.pop_front()) {
         const auto& [from, frame] = frames_.front();
-        if (!apart) (from == "east" ? west : east).heard_region(from, frame);
+        if (!apart) (from == "east" ? west : east).on_region_frame(from, frame);
       }
       const auto used = [](TestCluster& cluster) {
         double gpus = 0;
