--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "control/users.hpp"
+#include "control/job_api.hpp"
 
 namespace cranklock::lab {
 
--- a/src/control/needs_check.cpp
+++ b/src/control/dependency_check.cpp
@@ -1,4 +1,4 @@
-#include "control/needs_check.hpp"
+#include "control/dependency_check.hpp"
 
 #include <set>
 
--- a/src/control/report_forwarder.cpp
+++ b/src/control/heartbeat_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "control/report_forwarder.hpp"
+#include "control/heartbeat_forwarder.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/control/users.cpp
+++ b/src/control/job_api.cpp
@@ -1,4 +1,4 @@
-#include "control/users.hpp"
+#include "control/job_api.hpp"
 
 #include <algorithm>
 #include <optional>
--- a/src/control/users.hpp
+++ b/src/control/job_api.hpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
+#include "control/dependency_check.hpp"
 #include "control/job_lookup.hpp"
-#include "control/needs_check.hpp"
+#include "control/leader_term.hpp"
 #include "control/status_cache.hpp"
-#include "control/term.hpp"
 #include "net/limiter.hpp"
 
 namespace cranklock::control {
--- a/src/control/job_follower.cpp
+++ b/src/control/job_watcher.cpp
@@ -1,4 +1,4 @@
-#include "control/job_follower.hpp"
+#include "control/job_watcher.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/control/term.cpp
+++ b/src/control/leader_term.cpp
@@ -1,11 +1,11 @@
-#include "control/term.hpp"
+#include "control/leader_term.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
+#include "control/heartbeat_forwarder.hpp"
 #include "control/record.hpp"
-#include "control/report_forwarder.hpp"
 #include "regions/demand.hpp"
 #include "regions/records.hpp"
 
--- a/src/control/term.hpp
+++ b/src/control/leader_term.hpp
@@ -8,11 +8,11 @@
 
 #include "base/settings.hpp"
 #include "control/command_sender.hpp"
-#include "control/ending_reader.hpp"
-#include "control/job_follower.hpp"
+#include "control/job_watcher.hpp"
 #include "control/leader_lease.hpp"
 #include "control/machine_lifecycle.hpp"
 #include "control/move_service.hpp"
+#include "control/outcome_reader.hpp"
 #include "control/pool_scaler.hpp"
 #include "control/record_reloader.hpp"
 #include "control/record_writer.hpp"
--- a/src/control/term_decide.cpp
+++ b/src/control/leader_term_passes.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "control/term.hpp"
+#include "control/leader_term.hpp"
 
 namespace cranklock::control {
 
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "base/event_rate.hpp"
-#include "control/report_forwarder.hpp"
-#include "control/term.hpp"
-#include "control/users.hpp"
+#include "control/heartbeat_forwarder.hpp"
+#include "control/job_api.hpp"
+#include "control/leader_term.hpp"
 #include "peer/roster.hpp"
 
 namespace cranklock::control {
--- a/src/control/ending_reader.cpp
+++ b/src/control/outcome_reader.cpp
@@ -1,4 +1,4 @@
-#include "control/ending_reader.hpp"
+#include "control/outcome_reader.hpp"
 
 #include "control/record.hpp"
 
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -9,7 +9,7 @@
 #include <tuple>
 
 #include "sched/availability.hpp"
-#include "sched/inheritance.hpp"
+#include "sched/priority_inheritance.hpp"
 
 namespace cranklock::sched {
 namespace {
--- a/src/sched/inheritance.cpp
+++ b/src/sched/priority_inheritance.cpp
@@ -1,4 +1,4 @@
-#include "sched/inheritance.hpp"
+#include "sched/priority_inheritance.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/report_forwarder_test.cpp
+++ b/tests/heartbeat_forwarder_test.cpp
@@ -1,5 +1,5 @@
 // A node that forwards its zone's reports, and when it may answer alone.
-#include "control/report_forwarder.hpp"
+#include "control/heartbeat_forwarder.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/state_stand_in.cpp
+++ b/tests/state_stand_in.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "control/users.hpp"
+#include "control/job_api.hpp"
 
 namespace cranklock::testing {
 
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -1,6 +1,6 @@
 #include "worker_stand_in.hpp"
 
-#include "control/users.hpp"
+#include "control/job_api.hpp"
 
 namespace cranklock::testing {
 
