--- a/lab/controllers.hpp
+++ b/lab/controllers.hpp
@@ -27,7 +27,8 @@
              net::Scope& scope);
   /// Ends the controller that leads the region, by its id, without warning; and starts it again.
   void crash(const std::string& region);
-  /// The highest token with which a controller of the region has logged that it serves; 0: none.
+  /// The highest fencing token with which a controller of the region has logged that it serves; 0:
+  /// none.
   std::uint64_t serving_fencing_token(const std::string& region) const;
   void restart(const std::string& region);
   /// Cuts a region off from all others, or joins it again.
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -64,7 +64,7 @@
 
 double Client::list_interval(const base::Settings& settings, std::size_t machines) {
   constexpr double kMin = 1.0;
-  constexpr double kListShare = 0.5;  // of the calls for other things than rentals
+  constexpr double kListShare = 0.5;  // of the calls for other things than scale-out requests
   const double calls_per_s = settings.cloud_rps / 2 * kListShare;
   const std::size_t pages = 1 + machines / kMaxListed;
   return std::max({settings.list_lag_s / 4, kMin, static_cast<double>(pages) / calls_per_s});
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -1,4 +1,4 @@
-// The cloud: machine types, rentals and deletions, inside its call rate.
+// The cloud: machine types, scale-out requests and deletions, inside its call rate.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 /// Names in one deletion request, at most (PROTOCOL).
 inline constexpr std::size_t kMaxDeletions = 100;
-/// Machines that one rental request may ask for, at most (PROTOCOL).
+/// Machines that one scale-out request request may ask for, at most (PROTOCOL).
 inline constexpr int kMaxMachinesPerRequest = 50;
 /// Machines on a page of the list, at most (PROTOCOL).
 inline constexpr int kMaxListed = 500;
@@ -42,7 +42,7 @@
   net::Task<DeletionResult> remove(std::vector<std::string> machines);
   net::Task<std::optional<std::vector<wire::ListedMachine>>> list();
   /// How long to wait between two lists of so many machines: reading their pages takes no more than
-  /// half of the calls that are left for other things than rentals.
+  /// half of the calls that are left for other things than scale-out requests.
   static double list_interval(const base::Settings& settings, std::size_t machines);
 
  private:
@@ -51,7 +51,8 @@
   net::Reactor& reactor_;
   net::Transport& transport_;
   const base::Settings& settings_;
-  store::Budget scale_out_budget_;  ///< DESIGN: rentals start at half the cloud's call rate
+  store::Budget
+      scale_out_budget_;  ///< DESIGN: scale-out requests start at half the cloud's call rate
   store::Budget other_budget_;
 };
 
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -137,8 +137,8 @@
   work_.set();
 }
 
-// A worker that reports to a former leader, or to nobody, is told of our token straight away: from
-// then on it drops the former leader's answers, and its lease is ours to time.
+// A worker that reports to a former leader, or to nobody, is told of our fencing token straight
+// away: from then on it drops the former leader's answers, and its lease is ours to time.
 Task<void> CommandSender::announce_fencing_token() {
   const auto& s = services_.settings;
   for (;;) {
@@ -188,7 +188,7 @@
     cluster_.reconcile_heartbeat(*heartbeat, false, now());
     work_.set();
     if (reply.status() == 200 || heartbeat->agent_epoch == agent_epoch) break;
-    agent_epoch = heartbeat->agent_epoch;  // it was told under the wrong session: once more
+    agent_epoch = heartbeat->agent_epoch;  // it was told under the wrong agent epoch: once more
   }
   calling_.erase(id);
 }
--- a/src/control/command_sender.hpp
+++ b/src/control/command_sender.hpp
@@ -1,4 +1,4 @@
-// Commands sent straight to workers' addresses, beside the answers to their reports.
+// Commands sent straight to workers' addresses, beside the answers to their heartbeats.
 #pragma once
 
 #include <cstddef>
@@ -17,15 +17,15 @@
 
 namespace cranklock::control {
 
-/// Sends starts and stops as soon as they are due, and shows a new leader's token to workers that
-/// do not report to it. What is sent and not answered may still be executed: the placement then
-/// stays in doubt for the worker's session (invariant 5).
+/// Sends starts and stops as soon as they are due, and shows a new leader's fencing token to
+/// workers that do not report to it. What is sent and not answered may still be executed: the
+/// placement then stays in doubt for the worker's agent epoch (invariant 5).
 class CommandSender {
  public:
   /// What it needs of the term that it serves.
   struct Callbacks {
     std::function<bool()> is_lost;
-    std::function<void(const char* why)> lose;  ///< a worker has seen a higher token
+    std::function<void(const char* why)> lose;  ///< a worker has seen a higher fencing token
     std::function<void()> on_agent_message;
     std::function<bool(const std::string& machine)> is_deleted;
   };
@@ -36,8 +36,8 @@
 
   /// Sends what is due to each worker that is not being called already.
   void send_commands();
-  /// Shows our token to workers that have not shown it, for ever. From then on they drop a former
-  /// leader's answers, and their leases are ours to time.
+  /// Shows our fencing token to workers that have not shown it, for ever. From then on they drop a
+  /// former leader's answers, and their leases are ours to time.
   net::Task<void> announce_fencing_token();
 
  private:
@@ -60,8 +60,9 @@
   net::Signal& work_;
   Callbacks callbacks_;
   double term_started_at_;
-  std::set<std::string> calling_;               ///< workers under way
-  std::map<std::string, double> announced_at_;  ///< when workers were last told of our token
+  std::set<std::string> calling_;  ///< workers under way
+  std::map<std::string, double>
+      announced_at_;  ///< when workers were last told of our fencing token
   net::Scope scope_;  ///< last, so that its routines end before what they use
 };
 
--- a/src/control/heartbeat_forwarder.cpp
+++ b/src/control/heartbeat_forwarder.cpp
@@ -42,7 +42,8 @@
 }
 
 // Guards the leader's timing of leases: it counts on no answer of ours while it is heard here, and
-// on none after what it allowed. A worker that has seen a newer token would drop the answer anyway.
+// on none after what it allowed. A worker that has seen a newer fencing token would drop the answer
+// anyway.
 bool HeartbeatForwarder::may_respond_as_delegate(const wire::Heartbeat& heartbeat) const {
   const Trust* trust = trusted_.find(heartbeat.machine);
   return trust != nullptr && trust->fencing_token == fencing_token_ &&
@@ -121,7 +122,8 @@
   constexpr double kWorkersPatience = 4.0;  // PROTOCOL: then it tries the next node
   const double sent = reactor_.now();
   const double until = sent + 0.8 * kWorkersPatience;
-  // What came last from outside is the leader's, give or take what lies between two hellos.
+  // What came last from outside is the leader's, give or take what lies between two peer
+  // heartbeats.
   const auto cut_off = [&] {
     return state_heard() < leader_heard_at_ + settings_.heartbeat_interval_s / 2;
   };
@@ -133,7 +135,7 @@
       // Guards against workers sent to a leader that stands still: its successor is waited for.
       if (reaches_leader() && forwarding.fencing_token != fencing_token_)
         send_to_leader(forwarding);
-      // One that is cut off may answer by itself, unless the leader has the report.
+      // One that is cut off may answer by itself, unless the leader has the heartbeat.
       const bool lost = cut_off() ? forwarding.id == 0 : !leader_expected();
       if (!reaches_leader() && lost) break;
       net::Signal::Wait wait(pending.arrived,
@@ -142,7 +144,7 @@
     }
     if (pending.done && pending.answer.status == 200) {
       const auto& answer = pending.answer;
-      // Counted from the coming of the report, which was before the leader's answer.
+      // Counted from the coming of the heartbeat, which was before the leader's answer.
       trusted_.put(heartbeat.machine, {answer.fencing_token, sent + answer.delegation_ms / 1000.0});
       response.body = answer.body;
       co_return response;
--- a/src/control/heartbeat_forwarder.hpp
+++ b/src/control/heartbeat_forwarder.hpp
@@ -49,7 +49,7 @@
 
   void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat);
   void on_response(const peer::ForwardedResponse& answer);
-  /// What this node's hellos say of it.
+  /// What this node's peer heartbeats say of it.
   void describe(peer::PeerHeartbeat& peer_heartbeat) const;
   /// A leader is heard that may have reports forwarded to it.
   bool reaches_leader() const;
--- a/src/control/job_lookup.hpp
+++ b/src/control/job_lookup.hpp
@@ -33,7 +33,7 @@
   }
 };
 
-/// Reads jobs from the state service and remembers endings, which never change.
+/// Reads jobs from the state service and remembers outcomes, which never change.
 class JobLookup {
  public:
   /// `state_reached` says whether the state service has answered this node lately.
@@ -46,7 +46,7 @@
   bool state_reached() const { return state_reached_(); }
 
  private:
-  /// Endings remembered, some 150 bytes each. One that is forgotten costs a read when it is asked
+  /// Outcomes remembered, some 150 bytes each. One that is forgotten costs a read when it is asked
   /// for.
   static constexpr std::size_t kMaxOutcomes = 4096;
 
--- a/src/control/leader_term.hpp
+++ b/src/control/leader_term.hpp
@@ -28,8 +28,8 @@
 
 class LeaderTerm {
  public:
-  /// `lost` is set when a higher token or a failed condition shows that the leadership is gone.
-  /// `regions` reaches the leaders of other regions; nullptr where the settings name none.
+  /// `lost` is set when a higher fencing token or a failed condition shows that the leadership is
+  /// gone. `regions` reaches the leaders of other regions; nullptr where the settings name none.
   LeaderTerm(Services services, LeaderLease& lease, net::Signal& lost,
              regions::RegionNetwork* regions = nullptr);
 
@@ -39,7 +39,7 @@
   void start(net::Scope& scope);
 
   net::Response handle_heartbeat(const wire::Heartbeat& heartbeat);
-  /// The same for a report that another node has forwarded here.
+  /// The same for a heartbeat that another node has forwarded here.
   peer::ForwardedResponse handle_forwarded_heartbeat(const wire::Heartbeat& heartbeat,
                                                      const std::string& forwarder,
                                                      std::uint64_t id);
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -225,8 +225,8 @@
 }
 
 // Deletes machines whose cancelled tasks could not be confirmed as ended in time, and machines that
-// a record names though neither the list nor a report has shown them: for both, the deletion is the
-// only proof left.
+// a record names though neither the list nor a heartbeat has shown them: for both, the deletion is
+// the only proof left.
 void MachineLifecycle::check_placements(double at) {
   const auto& s = services_.settings;
   const bool all_known = at - term_started_at_ > 2 * s.list_lag_s + s.lease_s;
--- a/src/control/machine_lifecycle.hpp
+++ b/src/control/machine_lifecycle.hpp
@@ -27,7 +27,8 @@
   void start(net::Scope& scope);
   /// Marks the machine for deletion; nothing is placed on it from now on.
   void terminate(sched::Machine& machine, const char* why);
-  /// Whether its deletion was answered lately: a lagging list or a late report may still show it.
+  /// Whether its deletion was answered lately: a lagging list or a late heartbeat may still show
+  /// it.
   bool is_deleted(const std::string& machine) const { return deleted_.contains(machine); }
 
  private:
@@ -60,7 +61,7 @@
   /// cloud refuses become smaller and pass on, so that one name does not hold up all others.
   std::size_t max_deletions_ = cloud::kMaxDeletions;
   std::string deletions_after_;
-  /// When they were deleted: names never come back, but a lagging list or a late report may show
+  /// When they were deleted: names never come back, but a lagging list or a late heartbeat may show
   /// them for a while yet.
   std::map<std::string, double> deleted_;
 };
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -86,18 +86,18 @@
   return connection_load_ && connection_load_() > kMaxLoad;
 }
 
-// A report that comes straight here costs two packets and a connection; forwarded ones come and go
-// together with others, at the expense of a node that has more to spare.
+// A heartbeat that comes straight here costs two packets and a connection; forwarded ones come and
+// go together with others, at the expense of a node that has more to spare.
 bool Node::heartbeats_overloaded() {
   constexpr double kMaxShare = 0.1;  // of this node's own, for reports of its own zone
-  constexpr double kPackets = 2;     // a report and its answer
+  constexpr double kPackets = 2;     // a heartbeat and its answer
   const double cost =
       direct_heartbeats_.per_second(services_.reactor.now()) * kPackets * base::kPacketCost;
   return cost > kMaxShare * services_.settings.core_share || connections_overloaded();
 }
 
-// One after the other, and no more than a tenth of them in the time between two reports: the rate
-// tells only later what each has changed.
+// One after the other, and no more than a tenth of them in the time between two heartbeats: the
+// rate tells only later what each has changed.
 double Node::redirect_interval() {
   constexpr double kMin = 10, kMaxFraction = 0.1;
   const double heartbeat_interval_s = services_.settings.heartbeat_interval_s;
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -64,10 +64,10 @@
   net::Task<bool> store_types(std::string text);
   void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat);
   void on_forwarded_heartbeat(const std::string& from, const peer::ForwardedHeartbeat& forwarded);
-  /// The node that is to forward this worker's reports from now on, or none.
+  /// The node that is to forward this worker's heartbeats from now on, or none.
   std::string forwarder_for(const wire::Heartbeat& heartbeat);
   std::vector<const base::Peer*> possible_forwarders(const std::string& zone) const;
-  /// Reports that come straight here take more of this node's processor or connections than they
+  /// Heartbeats that come straight here take more of this node's processor or connections than they
   /// should.
   bool connections_overloaded() const;
   bool heartbeats_overloaded();
@@ -98,7 +98,7 @@
   base::EventRate direct_heartbeats_;  ///< to this node as the leader
   double next_redirect_at_ = 0;        ///< when a worker of this zone may be handed on again
   std::uint64_t nonce_ = 0;
-  std::uint64_t incarnation_;  ///< of this process, as its hellos name it
+  std::uint64_t incarnation_;  ///< of this process, as its peer heartbeats name it
 };
 
 }  // namespace cranklock::control
--- a/src/control/outcome_reader.hpp
+++ b/src/control/outcome_reader.hpp
@@ -12,12 +12,12 @@
 
 namespace cranklock::control {
 
-/// After a take-over, and for jobs submitted after the end of what they need. Each ending is read
+/// After a take-over, and for jobs submitted after the end of what they need. Each outcome is read
 /// once for all jobs that need it, a few at a time, beside everything else that the leader does. A
 /// job whose needs are not all known waits, and holds up no other (invariant 14).
 class OutcomeReader {
  public:
-  /// `changed` is set when an ending has been taken in. All outlive the reader.
+  /// `changed` is set when an outcome has been taken in. All outlive the reader.
   OutcomeReader(net::Reactor& reactor, store::Client& store, sched::ClusterState& cluster,
                 net::Signal& changed)
       : reactor_(reactor), store_(store), cluster_(cluster), changed_(changed) {}
@@ -34,7 +34,7 @@
   sched::ClusterState& cluster_;
   net::Signal& changed_;
   std::set<std::string> reading_;
-  std::map<std::string, double> retry_at_;  ///< by job whose ending was not found
+  std::map<std::string, double> retry_at_;  ///< by job whose outcome was not found
   net::Scope scope_;                        ///< last, so that its routines end before what they use
 };
 
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -67,7 +67,7 @@
       spdlog::debug("pool {}: score {:.2f}, {} machines, {} wanted, change {}", name, reading.score,
                     reading.machines, reading.wanted, change);
       if (change > 0 && leader_lease_.valid(at)) {
-        // Stamped now: a refused rental waits a cooldown like any other.
+        // Stamped now: a refused scale-out request waits a cooldown like any other.
         pool.stamp(reading.machines + change, wall);
         spdlog::info("pool {} grows by {} from {}: score {:.2f}", name, change, reading.machines,
                      reading.score);
@@ -134,7 +134,7 @@
 }
 
 Task<void> PoolScaler::request_machines(sched::MachineKind kind, int count) {
-  // The token makes the name unique among leaders, the sequence among our own.
+  // The fencing token makes the name unique among leaders, the sequence among our own.
   const std::string name = "r-" + std::to_string(leader_lease_.fencing_token()) + "-" +
                            std::to_string(++request_sequence_);
   const auto& figures = services_.settings.operators.scaler;
--- a/src/control/pool_scaler.hpp
+++ b/src/control/pool_scaler.hpp
@@ -15,8 +15,9 @@
 namespace cranklock::control {
 
 /// Carries out what `sched::Pool` decides. The count and scale time of each pool are written only
-/// when they change; a refused rental stamps the scale time like a granted one. Rentals are named
-/// by token and sequence, and one that is not answered is asked again under its name (invariant 8).
+/// when they change; a refused scale-out request stamps the scale time like a granted one.
+/// Scale-out requests are named by fencing token and sequence, and one that is not answered is
+/// asked again under its name (invariant 8).
 class PoolScaler {
  public:
   /// What it needs of the term that it serves.
--- a/src/control/record.hpp
+++ b/src/control/record.hpp
@@ -2,8 +2,8 @@
 //   jobs/<id>      a live job: what was submitted, what is done, where its tasks are
 //   parts/<id>/<n> what does not fit there; written in the same transaction, so of the same
 //   revision ended/<id>     how it ended; kept for ever and never changed leader         who leads,
-//   under a lease; its revision is the token pools/<name>   the scaler's count and scale time types
-//   the machine types last heard of
+//   under a lease; its revision is the fencing token pools/<name>   the scaler's count and scale
+//   time types the machine types last heard of
 #pragma once
 
 #include <optional>
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -45,7 +45,7 @@
   bool full = false;
 };
 
-// Moves a job to its ending. Guards against a record of more parts than a transaction removes, as
+// Moves a job to its outcome. Guards against a record of more parts than a transaction removes, as
 // one stored before the limits fell: what is left is never read again and goes by and by.
 std::vector<wire::Mutation> RecordWriter::retiring_changes(
     const Job& job, const JobOutcome& outcome, std::vector<std::string>& left_parts) const {
@@ -264,7 +264,7 @@
   }
 }
 
-// The write was answered: it is the ending's proof for the jobs that need this one.
+// The write was answered: it is the outcome's proof for the jobs that need this one.
 void RecordWriter::note_retired(const std::string& id, const JobOutcome& outcome) {
   const Job& job = *cluster_.job(id);
   const bool done = outcome.state == wire::JobState::done;
--- a/src/control/record_writer.hpp
+++ b/src/control/record_writer.hpp
@@ -1,4 +1,4 @@
-// Writes the records of jobs that have changed, and the endings of those that are over.
+// Writes the records of jobs that have changed, and the outcomes of those that are over.
 #pragma once
 
 #include <cstdint>
--- a/src/defrag/fleet_view.hpp
+++ b/src/defrag/fleet_view.hpp
@@ -23,7 +23,7 @@
 /// stays.
 ///
 /// On the protocol a task that moves is stopped first, so only what may pause moves: running tasks
-/// of arrays. One that saves loses the time to save and about two reports until it is started
+/// of arrays. One that saves loses the time to save and about two heartbeats until it is started
 /// again, one that does not loses all it has done. A replica moves where a router drains it and
 /// others can serve meanwhile; it costs the drain and the restart. What is not durable, in doubt,
 /// being stopped or cancelled stays.
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -351,7 +351,7 @@
 // ---- drains ----
 
 // A replica whose stop was sent may be gone, and unknown to the router, before this leader hears of
-// it: its next report tells. Until then it counts as in service, and its stop is taken back.
+// it: its next heartbeat tells. Until then it counts as in service, and its stop is taken back.
 void MoveExecutor::drain_refused(std::size_t index, double now) {
   const PlannedMove& move = wanted_.plan->moves[index];
   if (move.step != MoveStep::stopping) return drop(DropReason::drain_refused, now);
--- a/src/defrag/move_executor.hpp
+++ b/src/defrag/move_executor.hpp
@@ -28,7 +28,8 @@
 /// comes to the same step. All reservations go with the plan (invariant 19).
 class MoveExecutor {
  public:
-  /// Made when a term begins, with the token of its leader. `services`: a router drains replicas.
+  /// Made when a term begins, with the fencing token of its leader. `services`: a router drains
+  /// replicas.
   MoveExecutor(sched::ClusterState& cluster, std::uint64_t fencing_token, bool services, double now)
       : cluster_(cluster),
         fencing_token_(fencing_token),
--- a/src/defrag/move_plan.hpp
+++ b/src/defrag/move_plan.hpp
@@ -50,7 +50,7 @@
 };
 
 struct MovePlan {
-  std::string id;   ///< of the plan, unique in the region: token and number
+  std::string id;   ///< of the plan, unique in the region: fencing token and number
   std::string job;  ///< that waits
   std::int64_t begun_ms = 0;
   double cost_s = 0;  ///< seconds of work, when it was begun
--- a/src/net/buffer_budget.hpp
+++ b/src/net/buffer_budget.hpp
@@ -7,7 +7,7 @@
 
 /// Counts the bytes of requests that are being received or answered. Requests of up to
 /// `kAlwaysTaken` bytes are not bounded by it, so that a flood of large ones keeps out neither
-/// workers' reports nor health checks; their number is bounded by that of the connections.
+/// workers' heartbeats nor health checks; their number is bounded by that of the connections.
 class BufferBudget {
  public:
   static constexpr std::size_t kAlwaysTaken = std::size_t{8} * 1024;
--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -22,14 +22,15 @@
   bool hears_workers = false;       ///< workers have reported to it lately, be it in vain
   std::uint64_t incarnation = 0;    ///< another one each time the process starts
   std::uint64_t sent_clock_ms = 0;  ///< its steady clock, for others to echo
-  /// The newest hello that it heard from a leader: whose token, and that leader's clock.
+  /// The newest peer heartbeat that it heard from a leader: whose fencing token, and that leader's
+  /// clock.
   std::uint64_t echoed_fencing_token = 0, echoed_clock_ms = 0;
   /// How long ago it last answered a worker in a leader's stead.
   std::uint32_t delegate_responded_ms = kNever;
   bool operator==(const PeerHeartbeat&) const = default;
 };
 
-/// A worker's report, forwarded to the leader by the node that it reports to.
+/// A worker's heartbeat, forwarded to the leader by the node that it reports to.
 struct ForwardedHeartbeat {
   std::uint64_t id = 0;  ///< never used again, not even by another run of the node
   std::string heartbeat;
--- a/src/peer/links.cpp
+++ b/src/peer/links.cpp
@@ -28,7 +28,7 @@
 }
 
 Task<void> Links::read(Fd fd) {
-  std::string buffer, from;  // whose connection it is, as its first hello says
+  std::string buffer, from;  // whose connection it is, as its first peer heartbeat says
   char bytes[4096];
   for (;;) {
     auto reading =
--- a/src/peer/links.hpp
+++ b/src/peer/links.hpp
@@ -1,5 +1,5 @@
-// Connections between the controllers: each says hello to each of the others, again and again, and
-// sends what else there is for them on the same connection.
+// Connections between the controllers: each says peer heartbeat to each of the others, again and
+// again, and sends what else there is for them on the same connection.
 #pragma once
 
 #include <deque>
@@ -18,7 +18,8 @@
  public:
   using FrameHandler = std::function<void(const std::string& from, Frame)>;
 
-  /// `every_s` is the time between hellos. Names that the settings do not know are refused.
+  /// `every_s` is the time between peer heartbeats. Names that the settings do not know are
+  /// refused.
   Links(net::EvReactor& reactor, const base::Settings& settings, double every_s,
         std::function<PeerHeartbeat()> mine, FrameHandler heard)
       : reactor_(reactor),
@@ -32,7 +33,7 @@
 
   bool listen();
   net::Task<void> accept();
-  /// Keeps a connection to the other node, and writes hellos and frames to it, for ever.
+  /// Keeps a connection to the other node, and writes peer heartbeats and frames to it, for ever.
   net::Task<void> keep_link(base::Peer other);
   /// Queues the frame while connected; without a connection it is dropped, never kept for later.
   void send(const std::string& to, const Frame& frame);
@@ -49,7 +50,8 @@
     double next_heartbeat = 0;
   };
   net::Task<void> read(net::Fd fd);
-  /// Takes what is to be written now: a hello that is due, and all frames if they may leave.
+  /// Takes what is to be written now: a peer heartbeat that is due, and all frames if they may
+  /// leave.
   std::string take_due(Outbox& box);
   static double next_write(const Outbox& box);
 
--- a/src/peer/roster.hpp
+++ b/src/peer/roster.hpp
@@ -19,7 +19,7 @@
   bool any_heard(double now) const;
   bool any_reaches_state(double now) const;
   bool any_hears_workers(double now) const;
-  /// Who leads with the highest token; an empty name when nobody says so.
+  /// Who leads with the highest fencing token; an empty name when nobody says so.
   PeerHeartbeat leader(double now) const;
 
  private:
--- a/src/peer/write_pacing.hpp
+++ b/src/peer/write_pacing.hpp
@@ -24,7 +24,7 @@
 };
 
 /// The interval with which the writes of one link take no more than a twenty-fifth of a node's
-/// share of a core, but no longer than a quarter of the time between two reports of a worker.
+/// share of a core, but no longer than a quarter of the time between two heartbeats of a worker.
 inline double write_interval(const base::Settings& settings) {
   constexpr double kLinkShare = 0.04;  // of the node's own share
   constexpr double kPackets = 2;       // a write, and what answers it
--- a/src/regions/links.hpp
+++ b/src/regions/links.hpp
@@ -1,5 +1,5 @@
 // Connections between regions. Each controller listens; the leader of a region keeps a connection
-// to every controller of the other regions and learns from their hellos which of them leads.
+// to every controller of the other regions and learns from their heartbeats which of them leads.
 #pragma once
 
 #include <deque>
@@ -17,7 +17,7 @@
 
 namespace cranklock::regions {
 
-/// Frames travel on the sender's own connection; the receiver answers with hellos only. A frame
+/// Frames travel on the sender's own connection; the receiver answers with heartbeats only. A frame
 /// that can't be sent now is dropped: what matters is sent again by who keeps it.
 class Links : public RegionNetwork {
  public:
@@ -34,7 +34,7 @@
   std::vector<std::string> reachable() const override;
   void send(const std::string& region, const RegionFrame& frame) override;
 
-  /// Time between hellos on a connection.
+  /// Time between heartbeats on a connection.
   static double peer_heartbeat_interval(const base::Settings& settings) {
     return settings.heartbeat_interval_s;
   }
@@ -53,7 +53,7 @@
     std::deque<std::string> frames;
     SharedFd fd;
     double next_heartbeat = 0;
-    std::uint64_t fencing_token = 0;  ///< as its last hello had it; 0: it does not lead
+    std::uint64_t fencing_token = 0;  ///< as its last heartbeat had it; 0: it does not lead
     double heard_at = -1e9;
   };
 
--- a/src/regions/session.hpp
+++ b/src/regions/session.hpp
@@ -10,20 +10,20 @@
 
 namespace cranklock::regions {
 
-/// One connection as its reader sees it. It begins with a hello, which names the region that all
-/// its frames are from.
+/// One connection as its reader sees it. It begins with a heartbeat, which names the region that
+/// all its frames are from.
 class Session {
  public:
   explicit Session(const base::RegionSettings& settings) : settings_(settings) {}
 
   struct Arrived {
-    std::vector<RegionFrame> frames;  ///< in their order, hellos too
+    std::vector<RegionFrame> frames;  ///< in their order, heartbeats too
     /// Why the connection is to be closed: what came after `frames` can't be used. Empty if it can.
     std::string error;
   };
   /// Takes bytes in pieces of any size. Nothing may be fed after an error.
   Arrived feed(std::string_view bytes);
-  /// The region at the other end; empty before its hello.
+  /// The region at the other end; empty before its heartbeat.
   const std::string& region() const { return region_; }
 
  private:
--- a/src/sched/availability.hpp
+++ b/src/sched/availability.hpp
@@ -21,16 +21,16 @@
 /// Whether new work may be put on this machine.
 bool is_schedulable(const ClusterState& cluster, const Machine& machine);
 
-/// Whether it boots, or has only to show our token, to become usable.
+/// Whether it boots, or has only to show our fencing token, to become usable.
 bool is_starting(const ClusterState& cluster, const Machine& machine);
 
 struct ZoneWorkers {
-  int workers = 0, heard = 0;  ///< heard: within two reports
+  int workers = 0, heard = 0;  ///< heard: within two heartbeats
 };
 /// The workers of each zone that should report.
 std::map<std::string, ZoneWorkers> count_workers(ClusterState& cluster, double now);
 
-/// A spot machine that has gone quiet after its notice, or for three reports while the other
+/// A spot machine that has gone quiet after its notice, or for three heartbeats while the other
 /// workers of its zone are heard. Those whose zone is quiet too may only be cut off.
 bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
                   const std::map<std::string, ZoneWorkers>& zones, double now);
--- a/src/sched/boot_times.hpp
+++ b/src/sched/boot_times.hpp
@@ -18,7 +18,7 @@
     auto operator<=>(const Place&) const = default;  // NOLINT(modernize-use-nullptr)
   };
 
-  /// A machine was up so long after its rental.
+  /// A machine was up so long after its scale-out request.
   void note_up(const Place& place, double seconds, double now);
   /// A machine is overdue: it may come late, or never.
   void note_overdue(const Place& place, double now);
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -24,8 +24,8 @@
 }
 
 double ClusterState::lease_upper_bound() const {
-  // Both clocks may be off, in opposite directions; a report interval covers the time between our
-  // stamping an answer and its leaving.
+  // Both clocks may be off, in opposite directions; a heartbeat interval covers the time between
+  // our stamping an answer and its leaving.
   return settings_.lease_s * (1 + 4 * base::kClockDrift) + settings_.heartbeat_interval_s / 4;
 }
 
@@ -444,9 +444,9 @@
     return Freshness::overtaken;
   record_agent_message(m, r, now);
   const auto reported_attempts = reconcile_tasks(m, r, now);
-  // Absences. Only a report of the worker's own that shows our token counts, and only one newer
-  // than what carried the start: the token shuts out a former leader's commands still under way,
-  // the order shuts out late copies and answers crossing on the way.
+  // Absences. Only a heartbeat of the worker's own that shows our fencing token counts, and only
+  // one newer than what carried the start: the fencing token shuts out a former leader's commands
+  // still under way, the order shuts out late copies and answers crossing on the way.
   if (is_heartbeat && r.fencing_token < fencing_token_ && m.last_response > 0 &&
       ++m.unacknowledged_responses >= kUnacknowledged) {
     m.unresponsive_until = now + settings_.lease_s;
@@ -461,7 +461,7 @@
 void ClusterState::record_agent_message(Machine& m, const wire::Heartbeat& r, double now) {
   const bool was_usable = m.heartbeat_received && !m.lease_expired;
   if (r.agent_epoch != m.agent_epoch) {
-    // What an earlier session was told can't be executed in this one.
+    // What an earlier agent epoch was told can't be executed in this one.
     m.indeterminate_starts.clear();
     if (m.heartbeat_received) m.images.clear(), m.token_acknowledged = false;
   }
@@ -515,8 +515,8 @@
 void ClusterState::reconcile_task(Machine& m, Job& job, Placement& placement,
                                   const wire::TaskStatus& t, bool acknowledges_token, double now) {
   if (t.state == TaskState::exited) {
-    // Guards against a late copy, from before our leadership, of an end in an earlier session: the
-    // same attempt may have been started again since. Only that it is done stays true.
+    // Guards against a late copy, from before our leadership, of an end in an earlier agent epoch:
+    // the same attempt may have been started again since. Only that it is done stays true.
     if (acknowledges_token) {
       task_exited(job, placement, t, m, now);
     } else if (t.exit_reason == ExitReason::completed && !job.done.contains(placement.task)) {
@@ -540,7 +540,7 @@
   placement.state = t.state;
 }
 
-// Ends the placements that a report proves gone by not naming them.
+// Ends the placements that a heartbeat proves gone by not naming them.
 void ClusterState::reconcile_absent_tasks(Machine& m, const wire::Heartbeat& r,
                                           const Attempts& reported_attempts, double now) {
   const auto tasks = m.tasks;  // ending a placement changes the list
@@ -572,7 +572,7 @@
 // Guards against the stop of a replica that is in service again: what a worker reads of an answer,
 // it reads within its patience, and the drain has to last until then.
 bool may_send_stop(const Placement& placement, double now) {
-  constexpr double kAnswerPatience = 4;  // seconds, of a worker for the answer to its report
+  constexpr double kAnswerPatience = 4;  // seconds, of a worker for the answer to its heartbeat
   const double latest = now + kAnswerPatience * (1 + 2 * base::kClockDrift);
   return !placement.drain_deadline || latest < *placement.drain_deadline;
 }
@@ -654,9 +654,9 @@
 
 double ClusterState::latest_possible_response(const Machine& m, double now) const {
   double at = m.last_response;
-  // A worker that has not shown our token may still listen to a former leader. That one's last
-  // renewal came before our leadership, and it answers, or lets others answer, for no longer than
-  // this after it: what lets a successor promise cancellations.
+  // A worker that has not shown our fencing token may still listen to a former leader. That one's
+  // last renewal came before our leadership, and it answers, or lets others answer, for no longer
+  // than this after it: what lets a successor promise cancellations.
   if (!m.token_acknowledged) {
     at = std::max(at, began_ + base::response_span(settings_) * (1 + 4 * base::kClockDrift));
   }
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -41,7 +41,8 @@
   std::string id, address;
   MachineKind kind;
   double known_since = 0;
-  double provisioned_at = 0;  ///< by its age in the list, or when the rental was answered
+  double provisioned_at =
+      0;  ///< by its age in the list, or when the scale-out request was answered
   bool listed = false;
   bool booting = false;  ///< as last listed
   double last_listed = 0;
@@ -49,19 +50,20 @@
   bool overdue = false;             ///< it has booted for so long that it may never come up
   bool provisioned_here = false;    ///< by this leader
   bool heartbeat_received = false;  ///< to this leader
-  bool token_acknowledged = false;  ///< in the session and since this leader's token
+  bool token_acknowledged = false;  ///< in the agent epoch and since this leader's fencing token
   std::uint64_t agent_epoch = 0, sequence = 0;                ///< newest message of any kind
-  std::uint64_t heartbeat_epoch = 0, heartbeat_sequence = 0;  ///< newest report of its own
+  std::uint64_t heartbeat_epoch = 0, heartbeat_sequence = 0;  ///< newest heartbeat of its own
   double last_heartbeat = 0;
-  double last_response = 0;  ///< when a report was last answered 200
-  /// Until when a forwarder, by name, may answer its reports in our stead.
+  double last_response = 0;  ///< when a heartbeat was last answered 200
+  /// Until when a forwarder, by name, may answer its heartbeats in our stead.
   std::map<std::string, double> delegated_until;
   double redirected_at = 0;  ///< when it was last sent to a forwarder
   std::optional<double> reclaim_at;
-  bool lease_expired = false;        ///< its lease has certainly run out
-  double lease_grace_until = 0;      ///< its zone is cut off, or was until lately
-  double unresponsive_until = 0;     ///< what it is told does not reach it; 0: it does
-  int unacknowledged_responses = 0;  ///< answers after which it still did not show our token
+  bool lease_expired = false;     ///< its lease has certainly run out
+  double lease_grace_until = 0;   ///< its zone is cut off, or was until lately
+  double unresponsive_until = 0;  ///< what it is told does not reach it; 0: it does
+  int unacknowledged_responses =
+      0;  ///< answers after which it still did not show our fencing token
   bool quarantined = false;
   double quarantined_since = 0;
   /// A job that works elsewhere failed there; otherwise several jobs did, which may be at fault.
@@ -73,10 +75,10 @@
   std::vector<std::pair<std::string, double>> images;  ///< most recently used last
   wire::Resources allocated;
   std::vector<PlacementRef> tasks;
-  /// Starts in doubt in the present session: what must not be forgotten there.
+  /// Starts in doubt in the present agent epoch: what must not be forgotten there.
   std::set<std::pair<wire::TaskName, std::uint64_t>> indeterminate_starts;
 
-  /// Since this leader began: a report alone may be a late copy of a machine that is gone.
+  /// Since this leader began: a heartbeat alone may be a late copy of a machine that is gone.
   bool confirmed() const { return token_acknowledged || provisioned_here; }
   bool holds_image(const std::string& image) const;
   bool idle() const { return tasks.empty() && unknown_tasks == 0; }
@@ -95,11 +97,11 @@
   /// Its user has cancelled it, at `since` or later; the stored record may come after this. All
   /// jobs that need it, directly or through others, are cancelled with it.
   void cancel(Job& job, std::int64_t at_ms, double since);
-  /// The ending of a job that others may need is known to be stored: they may start, or are
+  /// The outcome of a job that others may need is known to be stored: they may start, or are
   /// cancelled.
   void record_outcome(const std::string& id, const Dependencies::Outcome& outcome);
   const Dependencies& dependencies() const { return dependencies_; }
-  /// Jobs that live ones need, which are not live themselves and whose ending is not known: it has
+  /// Jobs that live ones need, which are not live themselves and whose outcome is not known: it has
   /// to be read.
   std::vector<std::string> unknown_outcomes() const;
   Job* job(const std::string& id);
@@ -114,7 +116,7 @@
   static void request_stop(Placement& placement, double grace_s, double now);
   /// The same for a replica that a router keeps drained until `before`, or prolongs that.
   static void request_drained_stop(Placement& placement, double before, double now);
-  /// Takes such a stop back; one that was carried out meanwhile shows in the next report.
+  /// Takes such a stop back; one that was carried out meanwhile shows in the next heartbeat.
   static void revoke_drained_stop(Placement& placement);
   /// How long the evidence against a quarantined machine is waited for that would clear it.
   double quarantine_period() const { return 3 * settings_.heartbeat_interval_s; }
@@ -130,12 +132,12 @@
   /// After a 200 to its deletion: everything on it is gone.
   void remove_machine(const std::string& id, double now);
 
-  /// `overtaken`: a report that an answer to a direct command has passed on the way.
+  /// `overtaken`: a heartbeat that an answer to a direct command has passed on the way.
   enum class Freshness { fresh, overtaken, late_copy };
-  /// Takes a report in. `is_heartbeat` is false for the answers of direct commands, from which no
-  /// absence is concluded. A late copy changes nothing.
+  /// Takes a heartbeat in. `is_heartbeat` is false for the answers of direct commands, from which
+  /// no absence is concluded. A late copy changes nothing.
   Freshness reconcile_heartbeat(const wire::Heartbeat& heartbeat, bool is_heartbeat, double now);
-  /// What to tell a worker in the answer to this report. Starts only while `may_start`.
+  /// What to tell a worker in the answer to this heartbeat. Starts only while `may_start`.
   std::vector<wire::Command> commands_for(const wire::Heartbeat& heartbeat, bool may_start,
                                           double now);
   void record_response(const std::string& machine, double now);
@@ -148,7 +150,7 @@
   bool is_forwarder_reachable(const std::string& name, double now) const;
   /// Something on it is to be stopped, or may still run though it is ended here.
   static bool stopping(const Machine& machine);
-  /// The latest time at which a report of it may have been answered by us, in our stead, or by a
+  /// The latest time at which a heartbeat of it may have been answered by us, in our stead, or by a
   /// former leader.
   double latest_possible_response(const Machine& machine, double now) const;
 
--- a/src/sched/dependencies.hpp
+++ b/src/sched/dependencies.hpp
@@ -10,10 +10,10 @@
 
 namespace cranklock::sched {
 
-/// The needs of live jobs and the endings that are known of what they need.
+/// The needs of live jobs and the outcomes that are known of what they need.
 ///
 /// It enforces invariant 14: a job's needs are met only when `done` is known to be stored for each
-/// of them, from this leader's own answered write or from a read of the stored ending. An ending
+/// of them, from this leader's own answered write or from a read of the stored outcome. An outcome
 /// never changes, so what is noted once stays. Only what a live job needs is kept, which bounds the
 /// memory; the graph may hold any cycle, as nothing here follows it by recursion.
 class Dependencies {
@@ -32,14 +32,14 @@
   /// The job is not live any more. What is known of its own ending is kept for those that need it.
   void remove(const std::string& job);
 
-  /// The ending of a job is known to be stored. Of no effect when no live job needs it.
+  /// The outcome of a job is known to be stored. Of no effect when no live job needs it.
   void record_outcome(const std::string& dependency, const Outcome& outcome);
 
   bool empty() const { return dependencies_.empty(); }
   bool has_dependents(const std::string& job) const { return by_dependency_.contains(job); }
   /// Every job that it needs is known to have ended with `done`.
   bool met(const std::string& job) const;
-  /// The ending of a job that it needs and that was cancelled, if any is known.
+  /// The outcome of a job that it needs and that was cancelled, if any is known.
   std::optional<Outcome> cancellation(const std::string& job) const;
   /// When the last of the jobs that it needs ended, as far as that is known; 0 otherwise.
   std::int64_t met_ms(const std::string& job) const;
@@ -47,7 +47,7 @@
   const std::set<std::string>& dependents(const std::string& job) const;
   /// The jobs that a live job needs, directly; empty for any other.
   const std::vector<std::string>& dependencies_of(const std::string& job) const;
-  /// Needed jobs whose ending is not known.
+  /// Needed jobs whose outcome is not known.
   std::vector<std::string> unknown() const;
 
  private:
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -46,16 +46,17 @@
   /// A replica that a router keeps drained until then: its stop goes out only before it, and only
   /// in answers to reports, which are never carried out late (invariant 19).
   std::optional<double> drain_deadline;
-  bool stop_sent = false;  ///< straight to the worker; its reports' answers repeat it
-  bool seen = false;       ///< a report showed it
+  bool stop_sent = false;  ///< straight to the worker; its heartbeats' answers repeat it
+  bool seen = false;       ///< a heartbeat showed it
   wire::TaskState state = wire::TaskState::fetching;
   double running_since = 0;
   double decided_at = 0;
-  /// The newest report whose answer carried the start; an absence counts only in a newer report.
+  /// The newest heartbeat whose answer carried the start; an absence counts only in a newer
+  /// heartbeat.
   std::uint64_t start_epoch = 0, start_sequence = 0;
   int unacknowledged = 0;  ///< reports that came after such an answer and did not show it
-  /// A start sent straight to the worker in this session that was never answered: it may still be
-  /// executed there. 0: none.
+  /// A start sent straight to the worker in this agent epoch that was never answered: it may still
+  /// be executed there. 0: none.
   std::uint64_t unconfirmed_start_epoch = 0;
 };
 
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -162,10 +162,10 @@
   /// Since the last search began, a slot had room but for what is reserved there.
   mutable bool held_back_ = false;
   std::vector<const Job*> no_room_for_;  ///< see is_hopeless()
-  /// The same for making room, by team, rank and guarantee.
+  /// The same for making room, by team, priority and guarantee.
   std::map<std::tuple<std::string, wire::Priority, bool>, std::vector<const Job*>> no_victims_for_;
   std::size_t max_candidates_ = 0;
-  /// Whether anything runs of a rank, and whether some of it is not (0), or is (1), guaranteed.
+  /// Whether anything runs of a priority, and whether some of it is not (0), or is (1), guaranteed.
   std::map<wire::Priority, std::array<bool, 2>> running_;
   std::map<std::string, Resources> planned_;  ///< by team, of shortfall already counted
   PassResult result_;
@@ -536,7 +536,7 @@
   });
 }
 
-// What may be stopped on a machine for a job: the lowest rank and least lost work first.
+// What may be stopped on a machine for a job: the lowest priority and least lost work first.
 std::vector<Pass::Victim> Pass::victims_on(const Job& job, const Slot& slot) const {
   std::vector<Victim> victims;
   for (const auto& held : slot.machine->tasks) {
--- a/src/sched/placement.hpp
+++ b/src/sched/placement.hpp
@@ -38,7 +38,7 @@
   Shortfall shortfall;
 };
 
-/// Orders the waiting jobs by guarantee, rank and age and places what fits; then picks what to
+/// Orders the waiting jobs by guarantee, priority and age and places what fits; then picks what to
 /// stop for work that is entitled to the room; then adds up what is missing. `refused` holds the
 /// kinds that the cloud lately had none of.
 PassResult place_waiting(ClusterState& cluster, const std::map<MachineKind, double>& refused_until,
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -1,5 +1,5 @@
 // The protocol's messages. Only this package knows the protocol's names on the wire; everything
-// inside speaks of class, team, task, attempt, token, session, lease and revision.
+// inside speaks of class, team, task, attempt, fencing token, agent epoch, lease and revision.
 #pragma once
 
 #include <cstdint>
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -13,7 +13,7 @@
 using testing::make_job;
 
 /// Two machines of eight GPUs, each half full with a running task that saves, and a job of the same
-/// team and rank that wants a whole machine.
+/// team and priority that wants a whole machine.
 struct Halves {
   testing::Fleet fleet{{"n-1", "a"}, {"n-2", "a"}};
   sched::Job& array = put("j-000001", wire::JobKind::job_array, 4);
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -47,7 +47,7 @@
   EXPECT_EQ(idle.expected(kPlace, kReady, 60 * kReady), kReady);
 }
 
-// Guards against rentals that go on where nothing comes up.
+// Guards against scale-out requests that go on where nothing comes up.
 TEST(BootTimes, OverdueMachinesSpeakAgainstAPlaceAndAreNotWaitedForLonger) {
   BootTimes boots;
   EXPECT_EQ(boots.penalty(kPlace, kReady, 0), 1);
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -141,8 +141,8 @@
   EXPECT_FALSE(s.placement().ended);
 }
 
-// A worker that has not shown our token may be kept by a former leader for as long as that one may
-// answer, which was settled before our leadership began; only then does its silence tell.
+// A worker that has not shown our fencing token may be kept by a former leader for as long as that
+// one may answer, which was settled before our leadership began; only then does its silence tell.
 TEST(ClusterState, ALeaseIsTimedFromOurTokenOrFromAFormerLeadersLastAnswer) {
   Placed s;
   s.cluster.record_response("n-1", 5);
@@ -180,7 +180,7 @@
 }
 
 // Guards against timing a lease from the start of the steady clock for a worker that showed our
-// token in the answer to a direct command and was never answered a report.
+// fencing token in the answer to a direct command and was never answered a heartbeat.
 TEST(ClusterState, ALeaseIsTimedFromTheTokensFirstShowing) {
   Placed s;
   Machine& m = *s.cluster.machine("n-1");
@@ -330,7 +330,7 @@
   EXPECT_FALSE(s.cluster.machine("n-2")->quarantined);
 }
 
-// Hundreds of tasks that were started together fail within a report or two: that is one round.
+// Hundreds of tasks that were started together fail within a heartbeat or two: that is one round.
 TEST(ClusterState, TasksThatFailTogetherAreOneRound) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 16, 1));
@@ -505,7 +505,7 @@
 }
 
 // Guards against a late copy, from before the leadership, that tells of an end in an earlier
-// session: the same attempt may have been started again since.
+// agent epoch: the same attempt may have been started again since.
 TEST(ClusterState, AnEndIsBelievedOnlyOfWhoeverHasShownOurToken) {
   Fleet s;
   auto stored = make_job("j-000001", wire::JobKind::job_array, 2, 4);
@@ -530,7 +530,7 @@
   EXPECT_TRUE(is_starting(s.cluster, *s.cluster.machine("n-7")));
   s.cluster.reconcile_heartbeat(heartbeat("n-7", 2, 1), true, 2);
   EXPECT_TRUE(is_schedulable(s.cluster, *s.cluster.machine("n-7")));
-  EXPECT_EQ(job.live(), 2U);  // nothing was told to this session yet
+  EXPECT_EQ(job.live(), 2U);  // nothing was told to this agent epoch yet
 }
 
 // Found by the sweep: stopped to make room while its start was in doubt, a placement stayed for
@@ -555,7 +555,7 @@
   EXPECT_EQ(s.job.live(), 0U);
   s.written(s.job);
   EXPECT_TRUE(
-      s.cluster.commands_for(ended, true, 4).empty());  // nor is it forgotten in this session
+      s.cluster.commands_for(ended, true, 4).empty());  // nor is it forgotten in this agent epoch
 }
 
 }  // namespace
--- a/tests/compound_failures_test.cpp
+++ b/tests/compound_failures_test.cpp
@@ -118,7 +118,7 @@
     control::LeaderLease lease(s, 7, 100);
     EXPECT_FALSE(lease.may_respond(101));  // leading alone is not knowledge
     lease.caught_up(90);
-    // A cancellation may have been confirmed from 90 on. A report that is answered at the last
+    // A cancellation may have been confirmed from 90 on. A heartbeat that is answered at the last
     // moment was sent no later, and its lease is counted from there.
     const double last_answer = lease.may_respond_until() * (1 + 2 * base::kClockDrift);
     EXPECT_LT(last_answer + s.lease_s * (1 + 2 * base::kClockDrift), 90 + s.cancel_s);
@@ -215,7 +215,7 @@
   EXPECT_TRUE(w.workers.at(w.on)->gone);
 }
 
-// A start that is held up on its way comes after the cancellation, in the same session.
+// A start that is held up on its way comes after the cancellation, in the same agent epoch.
 TEST(TwoTroubles, AStartHeldUpUntilAfterTheCancellationIsEndedInTime) {
   for (const bool leader_ends : {false, true}) {
     TestCluster w(3, {"a", "a", "a"});
@@ -507,8 +507,8 @@
 
 // ---- reports ----
 
-// Guards against what a report from before the leadership would say of machines that are gone, or
-// of an earlier session or attempt.
+// Guards against what a heartbeat from before the leadership would say of machines that are gone,
+// or of an earlier agent epoch or attempt.
 TEST(TwoTroubles, OldReportsReachEveryControllerJustAsANewLeaderBegins) {
   for (const double kept_s : {0.0, 3.0}) {
     TestCluster w(3, {"a", "a", "a"});
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -84,7 +84,7 @@
   // Generations that come later.
   s.add(dependent("j-000005", {"j-000003"}));
   EXPECT_EQ(s.cluster.job("j-000005")->cancelled_at_ms, 777);
-  // And by an ending that is read.
+  // And by an outcome that is read.
   s.cluster.record_outcome("j-000009", cancelled_at(888));
   EXPECT_EQ(s.cluster.job("j-000004")->cancelled_at_ms, 888);
   s.add(dependent("j-000006", {"j-000009"}));
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -106,7 +106,8 @@
     const int node = rightful_leader();
     return node >= 0 && !w.term(node)->cluster().reservations().empty();
   }
-  /// The node whose token stands in the state service, or -1: another may believe that it leads.
+  /// The node whose fencing token stands in the state service, or -1: another may believe that it
+  /// leads.
   int rightful_leader() {
     const auto key = w.state_service.values.find(control::kLeaderKey);
     for (int node = 0; node < w.nodes(); ++node) {
--- a/tests/heartbeat_forwarder_test.cpp
+++ b/tests/heartbeat_forwarder_test.cpp
@@ -80,7 +80,7 @@
   EXPECT_TRUE(c.answered_alone());
   c.reactor.run_until(119.9);
   EXPECT_EQ(c.forward(), 200);
-  EXPECT_EQ(c.forward(8), 421);  // a worker that has seen a newer token
+  EXPECT_EQ(c.forward(8), 421);  // a worker that has seen a newer fencing token
   c.reactor.run_until(120.1);
   EXPECT_EQ(c.forward(), 421);
 }
--- a/tests/moves_cluster_test.cpp
+++ b/tests/moves_cluster_test.cpp
@@ -288,7 +288,7 @@
                                                               Trouble::notice),
                                             ::testing::Bool()));
 
-// Copies of reports that show a task on its source come after it has started on its target, also
+// Copies of heartbeats that show a task on its source come after it has started on its target, also
 // to a leader that has just begun.
 TEST(Moves, OldReportsShowMovedTasksOnTheirSources) {
   for (unsigned seed = 1; seed <= 25; ++seed) {
@@ -364,7 +364,7 @@
   }
 }
 
-// Work of the same rank waits as long as the room is held, and no longer.
+// Work of the same priority waits as long as the room is held, and no longer.
 TEST(Moves, WorkOfEqualRankLeavesTheReservedRoomAlone) {
   Fragments fragments;
   auto& w = fragments.w;
--- a/tests/operational_failures_test.cpp
+++ b/tests/operational_failures_test.cpp
@@ -46,7 +46,7 @@
   }
 };
 
-// Guards against leases that end on the way between nodes: a worker whose node holds its reports
+// Guards against leases that end on the way between nodes: a worker whose node holds its heartbeats
 // comes to the next one with half of its lease gone, and must not be sent back.
 TEST(OpsTroubles, ALeaderThatHoldsAllReportsCostsNoLease) {
   TwoZones zones;
@@ -239,8 +239,8 @@
   }
 }
 
-// Its rental and its transactions were under way, their answers lost to it: the rental's name is
-// asked for again, or its machines are found, and nothing runs twice.
+// Its scale-out request and its transactions were under way, their answers lost to it: the
+// scale-out request's name is asked for again, or its machines are found, and nothing runs twice.
 TEST(OpsTroubles, ALeaderStandsStillWithRequestsInDoubt) {
   for (const double moment : {2.2, 3.1, 4.3, 6.5}) {
     TestCluster w(3, {"a", "a", "a"});
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -61,8 +61,8 @@
   return writes;
 }
 
-// Without pacing a link is written to once for each forwarded report: on the smaller machines the
-// packets of these alone took a third of the leader's share.
+// Without pacing a link is written to once for each forwarded heartbeat: on the smaller machines
+// the packets of these alone took a third of the leader's share.
 TEST(Peer, FramesThatComeFastLeaveTogether) {
   EXPECT_LE(writes_of(WritePacing(0.1), 0.01, 10), 101);
   EXPECT_EQ(writes_of(WritePacing(0.1), 1, 10), 10);  // each by itself
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -55,7 +55,7 @@
   submit_diamond(w);
   EXPECT_EQ(w.state_of(1, name(3)), "queued");
   ASSERT_TRUE(wait_for(w, 30, [&] { return ended(w, 0); }));
-  // The start goes out in the round that follows the answered write of the ending.
+  // The start goes out in the round that follows the answered write of the outcome.
   ASSERT_TRUE(wait_for(w, 1.5, [&] { return w.running(name(1)) == 1; }));
   ASSERT_TRUE(wait_for(w, 30, [&] { return ended(w, 3); }));
   EXPECT_TRUE(all_nodes_say(w, 3, "done"));
@@ -114,7 +114,7 @@
   }
   w.run(5);
   w.cancel(other_than(w, w.leader()), name(0));
-  w.run(1.5);  // dozens of endings are still to be written
+  w.run(1.5);  // dozens of outcomes are still to be written
   for (int times = 0; times < 3; ++times) {
     const double began = w.reactor.now();
     constexpr int kInARow = 4;
@@ -246,7 +246,7 @@
   EXPECT_TRUE(all_nodes_say(w, 3, "done"));
 }
 
-// The ending may be stored though nobody said so, or not stored though it was sent.
+// The outcome may be stored though nobody said so, or not stored though it was sent.
 TEST(Pipeline, AnEndingWhoseWriteIsNotAnsweredLetsNothingStartBeforeItIsResolved) {
   for (const bool late : {false, true}) {
     TestCluster w;
@@ -397,7 +397,7 @@
 }
 
 // Stored in more parts than a transaction may now change: it is written again when enough of its
-// tasks are over, and the parts that its ending leaves go later.
+// tasks are over, and the parts that its outcome leaves go later.
 TEST(Pipeline, ARecordStoredUnderLargerLimitsEndsUnderSmallOnes) {
   auto settings = small_settings();
   settings.teams = {{"red", 0, 0, 100, 200}};
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -240,7 +240,7 @@
     s.cluster.reconcile_heartbeat(r, true, 4);
   }
   EXPECT_TRUE(taken(5));
-  EXPECT_FALSE(taken(2.9));  // a report or two may be lost
+  EXPECT_FALSE(taken(2.9));  // a heartbeat or two may be lost
   s.cluster.machine("n-1")->kind.spot = false;
   EXPECT_FALSE(taken(5));  // an ordinary one may only hang
 }
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -415,7 +415,7 @@
 }
 
 // Guards against workers sent to and fro between a leader that they can't reach and nodes that can:
-// as long as other workers' reports are carried to it, it does not know that these are lost.
+// as long as other workers' heartbeats are carried to it, it does not know that these are lost.
 TEST(Scenario, WorkersThatCannotReachTheLeaderAreCarriedByWhomTheyReach) {
   TestCluster w(3, {"a", "a", "a"});
   w.run_s = 1000;
@@ -436,7 +436,7 @@
   EXPECT_EQ(w.ran_twice, 0);
 }
 
-// A small node that leads is charged most for the reports that come straight to it. Those of its
+// A small node that leads is charged most for the heartbeats that come straight to it. Those of its
 // own zone are carried by a second node there, until few enough are left.
 TEST(Scenario, AZonesSecondNodeRelievesALeaderThatReportsCrowd) {
   auto settings = small_settings();
--- a/tests/share_property_test.cpp
+++ b/tests/share_property_test.cpp
@@ -1,4 +1,4 @@
-// Random orders of writing, delivery, loss, copies, endings and take-overs: shares and transfers
+// Random orders of writing, delivery, loss, copies, outcomes and take-overs: shares and transfers
 // add up at every step, and once all is healed waiting work that fits has its share.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -82,7 +82,7 @@
   enum class Kind {
     request,         ///< the node asks the state service, the cloud, a worker or the router
     reply,           ///< what came of that
-    public_request,  ///< a user's request or a worker's report, which the node takes up
+    public_request,  ///< a user's request or a worker's heartbeat, which the node takes up
     public_answer,   ///< what the node answers to it
     peer_frame,      ///< the node sends to another of its region
     region_frame     ///< the node hears from another region's leader
@@ -211,7 +211,7 @@
   std::map<std::string, std::unique_ptr<Worker>> workers;
   /// A machine that hangs goes on.
   void wake(Worker& w);
-  /// Reports come so much of their interval sooner or later, and not all at the same moment.
+  /// Heartbeats come so much of their interval sooner or later, and not all at the same moment.
   double heartbeat_spread = 0;
   /// Connections that workers could not open, or that were closed under them unannounced.
   int refused_connections = 0, broken_connections = 0;
@@ -223,8 +223,9 @@
   std::set<std::string> faulty_machines;   ///< every task fails there
   /// Of reports, this share comes once more from 2 s to one and a half leases later.
   double late_heartbeats = 0;
-  bool keeps_heartbeats = false;  ///< copies of reports come to all nodes when a new leader begins
-  double kept_s = 0;              ///< or so long after
+  bool keeps_heartbeats =
+      false;          ///< copies of heartbeats come to all nodes when a new leader begins
+  double kept_s = 0;  ///< or so long after
   int ran_twice = 0;
   int calls_under_way = 0, max_calls_in_flight = 0;  ///< to workers, from all nodes
   std::map<std::string, int> starts;                 ///< by task
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -337,7 +337,7 @@
   cluster.run(20);
 }
 
-/// Two machines are full of arrays of the lowest rank when a gang of the highest needs both.
+/// Two machines are full of arrays of the lowest priority when a gang of the highest needs both.
 void play_gang_preemption(unsigned seed) {
   TestCluster cluster(3, {"a", "a", "a"}, settings_with_moves());
   vary(cluster, seed);
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -163,7 +163,7 @@
   const auto read = read_record(texts[0], parts);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->spec.dependencies, job.spec.dependencies);
-  // It insists on these two fields of an ending, and ignores others.
+  // It insists on these two fields of an outcome, and ignores others.
   const std::string outcome = control::write_outcome({wire::JobState::done, 3, 1234});
   EXPECT_EQ(outcome, R"({"s":"done","n":3,"t":1234})");
   EXPECT_EQ(control::read_outcome(outcome)->ended_ms, 1234);
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -186,7 +186,7 @@
   EXPECT_TRUE(heartbeat->tasks.empty());
 }
 
-/// The only task of a report that says this of its state.
+/// The only task of a heartbeat that says this of its state.
 wire::TaskStatus heartbeat_received(const std::string& state) {
   const auto heartbeat = wire::parse_heartbeat(
       R"({"Rig":"n-1","Address":"a","Frame":"g","Yard":"z","Loaners":false,"Shift":1,"Tick":1,)"
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -1,5 +1,5 @@
-// A hollow worker: leases, sessions, images and tasks as PROTOCOL describes them, and nothing that
-// computes. Whoever serves it carries its reports, and decides what troubles it has.
+// A hollow worker: leases, agent epochs, images and tasks as PROTOCOL describes them, and nothing
+// that computes. Whoever serves it carries its heartbeats, and decides what troubles it has.
 #pragma once
 
 #include <cstdint>
@@ -46,10 +46,10 @@
   std::string id, address;
   sched::MachineKind kind{"g8", "a", false};
   std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
-  double answered_sent = 0;  ///< sending of the last report that was answered
+  double answered_sent = 0;  ///< sending of the last heartbeat that was answered
   double began = 0;
   std::map<std::string, Task> tasks;
-  std::optional<double> preemption_notice_s;  ///< until the cloud takes it, as its reports say
+  std::optional<double> preemption_notice_s;  ///< until the cloud takes it, as its heartbeats say
 
   /// Lets time pass: images arrive, tasks begin and complete. True when something has changed.
   bool progress(Surroundings& surroundings, double now);
@@ -57,7 +57,7 @@
   /// Kills and forgets everything if its lease is over.
   void end_lease(double lease_s, double now);
   void execute(const wire::Json& commands, Surroundings& surroundings, double now);
-  /// The next report's body.
+  /// The next heartbeat's body.
   std::string heartbeat();
   /// Answers POST /commands.
   net::Response commands(const net::Request& request, Surroundings& surroundings, double now);
