--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -1,80 +1,93 @@
 #include "control/command_sender.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <utility>
 #include <vector>
 
+#include "base/event_log.hpp"
+
 namespace cranklock::control {
 
 using net::Sleep;
 using net::Task;
 using sched::Job;
 using sched::Machine;
-
-CommandSender::CommandSender(Services services, const LeaderLease& lease,
-                             sched::ClusterState& cluster, net::Signal& work, Callbacks callbacks)
-    : services_(services),
-      leader_lease_(lease),
-      cluster_(cluster),
-      work_(work),
-      callbacks_(std::move(callbacks)),
-      term_started_at_(services.reactor.now()) {}
+using sched::Placement;
 
 namespace {
-/// What the leader lease is good for. What a user has cancelled is stopped even when it is in
-/// doubt: no leader wants it to go on.
-struct Allowed {
+
+/// Which commands the leader lease permits at present. Tasks of cancelled jobs are stopped whatever
+/// it permits, since no leader wants them to go on.
+struct PermittedCommands {
   bool start, stop;
 };
 
-bool start_due(const Job& job, const sched::Placement& p, Allowed allowed) {
-  return allowed.start && !job.cancelled() && job.dependencies_met && p.durable && !p.ended &&
-         !p.stop && !p.seen && p.start_epoch == 0 && p.unconfirmed_start_epoch == 0;
+PermittedCommands permitted_commands(const LeaderLease& lease, double now) {
+  return {lease.may_start(now), lease.valid(now)};
+}
+
+/// Only durable placements are started (invariant 2), and none that a start may already have
+/// reached (invariant 5).
+bool is_start_due(const Job& job, const Placement& placement, PermittedCommands permitted) {
+  return permitted.start && !job.cancelled() && job.dependencies_met && placement.durable &&
+         !placement.ended && !placement.stop && !placement.seen && placement.start_epoch == 0 &&
+         placement.unconfirmed_start_epoch == 0;
+}
+
+/// A placement that is drained is stopped in responses to heartbeats alone (invariant 19).
+bool is_stop_due(const Job& job, const Placement& placement, PermittedCommands permitted) {
+  const bool requested = placement.stop && !placement.drain_deadline && permitted.stop;
+  return (requested || job.cancelled()) && placement.seen && !placement.ended &&
+         !placement.stop_sent;
 }
 
-bool stop_due(const Job& job, const sched::Placement& p, Allowed allowed) {
-  return ((p.stop && !p.drain_deadline && allowed.stop) || job.cancelled()) && p.seen && !p.ended &&
-         !p.stop_sent;
+/// Whether the agent can be expected to answer.
+bool is_reachable(const Machine& machine, double heartbeat_interval_s, double now) {
+  if (!machine.heartbeat_received || machine.lease_expired) return false;
+  if (machine.terminating || machine.address.empty()) return false;
+  // Guards against indeterminate starts on machines that may be gone.
+  return now - machine.last_heartbeat <= 2 * heartbeat_interval_s;
 }
+
 }  // namespace
 
+CommandSender::CommandSender(const LeaderContext& context, const MachineLifecycle& machines,
+                             std::function<void()> on_agent_message)
+    : context_(context), machines_(machines), on_agent_message_(std::move(on_agent_message)) {}
+
 void CommandSender::send_commands() {
-  const double at = now();
-  if (callbacks_.is_lost()) return;
-  const Allowed allowed{leader_lease_.may_start(at), leader_lease_.valid(at)};
-  std::set<std::string> machines;
-  for (const auto& [id, job] : cluster_.jobs()) {
-    for (const auto& p : job.placements) {
-      if (start_due(job, p, allowed) || stop_due(job, p, allowed)) machines.insert(p.machine);
+  const double now = context_.now();
+  if (context_.leadership.is_lost()) return;
+  const auto permitted = permitted_commands(context_.lease, now);
+  std::set<std::string> due;
+  for (const auto& [id, job] : context_.cluster.jobs()) {
+    for (const auto& placement : job.placements) {
+      if (is_start_due(job, placement, permitted) || is_stop_due(job, placement, permitted)) {
+        due.insert(placement.machine);
+      }
     }
   }
-  for (const auto& id : machines) {
-    const Machine* m = cluster_.machine(id);
-    if (m == nullptr || !m->heartbeat_received || m->lease_expired || m->terminating ||
-        m->address.empty())
-      continue;
-    // A worker not heard of lately would only leave starts in doubt.
-    if (at - m->last_heartbeat > 2 * services_.settings.heartbeat_interval_s) continue;
-    if (calling_.size() >= max_calls()) return;
-    if (calling_.insert(id).second) scope_.spawn(send_to(id));
+  const double heartbeat_interval_s = context_.services.settings.heartbeat_interval_s;
+  for (const auto& machine_id : due) {
+    const Machine* machine = context_.cluster.machine(machine_id);
+    if (machine == nullptr || !is_reachable(*machine, heartbeat_interval_s, now)) continue;
+    if (calls_in_progress_.size() >= max_calls()) return;
+    if (calls_in_progress_.insert(machine_id).second) scope_.spawn(send_to(machine_id));
   }
 }
 
-// What is due to the worker. Starts are in doubt from here on, until they are answered.
 std::vector<wire::Command> CommandSender::take_due_commands(Machine& machine) {
   std::vector<wire::Command> commands;
-  const Allowed allowed{leader_lease_.may_start(now()), leader_lease_.valid(now())};
+  const auto permitted = permitted_commands(context_.lease, context_.now());
   for (const auto& held : machine.tasks) {
     const Job& job = *held.job;
-    sched::Placement& placement = held.placement();
+    Placement& placement = held.placement();
     const wire::TaskName task{job.spec.id, placement.task};
-    if (start_due(job, placement, allowed)) {
+    if (is_start_due(job, placement, permitted)) {
       commands.push_back({wire::CommandKind::start, task, placement.attempt, 0});
       placement.unconfirmed_start_epoch = machine.agent_epoch;
       machine.indeterminate_starts.insert({task, placement.attempt});
-    } else if (stop_due(job, placement, allowed)) {
+    } else if (is_stop_due(job, placement, permitted)) {
       const double grace_s = job.cancelled() ? 0 : placement.grace_s;
       commands.push_back({wire::CommandKind::stop, task, placement.attempt, grace_s});
       placement.stop_sent = true;
@@ -83,8 +96,6 @@
   return commands;
 }
 
-// `heartbeat` is the worker's where it executed the orders; otherwise they were certainly not
-// executed.
 void CommandSender::resolve_starts(Machine& machine, std::uint64_t agent_epoch,
                                    const std::vector<wire::Command>& commands,
                                    const std::optional<wire::Heartbeat>& heartbeat) {
@@ -93,7 +104,7 @@
     if (machine.agent_epoch == agent_epoch) {
       machine.indeterminate_starts.erase({command.task, command.attempt});
     }
-    Job* job = cluster_.job(command.task.job);
+    Job* job = context_.cluster.job(command.task.job);
     auto* placement = job != nullptr ? job->find(command.task.index, command.attempt) : nullptr;
     if (placement == nullptr) continue;
     placement->unconfirmed_start_epoch = 0;
@@ -103,94 +114,104 @@
   }
 }
 
-Task<void> CommandSender::send_to(std::string id) {
-  Machine* machine = cluster_.machine(id);
+Task<void> CommandSender::send_to(std::string machine_id) {
+  Machine* machine = context_.cluster.machine(machine_id);
   const std::uint64_t agent_epoch = machine->agent_epoch;
+  const std::uint64_t fencing_token = context_.lease.fencing_token();
   const auto commands = take_due_commands(*machine);
   if (commands.empty()) {
-    calling_.erase(id);
+    calls_in_progress_.erase(machine_id);
     co_return;
   }
   net::Request request{"POST", "/commands", "",
-                       wire::commands_request(leader_lease_.fencing_token(), agent_epoch, commands),
-                       true};
-  auto calling = services_.transport.call(machine->address, std::move(request),
-                                          services_.settings.heartbeat_interval_s);
+                       wire::commands_request(fencing_token, agent_epoch, commands), true};
+  auto calling = context_.services.transport.call(machine->address, std::move(request),
+                                                  context_.services.settings.heartbeat_interval_s);
   const auto reply = co_await calling;
-  calling_.erase(id);
+  calls_in_progress_.erase(machine_id);
   if (reply.kind != net::Reply::Kind::not_sent && reply.status() != 200 && reply.status() != 409) {
-    spdlog::debug("starts sent to {} are in doubt", id);
+    base::log_debug("commands unanswered", base::field("machine", machine_id));
     co_return;
   }
   const auto heartbeat =
       reply.answered() ? wire::parse_heartbeat(reply.response.body) : std::nullopt;
-  if (reply.answered() && (!heartbeat || heartbeat->machine != id)) co_return;  // tells nothing
-  machine = cluster_.machine(id);
+  // An answer that can't be read, or another machine's, leaves the starts indeterminate.
+  if (reply.answered() && (!heartbeat || heartbeat->machine != machine_id)) co_return;
+  machine = context_.cluster.machine(machine_id);
   if (machine == nullptr) co_return;
   resolve_starts(*machine, agent_epoch, commands, reply.status() == 200 ? heartbeat : std::nullopt);
   if (!heartbeat) co_return;
-  if (heartbeat->fencing_token > leader_lease_.fencing_token()) {
-    callbacks_.lose("a worker has seen a higher token");
+  if (heartbeat->fencing_token > fencing_token) {
+    context_.leadership.step_down(LeadershipLoss::agent_saw_higher_token);
     co_return;
   }
-  cluster_.reconcile_heartbeat(*heartbeat, false, now());
-  work_.set();
+  context_.cluster.reconcile_heartbeat(*heartbeat, false, context_.now());
+  context_.work.set();
 }
 
-// A worker that reports to a former leader, or to nobody, is told of our fencing token straight
-// away: from then on it drops the former leader's answers, and its lease is ours to time.
 Task<void> CommandSender::announce_fencing_token() {
-  const auto& s = services_.settings;
+  const double heartbeat_interval_s = context_.services.settings.heartbeat_interval_s;
   for (;;) {
-    Sleep pause(services_.reactor, s.heartbeat_interval_s / 2);
+    Sleep pause(context_.services.reactor, heartbeat_interval_s / 2);
     co_await pause;
-    const double at = now();
-    if (at - term_started_at_ < 1.5 * s.heartbeat_interval_s) continue;  // most come by themselves
-    std::vector<std::string> due;
-    std::erase_if(announced_at_,
-                  [&](const auto& call) { return cluster_.machine(call.first) == nullptr; });
-    for (const auto& [id, m] : cluster_.machines()) {
-      if (m.token_acknowledged || m.terminating || m.failed || m.address.empty() || !m.listed)
-        continue;
-      if (m.booting || at - m.last_heartbeat < 2 * s.heartbeat_interval_s) continue;
-      const auto last = announced_at_.find(id);
-      if (last != announced_at_.end() && at - last->second < s.lease_s / 3) continue;
-      due.push_back(id);
-    }
-    for (const auto& id : due) {
-      if (calling_.size() >= max_calls() / 2) break;
-      announced_at_[id] = at;
-      if (calling_.insert(id).second) scope_.spawn(send_fencing_token(id));
+    const double now = context_.now();
+    // Most agents send a heartbeat by themselves first.
+    if (now - context_.term_started_at < 1.5 * heartbeat_interval_s) continue;
+    std::erase_if(announced_at_, [&](const auto& announcement) {
+      return context_.cluster.machine(announcement.first) == nullptr;
+    });
+    for (const auto& machine_id : due_announcements(now)) {
+      if (calls_in_progress_.size() >= max_calls() / 2) break;
+      announced_at_[machine_id] = now;
+      if (calls_in_progress_.insert(machine_id).second)
+        scope_.spawn(send_fencing_token(machine_id));
     }
   }
 }
 
-Task<void> CommandSender::send_fencing_token(std::string id) {
+// Machines that run, send us no heartbeats, and were not told of our fencing token lately.
+std::vector<std::string> CommandSender::due_announcements(double now) const {
+  const auto& settings = context_.services.settings;
+  std::vector<std::string> due;
+  for (const auto& [id, machine] : context_.cluster.machines()) {
+    if (machine.token_acknowledged || machine.terminating || machine.failed) continue;
+    if (machine.address.empty() || !machine.listed || machine.booting) continue;
+    if (now - machine.last_heartbeat < 2 * settings.heartbeat_interval_s) continue;
+    const auto last = announced_at_.find(id);
+    if (last != announced_at_.end() && now - last->second < settings.lease_s / 3) continue;
+    due.push_back(id);
+  }
+  return due;
+}
+
+Task<void> CommandSender::send_fencing_token(std::string machine_id) {
+  constexpr int kMaxTries = 2;
+  const std::uint64_t fencing_token = context_.lease.fencing_token();
   std::uint64_t agent_epoch = 1;
-  for (int tries = 0; tries < 2; ++tries) {
-    const Machine* m = cluster_.machine(id);
-    if (m == nullptr || !leader_lease_.valid(now())) break;
-    if (m->agent_epoch != 0) agent_epoch = m->agent_epoch;
+  for (int tries = 0; tries < kMaxTries; ++tries) {
+    const Machine* machine = context_.cluster.machine(machine_id);
+    if (machine == nullptr || !context_.lease.valid(context_.now())) break;
+    if (machine->agent_epoch != 0) agent_epoch = machine->agent_epoch;
     net::Request request{"POST", "/commands", "",
-                         wire::commands_request(leader_lease_.fencing_token(), agent_epoch, {}),
-                         true};
-    auto calling = services_.transport.call(m->address, std::move(request),
-                                            services_.settings.heartbeat_interval_s);
+                         wire::commands_request(fencing_token, agent_epoch, {}), true};
+    auto calling = context_.services.transport.call(
+        machine->address, std::move(request), context_.services.settings.heartbeat_interval_s);
     const auto reply = co_await calling;
     if (reply.status() != 200 && reply.status() != 409) break;
     const auto heartbeat = wire::parse_heartbeat(reply.response.body);
-    if (!heartbeat || heartbeat->machine != id || callbacks_.is_deleted(id)) break;
-    if (heartbeat->fencing_token > leader_lease_.fencing_token()) {
-      callbacks_.lose("a worker has seen a higher token");
+    if (!heartbeat || heartbeat->machine != machine_id || machines_.is_deleted(machine_id)) break;
+    if (heartbeat->fencing_token > fencing_token) {
+      context_.leadership.step_down(LeadershipLoss::agent_saw_higher_token);
       break;
     }
-    callbacks_.on_agent_message();
-    cluster_.reconcile_heartbeat(*heartbeat, false, now());
-    work_.set();
+    on_agent_message_();
+    context_.cluster.reconcile_heartbeat(*heartbeat, false, context_.now());
+    context_.work.set();
     if (reply.status() == 200 || heartbeat->agent_epoch == agent_epoch) break;
-    agent_epoch = heartbeat->agent_epoch;  // it was told under the wrong agent epoch: once more
+    // The command named another agent epoch than the agent's own: it is sent once more.
+    agent_epoch = heartbeat->agent_epoch;
   }
-  calling_.erase(id);
+  calls_in_progress_.erase(machine_id);
 }
 
 }  // namespace cranklock::control
--- a/src/control/command_sender.hpp
+++ b/src/control/command_sender.hpp
@@ -1,4 +1,4 @@
-// Commands sent straight to workers' addresses, beside the answers to their heartbeats.
+// Commands sent straight to the agents' addresses, beside the responses to their heartbeats.
 #pragma once
 
 #include <cstddef>
@@ -10,59 +10,53 @@
 #include <string>
 #include <vector>
 
-#include "control/leader_lease.hpp"
-#include "control/services.hpp"
+#include "control/leader_context.hpp"
+#include "control/machine_lifecycle.hpp"
 #include "net/task.hpp"
-#include "sched/cluster_state.hpp"
 
 namespace cranklock::control {
 
-/// Sends starts and stops as soon as they are due, and shows a new leader's fencing token to
-/// workers that do not report to it. What is sent and not answered may still be executed: the
-/// placement then stays in doubt for the worker's agent epoch (invariant 5).
+/// Sends start and stop commands as soon as they are due, and announces a new leader's fencing
+/// token to agents that do not send their heartbeats to it. A start command without an answer may
+/// still be executed: its placement stays indeterminate for that agent epoch (invariant 5).
 class CommandSender {
  public:
-  /// What it needs of the term that it serves.
-  struct Callbacks {
-    std::function<bool()> is_lost;
-    std::function<void(const char* why)> lose;  ///< a worker has seen a higher fencing token
-    std::function<void()> on_agent_message;
-    std::function<bool(const std::string& machine)> is_deleted;
-  };
+  /// Made when the term begins. `on_agent_message` is called whenever an agent has answered an
+  /// announcement. All that is referred to outlives the sender.
+  CommandSender(const LeaderContext& context, const MachineLifecycle& machines,
+                std::function<void()> on_agent_message);
 
-  /// Made when the term begins. All that is referred to outlives the sender.
-  CommandSender(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
-                net::Signal& work, Callbacks callbacks);
-
-  /// Sends what is due to each worker that is not being called already.
+  /// Sends what is due to each agent that no command is on its way to. Called by the decision loop
+  /// after each write of records, and at once when a job is cancelled.
   void send_commands();
-  /// Shows our fencing token to workers that have not shown it, for ever. From then on they drop a
-  /// former leader's answers, and their leases are ours to time.
+  /// Announces our fencing token to agents that have not acknowledged it, until the term ends. An
+  /// agent that has seen it drops a former leader's responses, so that its lease is ours to time
+  /// (invariant 4).
   net::Task<void> announce_fencing_token();
 
  private:
-  net::Task<void> send_to(std::string machine);
+  net::Task<void> send_to(std::string machine_id);
+  /// Takes the commands that are due to the agent. Its start commands count as indeterminate from
+  /// here on.
   std::vector<wire::Command> take_due_commands(sched::Machine& machine);
+  /// Records what became of the start commands that were sent in `agent_epoch`. `heartbeat` is the
+  /// agent's answer where it executed them; without one they were certainly not executed.
   void resolve_starts(sched::Machine& machine, std::uint64_t agent_epoch,
                       const std::vector<wire::Command>& commands,
                       const std::optional<wire::Heartbeat>& heartbeat);
-  net::Task<void> send_fencing_token(std::string machine);
-  double now() const { return services_.reactor.now(); }
-  /// Guards the sockets against hung machines by the hundred, each of which holds one until its
-  /// call's time is over.
+  std::vector<std::string> due_announcements(double now) const;
+  net::Task<void> send_fencing_token(std::string machine_id);
+  /// Guards against running out of sockets when machines hang by the hundred: each call holds a
+  /// socket until its timeout.
   std::size_t max_calls() const {
-    return static_cast<std::size_t>(services_.settings.fd_limit) / 8;
+    return static_cast<std::size_t>(context_.services.settings.fd_limit) / 8;
   }
 
-  Services services_;
-  const LeaderLease& leader_lease_;
-  sched::ClusterState& cluster_;
-  net::Signal& work_;
-  Callbacks callbacks_;
-  double term_started_at_;
-  std::set<std::string> calling_;  ///< workers under way
-  std::map<std::string, double>
-      announced_at_;  ///< when workers were last told of our fencing token
+  const LeaderContext& context_;
+  const MachineLifecycle& machines_;
+  std::function<void()> on_agent_message_;
+  std::set<std::string> calls_in_progress_;     ///< machines that are being called
+  std::map<std::string, double> announced_at_;  ///< by machine, in steady seconds
   net::Scope scope_;  ///< last, so that its routines end before what they use
 };
 
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -22,9 +22,10 @@
                        regions::RegionNetwork* regions)
     : services_(services),
       leader_lease_(lease),
-      lost_(lost),
+      status_(lease.fencing_token(), lost),
       cluster_(services.settings, lease.fencing_token(), services.reactor.now()),
       work_(services.reactor),
+      context_{services, lease, status_, cluster_, work_, services.reactor.now()},
       last_heard_(services.reactor.now()),
       machines_(services, lease, cluster_, work_),
       outcomes_(services.reactor, services.store, cluster_, work_),
@@ -34,7 +35,7 @@
       jobs_(services, lease, cluster_, reloader_, work_, job_callbacks()),
       writer_(services.reactor, services.settings, services.store, cluster_, reloader_,
               lease.fencing_token()),
-      commands_(services, lease, cluster_, work_, command_callbacks()),
+      commands_(context_, machines_, [this] { last_heard_ = now(); }),
       scaler_(services, lease, cluster_, work_, scaler_callbacks()) {
   const double advise_every_s = services.settings.operators.defrag.advise_every_s;
   if (advise_every_s > 0) advisor_ = std::make_unique<defrag::Advisor>(cluster_, advise_every_s);
@@ -48,13 +49,6 @@
   cluster_.set_team_shares(&shares_->book());
 }
 
-void LeaderTerm::lose(const char* why) {
-  if (is_lost_) return;
-  is_lost_ = true;
-  spdlog::info("leadership lost, token {}: {}", leader_lease_.fencing_token(), why);
-  lost_.set();
-}
-
 bool LeaderTerm::hears_no_agent() const {
   const auto& s = services_.settings;
   const double span = std::max(3 * s.heartbeat_interval_s, s.lease_s / 3);
@@ -65,20 +59,15 @@
   return {[this] { pass_awaited_ = true; }, [this] { commands_.send_commands(); }};
 }
 
-CommandSender::Callbacks LeaderTerm::command_callbacks() {
-  return {[this] { return is_lost_; }, [this](const char* why) { lose(why); },
-          [this] { last_heard_ = now(); },
-          [this](const std::string& machine) { return machines_.is_deleted(machine); }};
-}
-
 PoolScaler::Callbacks LeaderTerm::scaler_callbacks() {
-  return {[this] { return is_lost_; },
+  return {[this] { return is_lost(); },
           [this](Machine& machine, const char* why) { machines_.terminate(machine, why); },
           [this](const std::string& machine) { return machines_.is_deleted(machine); }};
 }
 
 MoveService::Callbacks LeaderTerm::move_callbacks() {
-  return {[this] { return is_lost_; }, [this](const char* why) { lose(why); }};
+  return {[this] { return is_lost(); },
+          [this](const char*) { step_down(LeadershipLoss::leader_key_changed); }};
 }
 
 // ---- shares of team limits ----
@@ -90,11 +79,11 @@
             cluster_.mark_changed();
             work_.set();
           },
-          [this] { lose("the leader's key has changed"); }};
+          [this] { step_down(LeadershipLoss::leader_key_changed); }};
 }
 
 void LeaderTerm::on_region_frame(const std::string& region, const regions::RegionFrame& frame) {
-  if (shares_ && !is_lost_) shares_->on_region_frame(region, frame);
+  if (shares_ && !is_lost()) shares_->on_region_frame(region, frame);
 }
 
 // Guards against a node whose operator's file names no regions, as after a roll-back: it would use
@@ -153,13 +142,13 @@
   Response response;
   const double at = now();
   if (heartbeat.fencing_token > leader_lease_.fencing_token()) {
-    lose("a worker has seen a higher token");
+    step_down(LeadershipLoss::agent_saw_higher_token);
     response.status = 421;
     response.body = wire::redirect_response("");
     return response;
   }
   // Judged now, at the moment of answering: the process may have been held up.
-  if (is_lost_ || !leader_lease_.may_respond(at) || machines_.is_deleted(heartbeat.machine)) {
+  if (is_lost() || !leader_lease_.may_respond(at) || machines_.is_deleted(heartbeat.machine)) {
     response.status = 503;
     return response;
   }
--- a/src/control/leader_term.hpp
+++ b/src/control/leader_term.hpp
@@ -9,7 +9,7 @@
 #include "base/settings.hpp"
 #include "control/command_sender.hpp"
 #include "control/job_watcher.hpp"
-#include "control/leader_lease.hpp"
+#include "control/leader_context.hpp"
 #include "control/machine_lifecycle.hpp"
 #include "control/move_service.hpp"
 #include "control/outcome_reader.hpp"
@@ -50,10 +50,10 @@
   const regions::ShareService* shares() const { return shares_.get(); }
   /// Whether the worker may be sent to report to this node of its own zone.
   bool may_redirect(const std::string& machine, const std::string& forwarder);
-  bool is_lost() const { return is_lost_; }
+  bool is_lost() const { return status_.is_lost(); }
   /// This node's settings don't let it lead, and loading again will not change that.
   bool is_ineligible() const { return is_ineligible_; }
-  void lose(const char* why);
+  void step_down(LeadershipLoss loss) { status_.step_down(loss); }
   /// Nothing was heard of any worker for so long that this node may be cut off from them.
   bool hears_no_agent() const;
   sched::ClusterState& cluster() { return cluster_; }
@@ -69,17 +69,16 @@
   net::Task<bool> load_shares();
   regions::ShareService::Callbacks share_callbacks();
   JobWatcher::Callbacks job_callbacks();
-  CommandSender::Callbacks command_callbacks();
   PoolScaler::Callbacks scaler_callbacks();
   double now() const { return services_.reactor.now(); }
 
   Services services_;
   LeaderLease& leader_lease_;
-  net::Signal& lost_;
-  bool is_lost_ = false;
+  LeadershipStatus status_;
   bool is_ineligible_ = false;
   sched::ClusterState cluster_;
   net::Signal work_;
+  LeaderContext context_;
   double last_heard_;
 
   MachineLifecycle machines_;
--- a/src/control/leader_term_passes.cpp
+++ b/src/control/leader_term_passes.cpp
@@ -28,7 +28,7 @@
       Sleep pause(services_.reactor, next_pass_at_ - now());
       co_await pause;
     }
-    if (is_lost_) co_return;
+    if (is_lost()) co_return;
     jobs_.apply_changes();
     outcomes_.read_unknown();
     const bool overdue = now() - last_pass > services_.settings.heartbeat_interval_s;
@@ -67,10 +67,11 @@
 
 Task<void> LeaderTerm::write_jobs() {
   for (;;) {
-    if (is_lost_) co_return;
+    if (is_lost()) co_return;
     auto writing = writer_.write_next();
     const auto written = co_await writing;
-    if (written == RecordWriter::Written::leadership_lost) lose("the leader's key has changed");
+    if (written == RecordWriter::Written::leadership_lost)
+      step_down(LeadershipLoss::leader_key_changed);
     if (written != RecordWriter::Written::stored) co_return;
     commands_.send_commands();
     jobs_.apply_changes();
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -143,7 +143,7 @@
   // A leader that lost only the state service learns here that it has a successor, long before it
   // would have to stop answering; until it does, its workers stay with it.
   if (term_ != nullptr && peer_heartbeat.fencing_token > leader_lease_->fencing_token()) {
-    term_->lose("another node leads with a higher token");
+    term_->step_down(LeadershipLoss::peer_has_higher_token);
   }
 }
 
@@ -325,7 +325,7 @@
     if (renewed == Status::ok) {
       leader_lease_->confirm(sent);
     } else if (renewed == Status::failed) {
-      spdlog::info("leadership lost, token {}: its lease has ended", grant.fencing_token);
+      log_leadership_lost(grant.fencing_token, LeadershipLoss::lease_ended);
       break;
     }
     if (cut_off_from_workers()) {
--- a/src/control/services.hpp
+++ b/src/control/services.hpp
@@ -1,4 +1,4 @@
-// What every part of a node works with.
+// The connections and settings that every part of a controller works with.
 #pragma once
 
 #include "base/settings.hpp"
@@ -9,13 +9,14 @@
 
 namespace cranklock::control {
 
-/// All of it outlives the parts.
+/// Copied freely; what it refers to belongs to the process and outlives all parts of the
+/// controller.
 struct Services {
-  net::Reactor& reactor;
-  net::Transport& transport;
-  const base::Settings& settings;
-  store::Client& store;
-  cloud::Client& cloud;
+  net::Reactor& reactor;           ///< clock, timers and event loop
+  net::Transport& transport;       ///< calls to agents and routers
+  const base::Settings& settings;  ///< read once, at the start of the process
+  store::Client& store;            ///< the key-value store
+  cloud::Client& cloud;            ///< the cloud that machines are rented from
 };
 
 }  // namespace cranklock::control
