--- a/src/base/defrag_settings.cpp
+++ b/src/base/defrag_settings.cpp
@@ -45,8 +45,8 @@
   const std::string port(url.substr(colon + 1, slash - colon - 1));
   char* end = nullptr;
   const long number = std::strtol(port.c_str(), &end, 10);
-  constexpr long kMostPort = 65535;
-  if (port.empty() || *end != 0 || number < 1 || number > kMostPort) {
+  constexpr long kMaxPort = 65535;
+  if (port.empty() || *end != 0 || number < 1 || number > kMaxPort) {
     fail(path, attribute, std::string(kExpected));
   }
   return {std::string(url.substr(0, slash)), std::string(url.substr(slash))};
--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -91,8 +91,8 @@
 }
 
 TEST(StoredJob, WhatDoesNotFitTheMainValueIsWrittenInParts) {
-  constexpr std::size_t kMostBytes = 130;  // less than the main value takes without its lists
-  EXPECT_EQ(control::write_record(stored_job(), kMostBytes),
+  constexpr std::size_t kMaxBytes = 130;  // less than the main value takes without its lists
+  EXPECT_EQ(control::write_record(stored_job(), kMaxBytes),
             (Texts{kDependentRecordHead + R"("d":[],"p":[],"parts":2})",
                    R"({"g":17,"d":[[0,2],[4,5]],"p":[[2,7,"n-000007"],[3,8,"n-000008"]]})",
                    R"({"g":17,"d":[],"p":[[6,9,"n-000009"]]})"}));
