--- a/src/control/job_api.cpp
+++ b/src/control/job_api.cpp
@@ -5,6 +5,9 @@
 #include <string_view>
 #include <variant>
 
+#include "control/job_record.hpp"
+#include "control/record_keys.hpp"
+
 namespace cranklock::control {
 
 using net::Request;
@@ -270,14 +273,10 @@
 }
 
 Task<Status> JobApi::write_cancellation(std::string id, const StoredJob& found) {
-  // Only the mark is set, so that the parts of a long record stay as they are.
-  const std::string mark = "\"w\":0";
-  const auto at = found.text.rfind(mark);
-  if (at == std::string::npos) co_return Status::refused;
-  std::string text = found.text;
-  text.replace(at, mark.size(), "\"w\":" + std::to_string(services_.reactor.wall_ms()));
+  auto text = with_cancellation(found.text, services_.reactor.wall_ms());
+  if (!text) co_return Status::refused;
   std::vector<wire::Compare> compares{{job_key(id), found.job.revision}};
-  std::vector<wire::Mutation> mutations{{job_key(id), std::move(text), 0}};
+  std::vector<wire::Mutation> mutations{{job_key(id), std::move(*text), 0}};
   auto writing = services_.store.compare_and_swap(std::move(compares), std::move(mutations),
                                                   kUserTimeout, store::Client::Priority::user);
   const auto written = co_await writing;
--- a/src/control/job_lookup.cpp
+++ b/src/control/job_lookup.cpp
@@ -1,5 +1,8 @@
 #include "control/job_lookup.hpp"
 
+#include "control/job_record.hpp"
+#include "control/record_keys.hpp"
+
 namespace cranklock::control {
 
 using net::Task;
@@ -24,8 +27,7 @@
   auto reading = store_.read(job_key(id), kUserTimeout);
   auto live = co_await reading;
   if (live.status == Status::ok) {
-    int parts = 0;
-    auto job = read_record(live.value.data, parts);
+    auto job = read_record(live.value.data);
     if (!job) co_return found;
     found.kind = StoredJob::Kind::live;
     found.job = std::move(*job);
--- a/src/control/job_lookup.hpp
+++ b/src/control/job_lookup.hpp
@@ -6,8 +6,9 @@
 #include <string>
 
 #include "base/recent_map.hpp"
-#include "control/record.hpp"
+#include "control/small_records.hpp"
 #include "net/task.hpp"
+#include "sched/job.hpp"
 #include "store/client.hpp"
 
 namespace cranklock::control {
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -1,12 +1,12 @@
 #include "control/job_watcher.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <string>
 #include <utility>
 
-#include "control/record.hpp"
+#include "base/event_log.hpp"
+#include "control/job_record.hpp"
+#include "control/record_keys.hpp"
 
 namespace cranklock::control {
 
@@ -15,6 +15,16 @@
 using sched::Job;
 using store::Status;
 
+namespace {
+
+/// A record that this version can't read is left alone: a newer version may have written it.
+void log_malformed(const std::string& key, const RecordError& error) {
+  base::log_error("record malformed", base::field("key", key),
+                  base::field("reason", to_string(error)));
+}
+
+}  // namespace
+
 JobWatcher::JobWatcher(Services services, LeaderLease& lease, sched::ClusterState& cluster,
                        RecordReloader& reloader, net::Signal& work, Callbacks callbacks)
     : services_(services),
@@ -42,15 +52,14 @@
 }
 
 Task<bool> JobWatcher::load_one(const wire::StoredValue& item) {
-  int parts = 0;
-  auto job = read_record(item.data, parts);
+  auto job = read_record(item.data);
   if (!job) {
-    spdlog::error("record {} is malformed and left alone", item.key);
+    log_malformed(item.key, job.error());
     co_return true;
   }
   job->revision = item.revision;
-  if (parts > 0) {
-    auto reading = reloader_.read_parts(*job, item.revision, parts);
+  if (job->stored_parts > 0) {
+    auto reading = reloader_.read_parts(*job);
     if (!co_await reading) {
       // It changed while it was read: read it again by itself.
       auto reloading = reloader_.reload(job->spec.id);
@@ -150,23 +159,23 @@
     if (known != nullptr) cluster_.remove_job(id);
     return;
   }
-  int parts = 0;
-  auto job = read_record(item.data, parts);
+  auto job = read_record(item.data);
   if (!job) {
-    spdlog::error("record {} is malformed and left alone", item.key);
+    log_malformed(item.key, job.error());
     return;
   }
-  if (parts > 0) {
+  if (job->stored_parts > 0) {
     reloader_.request(id);
     return;
   }
   job->revision = item.revision;
   if (known == nullptr) {
     callbacks_.job_accepted();
-    spdlog::info("job {} accepted: {} of team {}, {} tasks", id, job->spec.job_class,
-                 job->spec.team, job->spec.tasks);
+    base::log_info("job accepted", base::field("job", id),
+                   base::field("class", job->spec.job_class), base::field("team", job->spec.team),
+                   base::field("tasks", job->spec.tasks));
   } else if (job->cancelled()) {
-    spdlog::info("job {} cancelled by its user", id);
+    base::log_info("job cancelled", base::field("job", id));
   }
   put(std::move(*job));
 }
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "control/heartbeat_forwarder.hpp"
-#include "control/record.hpp"
+#include "control/record_keys.hpp"
 #include "regions/demand.hpp"
 #include "regions/records.hpp"
 
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "control/record.hpp"
+#include "control/record_keys.hpp"
 
 namespace cranklock::control {
 
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <functional>
 
+#include "control/record_keys.hpp"
+
 namespace cranklock::control {
 
 using net::Request;
--- a/src/control/outcome_reader.cpp
+++ b/src/control/outcome_reader.cpp
@@ -1,6 +1,8 @@
 #include "control/outcome_reader.hpp"
 
-#include "control/record.hpp"
+#include "control/record_keys.hpp"
+#include "control/services.hpp"
+#include "control/small_records.hpp"
 
 namespace cranklock::control {
 
@@ -25,8 +27,7 @@
   auto reading = store_.read(outcome_key(id), kStoreTimeout);
   const auto found = co_await reading;
   reading_.erase(id);
-  const auto outcome =
-      found.status == Status::ok ? read_outcome(found.value.data) : std::optional<JobOutcome>();
+  const auto outcome = read_outcome(found.status == Status::ok ? found.value.data : "");
   if (!outcome) {
     // Not to be had now; or the job is live, and the changes of it are still to come.
     retry_at_[id] = reactor_.now() + cluster_.settings().heartbeat_interval_s / 2;
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -6,7 +6,8 @@
 #include <utility>
 #include <vector>
 
-#include "control/record.hpp"
+#include "control/record_keys.hpp"
+#include "control/small_records.hpp"
 #include "sched/availability.hpp"
 
 namespace cranklock::control {
@@ -31,13 +32,11 @@
   if (pools.status != Status::ok) co_return false;
   first_ever_ = pools.page.items.empty();
   for (const auto& item : pools.page.items) {
-    const wire::JsonDocument document(item.data);
-    const auto name = item.key.substr(std::string(kPoolsPrefix).size());
+    const auto name = pool_of_key(item.key);
     auto& pool =
         pools_.try_emplace(name, sched::Pool(services_.settings.operators.scaler)).first->second;
-    pool.state.count = static_cast<int>(wire::read_amount(document.root(), "count").value_or(0));
-    pool.state.scaled_ms =
-        static_cast<std::int64_t>(wire::read_amount(document.root(), "scaled").value_or(0));
+    const auto stored = read_pool(item.data);
+    pool.state = stored ? *stored : sched::PoolState{};
     pool_revisions_[name] = item.revision;
   }
   co_return true;
@@ -190,18 +189,10 @@
 }
 
 Task<void> PoolScaler::write_pool(std::string name) {
-  const auto& pool = pools_.at(name);
-  wire::JsonWriter w;
-  w.begin()
-      .key("count")
-      .integer(pool.state.count)
-      .key("scaled")
-      .integer(pool.state.scaled_ms)
-      .end();
-  const std::string key = kPoolsPrefix + name;
+  const std::string key = pool_key(name);
   std::vector<wire::Compare> compares{{kLeaderKey, leader_lease_.fencing_token()},
                                       {key, pool_revisions_[name]}};
-  std::vector<wire::Mutation> mutations{{key, w.take(), 0}};
+  std::vector<wire::Mutation> mutations{{key, control::write_pool(pools_.at(name).state), 0}};
   auto writing =
       services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeout);
   const auto result = co_await writing;
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -3,7 +3,9 @@
 #include <utility>
 #include <vector>
 
-#include "control/record.hpp"
+#include "control/job_record.hpp"
+#include "control/record_keys.hpp"
+#include "control/services.hpp"
 
 namespace cranklock::control {
 
@@ -50,12 +52,12 @@
   changed_.set();
 }
 
-Task<bool> RecordReloader::read_parts(Job& job, std::uint64_t revision, int parts) {
-  for (int i = 0; i < parts; ++i) {
+Task<bool> RecordReloader::read_parts(Job& job) {
+  for (int i = 0; i < job.stored_parts; ++i) {
     auto reading = store_.read(part_key(job.spec.id, i), kStoreTimeout);
     const auto part = co_await reading;
     if (part.status != Status::ok ||
-        !read_part(part.value.data, part.value.revision == revision, job)) {
+        add_part(part.value.data, part.value.revision, job) != PartStatus::added) {
       co_return false;
     }
   }
@@ -72,11 +74,10 @@
       co_return true;
     }
     if (found.status != Status::ok) co_return false;
-    int parts = 0;
-    auto job = read_record(found.value.data, parts);
+    auto job = read_record(found.value.data);
     if (!job) co_return false;
     job->revision = found.value.revision;
-    auto reading_parts = read_parts(*job, found.value.revision, parts);
+    auto reading_parts = read_parts(*job);
     if (!co_await reading_parts) continue;
     // The changes may have overtaken this reading. Nor does it tell anything that is not known: a
     // write of ours without an answer may still be carried out on top of it.
--- a/src/control/record_reloader.hpp
+++ b/src/control/record_reloader.hpp
@@ -32,7 +32,7 @@
   /// Reads one record now; false if it could not be had. A job without one is dropped.
   net::Task<bool> reload(std::string id);
   /// Adds the parts of a record to the job; false if they can't be had or are of another write.
-  net::Task<bool> read_parts(sched::Job& job, std::uint64_t revision, int parts);
+  net::Task<bool> read_parts(sched::Job& job);
 
  private:
   net::Task<void> reload_requested(std::string id);
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -6,6 +6,9 @@
 #include <map>
 #include <utility>
 
+#include "control/record_keys.hpp"
+#include "control/services.hpp"
+
 namespace cranklock::control {
 
 using net::Task;
--- a/src/control/record_writer.hpp
+++ b/src/control/record_writer.hpp
@@ -7,8 +7,9 @@
 #include <vector>
 
 #include "base/settings.hpp"
-#include "control/record.hpp"
+#include "control/job_record.hpp"
 #include "control/record_reloader.hpp"
+#include "control/small_records.hpp"
 #include "net/reactor.hpp"
 #include "net/task.hpp"
 #include "sched/cluster_state.hpp"
--- a/src/control/services.hpp
+++ b/src/control/services.hpp
@@ -9,6 +9,9 @@
 
 namespace cranklock::control {
 
+/// Seconds that a leader waits for an answer of the key-value store.
+inline constexpr double kStoreTimeout = 2.0;
+
 /// Copied freely; what it refers to belongs to the process and outlives all parts of the
 /// controller.
 struct Services {
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -4,7 +4,8 @@
 #include <utility>
 
 #include "control/job_lookup.hpp"
-#include "control/record.hpp"
+#include "control/job_record.hpp"
+#include "control/record_keys.hpp"
 
 namespace cranklock::control {
 
@@ -154,11 +155,12 @@
     }
     Entry entry;
     entry.revision = item.revision;
-    int parts = 0;
-    const auto job = item.data.empty() ? std::nullopt : read_record(item.data, parts);
-    // A job that waits for others may be cancelled with them: that takes more than its record.
-    const bool waits = job && !job->spec.dependencies.empty() && job->placements.empty();
-    if (job && !waits) entry.status = status_of(*job);
+    // What is removed or malformed has no status.
+    if (const auto job = read_record(item.data)) {
+      // A job that waits for others may be cancelled with them: that takes more than its record.
+      const bool waits = !job->spec.dependencies.empty() && job->placements.empty();
+      if (!waits) entry.status = status_of(*job);
+    }
     jobs_.put(id, entry);
   }
 }
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -1,7 +1,7 @@
 // The rules on when a placement is free, and what workers are told.
 #include <gtest/gtest.h>
 
-#include "control/record.hpp"
+#include "control/job_record.hpp"
 #include "fixtures.hpp"
 #include "sched/availability.hpp"
 
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "control/move_service.hpp"
+#include "control/record_keys.hpp"
 #include "defrag/move_plan.hpp"
 #include "defrag/plan_check.hpp"
 #include "test_cluster.hpp"
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -3,7 +3,9 @@
 
 #include <gtest/gtest.h>
 
-#include "control/record.hpp"
+#include "control/job_api.hpp"
+#include "control/job_record.hpp"
+#include "control/record_keys.hpp"
 #include "test_cluster.hpp"
 
 namespace cranklock::control {
--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -3,8 +3,10 @@
 #include <gtest/gtest.h>
 
 #include "complete_job.hpp"
+#include "control/job_record.hpp"
 #include "control/move_service.hpp"
-#include "control/record.hpp"
+#include "control/record_keys.hpp"
+#include "control/small_records.hpp"
 #include "defrag/move_plan.hpp"
 #include "regions/records.hpp"
 #include "test_cluster.hpp"
@@ -12,6 +14,9 @@
 namespace cranklock::testing {
 namespace {
 
+using control::PartStatus;
+using control::RecordError;
+
 using Texts = std::vector<std::string>;
 
 sched::Placement placement(std::uint32_t task, std::uint64_t attempt, const std::string& machine) {
@@ -42,7 +47,7 @@
 
 // Keys.
 
-TEST(StorageKeys, JobsAndTheirPartsAndEndingsHaveTheirKeys) {
+TEST(StorageKeys, JobsAndTheirPartsAndOutcomesHaveTheirKeys) {
   EXPECT_STREQ(control::kJobsPrefix, "jobs/");
   EXPECT_EQ(control::job_key("j-000412"), "jobs/j-000412");
   EXPECT_EQ(control::job_of_key("jobs/j-000412"), "j-000412");
@@ -54,6 +59,8 @@
   EXPECT_STREQ(control::kLeaderKey, "leader");
   EXPECT_STREQ(control::kTypesKey, "types");
   EXPECT_STREQ(control::kPoolsPrefix, "pools/");
+  EXPECT_EQ(control::pool_key("g8/spot"), "pools/g8/spot");
+  EXPECT_EQ(control::pool_of_key("pools/g8/spot"), "g8/spot");
   EXPECT_STREQ(control::kMovesKey, "moves/record");
   EXPECT_STREQ(control::kMovesOffKey, "moves/off");
 }
@@ -99,12 +106,13 @@
 }
 
 TEST(StoredJob, EveryFieldOfTheMainValueAndItsPartsIsRead) {
-  int parts = -1;
-  auto job = control::read_record(
-      kDependentRecordHead + R"("d":[[0,2]],"p":[[2,7,"n-000007"]],"parts":1})", parts);
+  auto job = control::read_record(kDependentRecordHead +
+                                  R"("d":[[0,2]],"p":[[2,7,"n-000007"]],"parts":1})");
   ASSERT_TRUE(job);
-  EXPECT_EQ(parts, 1);
-  ASSERT_TRUE(control::read_part(R"({"g":17,"d":[[4,5]],"p":[[3,8,"n-000008"]]})", false, *job));
+  const std::uint64_t other_revision = job->revision + 1;
+  ASSERT_EQ(
+      control::add_part(R"({"g":17,"d":[[4,5]],"p":[[3,8,"n-000008"]]})", other_revision, *job),
+      PartStatus::added);
   expect_complete_job(job->spec);
   EXPECT_EQ(job->created_ms, 1700000000001);
   EXPECT_EQ(job->cancelled_at_ms, 1700000000002);
@@ -123,31 +131,76 @@
 }
 
 TEST(StoredJob, ThePartOfAnotherWriteIsRefused) {
-  int parts = 0;
-  auto job = control::read_record(kDependentRecordHead + R"("parts":1})", parts);
+  auto job = control::read_record(kDependentRecordHead + R"("parts":1})");
   ASSERT_TRUE(job);
-  EXPECT_FALSE(control::read_part(R"({"g":18,"d":[],"p":[]})", true, *job));
+  EXPECT_EQ(control::add_part(R"({"g":18,"d":[],"p":[]})", job->revision, *job),
+            PartStatus::of_another_write);
 }
 
 TEST(StoredJob, TheTimeOfItsCancellationIsFoundInItsText) {
   EXPECT_EQ(control::read_cancelled_at_ms(kDependentRecordHead + R"("parts":0})"), 1700000000002);
 }
 
-TEST(StoredEnding, EveryFieldAndStateIsWrittenAndRead) {
+TEST(StoredJob, ACancellationChangesItsTimeAlone) {
+  const std::string head = R"({"job":)" + kCompleteJob + R"(,"at":1700000000001,"w":)";
+  const std::string tail = R"(,"n":9,"g":17,"d":[],"p":[],"parts":2})";
+  const auto cancelled = control::with_cancellation(head + "0" + tail, 1700000000002);
+  ASSERT_TRUE(cancelled);
+  EXPECT_EQ(*cancelled, head + "1700000000002" + tail);
+}
+
+TEST(StoredJob, OneThatIsCancelledKeepsTheTimeOfItsCancellation) {
+  const auto again =
+      control::with_cancellation(kDependentRecordHead + R"("parts":0})", 1700000000009);
+  ASSERT_FALSE(again);
+  EXPECT_EQ(again.error(), (RecordError{RecordError::Kind::malformed_field, "w"}));
+}
+
+TEST(StoredJob, AMalformedMainValueIsRefusedWithItsField) {
+  const auto error_of = [](std::string text, const std::string& from, const std::string& to) {
+    text.replace(text.find(from), from.size(), to);
+    return control::read_record(text).error();
+  };
+  const std::string record =
+      kDependentRecordHead + R"("d":[[0,2]],"p":[[2,7,"n-000007"]],"parts":64})";
+  ASSERT_TRUE(control::read_record(record));
+  const auto malformed = [](const char* field) {
+    return RecordError{RecordError::Kind::malformed_field, field};
+  };
+  EXPECT_EQ(error_of(record, "{", "["), (RecordError{RecordError::Kind::not_an_object, ""}));
+  EXPECT_EQ(error_of(record, R"("dependent")", R"("dependant")"), malformed("job"));
+  EXPECT_EQ(error_of(record, R"("Id")", R"("Di")"), malformed("job"));
+  EXPECT_EQ(error_of(record, R"("at":1700000000001)", R"("at":"x")"), malformed("at"));
+  EXPECT_EQ(error_of(record, R"("w":1700000000002)", R"("w":null)"), malformed("w"));
+  EXPECT_EQ(error_of(record, R"("n":9)", R"("n":-9)"), malformed("n"));
+  EXPECT_EQ(error_of(record, R"("parts":64)", R"("parts":65)"), malformed("parts"));
+  EXPECT_EQ(error_of(record, "[[0,2]]", "[[0]]"), malformed("d"));
+  EXPECT_EQ(error_of(record, R"("n-000007"])", "7]"), malformed("p"));
+}
+
+TEST(StoredJob, AMalformedPartIsNotAdded) {
+  auto job = control::read_record(kDependentRecordHead + R"("parts":1})");
+  ASSERT_TRUE(job);
+  EXPECT_EQ(control::add_part("[]", job->revision, *job), PartStatus::malformed);
+  EXPECT_EQ(control::add_part(R"({"g":17,"d":7,"p":[]})", job->revision, *job),
+            PartStatus::malformed);
+}
+
+TEST(StoredOutcome, EveryFieldAndStateIsWrittenAndRead) {
   const std::string done = R"({"s":"done","n":16,"t":1700000000003})";
   EXPECT_EQ(control::write_outcome({wire::JobState::done, 16, 1700000000003}), done);
-  const auto done_ending = control::read_outcome(done);
-  ASSERT_TRUE(done_ending);
-  EXPECT_EQ(done_ending->state, wire::JobState::done);
-  EXPECT_EQ(done_ending->tasks, 16U);
-  EXPECT_EQ(done_ending->ended_ms, 1700000000003);
+  const auto read_done = control::read_outcome(done);
+  ASSERT_TRUE(read_done);
+  EXPECT_EQ(read_done->state, wire::JobState::done);
+  EXPECT_EQ(read_done->tasks, 16U);
+  EXPECT_EQ(read_done->ended_ms, 1700000000003);
   const std::string cancelled = R"({"s":"withdrawn","n":2})";
   EXPECT_EQ(control::write_outcome({wire::JobState::cancelled, 2, 0}), cancelled);
-  const auto withdrawn_ending = control::read_outcome(cancelled);
-  ASSERT_TRUE(withdrawn_ending);
-  EXPECT_EQ(withdrawn_ending->state, wire::JobState::cancelled);
-  EXPECT_EQ(withdrawn_ending->tasks, 2U);
-  EXPECT_EQ(withdrawn_ending->ended_ms, 0);
+  const auto read_cancelled = control::read_outcome(cancelled);
+  ASSERT_TRUE(read_cancelled);
+  EXPECT_EQ(read_cancelled->state, wire::JobState::cancelled);
+  EXPECT_EQ(read_cancelled->tasks, 2U);
+  EXPECT_EQ(read_cancelled->ended_ms, 0);
 }
 
 TEST(StoredLeader, EveryFieldIsWrittenAndRead) {
@@ -159,6 +212,33 @@
   EXPECT_EQ(leader->nonce, "4f2a");
 }
 
+TEST(StoredOutcome, AMalformedOneIsRefusedWithItsField) {
+  const auto malformed = [](const char* field) {
+    return RecordError{RecordError::Kind::malformed_field, field};
+  };
+  EXPECT_EQ(control::read_outcome("").error().kind, RecordError::Kind::not_an_object);
+  EXPECT_EQ(control::read_outcome(R"({"s":"running","n":2})").error(), malformed("s"));
+  EXPECT_EQ(control::read_outcome(R"({"s":"done"})").error(), malformed("n"));
+  EXPECT_EQ(control::read_leader(R"({"nonce":"4f2a"})").error(), malformed("node"));
+  EXPECT_EQ(control::read_leader(R"({"node":"winch-1"})").error(), malformed("nonce"));
+}
+
+TEST(StoredPool, EveryFieldIsWrittenAndRead) {
+  const std::string text = R"({"count":12,"scaled":1700000000007})";
+  const sched::PoolState pool{12, 1700000000007};
+  EXPECT_EQ(control::write_pool(pool), text);
+  const auto read = control::read_pool(text);
+  ASSERT_TRUE(read);
+  EXPECT_EQ(*read, pool);
+}
+
+TEST(StoredPool, AnAbsentFieldIsReadAsZero) {
+  const auto read = control::read_pool(R"({"count":12})");
+  ASSERT_TRUE(read);
+  EXPECT_EQ(*read, (sched::PoolState{12, 0}));
+  EXPECT_FALSE(control::read_pool("12"));
+}
+
 // Moves.
 
 const std::string kMoveRecord =
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -2,7 +2,8 @@
 // it, and what this version stores goes through a reader that keeps to the other's bounds.
 #include <gtest/gtest.h>
 
-#include "control/record.hpp"
+#include "control/job_record.hpp"
+#include "control/small_records.hpp"
 #include "fixtures.hpp"
 #include "peer/frames.hpp"
 #include "sched/availability.hpp"
@@ -10,9 +11,14 @@
 namespace cranklock::testing {
 namespace {
 
+using control::PartStatus;
 using control::read_record;
 using control::write_record;
 
+/// Of a part whose main value was changed by a cancellation since: not that of the main value,
+/// which is 0 where a test sets none.
+constexpr std::uint64_t kOtherRevision = 1;
+
 const char* const kProductionRecord =
     R"({"job":{"Id":"j-000412","Gear":"train","Crew":"red","Shape":"batch","Rank":"high",)"
     R"("Teeth":4,"Cpus":8.0,"Accelerators":1.0,"MemGb":64.0,"Cast":"img-07","SizeGb":6.2,)"
@@ -83,12 +89,11 @@
 }
 
 TEST(Versions, RecordsOfTheVersionInProductionAreRead) {
-  int parts = 0;
-  auto job = read_record(kProductionRecord, parts);
+  auto job = read_record(kProductionRecord);
   ASSERT_TRUE(job);
-  EXPECT_EQ(parts, 1);
+  EXPECT_EQ(job->stored_parts, 1);
   EXPECT_TRUE(job->spec.dependencies.empty());
-  ASSERT_TRUE(control::read_part(kProductionPart, false, *job));
+  ASSERT_EQ(control::add_part(kProductionPart, kOtherRevision, *job), PartStatus::added);
   EXPECT_EQ(job->placements.size(), 2U);
   EXPECT_EQ(job->done.size(), 1U);
   const auto outcome = control::read_outcome(R"({"s":"done","n":3})");
@@ -98,10 +103,9 @@
 }
 
 TEST(Versions, ARecordWithoutNeedsIsWrittenAsInProduction) {
-  int parts = 0;
-  auto job = read_record(kProductionRecord, parts);
+  auto job = read_record(kProductionRecord);
   ASSERT_TRUE(job);
-  ASSERT_TRUE(control::read_part(kProductionPart, false, *job));
+  ASSERT_EQ(control::add_part(kProductionPart, kOtherRevision, *job), PartStatus::added);
   job->revision = 17;
   const auto texts = write_record(*job, 8192);
   ASSERT_EQ(texts.size(), 1U);
@@ -119,11 +123,11 @@
   constexpr std::size_t kPresent = 8192, kComing = 2048;
   const auto job = long_job(300);
   const auto before = write_record(job, kPresent);
-  int parts = 0;
-  auto read = read_record(before[0], parts);
+  auto read = read_record(before[0]);
   ASSERT_TRUE(read);
-  for (int i = 1; i <= parts; ++i) {
-    ASSERT_TRUE(control::read_part(before[static_cast<std::size_t>(i)], false, *read));
+  ASSERT_EQ(static_cast<std::size_t>(read->stored_parts), before.size() - 1);
+  for (std::size_t i = 1; i < before.size(); ++i) {
+    ASSERT_EQ(control::add_part(before[i], kOtherRevision, *read), PartStatus::added);
   }
   read->revision = 18;
   const auto texts = write_record(*read, kComing);
@@ -159,8 +163,7 @@
   job.spec.dependencies = {"j-000007", "j-000008"};
   const auto texts = write_record(job, 8192);
   EXPECT_FALSE(older_reads(texts[0]));
-  int parts = 0;
-  const auto read = read_record(texts[0], parts);
+  const auto read = read_record(texts[0]);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->spec.dependencies, job.spec.dependencies);
   // It insists on these two fields of an outcome, and ignores others.
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,12 +1,14 @@
 #include <gtest/gtest.h>
 
-#include "control/record.hpp"
+#include "control/job_record.hpp"
 #include "fixtures.hpp"
 #include "wire/messages.hpp"
 
 namespace cranklock::wire {
 namespace {
 
+using control::PartStatus;
+
 const char* const kJob =
     R"({"Id":"j-000412","Gear":"train","Crew":"vision","Shape":"ensemble","Rank":"high","Teeth":16,
      "Cpus":8.0,"Accelerators":1.0,"MemGb":64.0,"Cast":"img-07","SizeGb":6.2,"Frames":["g8"],
@@ -56,10 +58,9 @@
   job.placements[0].machine = "n-000001";
   const auto texts = control::write_record(job, 8192);
   ASSERT_EQ(texts.size(), 1u);
-  int parts = -1;
-  const auto read = control::read_record(texts[0], parts);
+  const auto read = control::read_record(texts[0]);
   ASSERT_TRUE(read);
-  EXPECT_EQ(parts, 0);
+  EXPECT_EQ(read->stored_parts, 0);
   EXPECT_EQ(read->spec.team, "vision");
   EXPECT_EQ(read->created_ms, job.created_ms);
   EXPECT_EQ(read->done.ranges(), job.done.ranges());
@@ -80,12 +81,11 @@
   const auto texts = control::write_record(job, 8192);
   ASSERT_GT(texts.size(), 2u);
   for (const auto& t : texts) EXPECT_LE(t.size(), 8192u);
-  int parts = 0;
-  auto read = control::read_record(texts[0], parts);
+  auto read = control::read_record(texts[0]);
   ASSERT_TRUE(read);
-  ASSERT_EQ(static_cast<std::size_t>(parts), texts.size() - 1);
-  for (int i = 0; i < parts; ++i) {
-    ASSERT_TRUE(control::read_part(texts[static_cast<std::size_t>(i) + 1], true, *read));
+  ASSERT_EQ(static_cast<std::size_t>(read->stored_parts), texts.size() - 1);
+  for (std::size_t i = 1; i < texts.size(); ++i) {
+    ASSERT_EQ(control::add_part(texts[i], read->revision, *read), PartStatus::added);
   }
   EXPECT_EQ(read->placements.size(), 900u);
   EXPECT_EQ(read->done.size(), 900u);
@@ -101,14 +101,17 @@
   ASSERT_GT(texts.size(), 1u);
   job.revision = 43;
   const auto later = control::write_record(job, 8192);
-  int parts = 0;
-  auto read = control::read_record(texts[0], parts);
+  auto read = control::read_record(texts[0]);
   ASSERT_TRUE(read);
-  EXPECT_TRUE(control::read_part(texts[1], false, *read));
-  EXPECT_FALSE(control::read_part(later[1], true, *read));
+  const std::uint64_t same_revision = read->revision;
+  const std::uint64_t other_revision = same_revision + 1;
+  EXPECT_EQ(control::add_part(texts[1], other_revision, *read), PartStatus::added);
+  EXPECT_EQ(control::add_part(later[1], same_revision, *read), PartStatus::of_another_write);
   // Parts from before there were generations go by their revision.
-  EXPECT_TRUE(control::read_part(R"({"d":[],"p":[]})", true, *read));
-  EXPECT_FALSE(control::read_part(R"({"d":[],"p":[]})", false, *read));
+  const std::string without_generation = R"({"d":[],"p":[]})";
+  EXPECT_EQ(control::add_part(without_generation, same_revision, *read), PartStatus::added);
+  EXPECT_EQ(control::add_part(without_generation, other_revision, *read),
+            PartStatus::of_another_write);
   EXPECT_EQ(control::read_cancelled_at_ms(texts[0]), 0);
   texts[0].replace(texts[0].rfind("\"w\":0"), 5, "\"w\":1700000000123");
   EXPECT_EQ(control::read_cancelled_at_ms(texts[0]), 1700000000123);
