--- a/src/control/record_writer.hpp
+++ b/src/control/record_writer.hpp
@@ -4,12 +4,11 @@
 #include <cstdint>
 #include <deque>
 #include <string>
-#include <vector>
+#include <utility>
 
 #include "base/settings.hpp"
-#include "control/job_record.hpp"
+#include "control/record_batch.hpp"
 #include "control/record_reloader.hpp"
-#include "control/small_records.hpp"
 #include "net/reactor.hpp"
 #include "net/task.hpp"
 #include "sched/cluster_state.hpp"
@@ -17,17 +16,17 @@
 
 namespace cranklock::control {
 
-/// The leader's only writer of `jobs/` and `ended/`, one transaction after the other.
+/// The leader's only writer of `jobs/` and `ended/`, one compare-and-swap after the other.
 ///
-/// Every transaction is conditional on the leader's key and on the revision of each record that it
-/// touches (invariant 1). One that is not answered is unknown: what it names keeps its room, and it
-/// is written again under the same conditions until one of the two is through (invariants 1, 9).
+/// Each is conditional on the leader's key and on the revision of each record that it touches
+/// (invariant 1). One that is not answered is indeterminate: what it names keeps its resources, and
+/// it is written again under the same conditions until one of the two succeeds (invariants 1, 9).
 class RecordWriter {
  public:
   enum class Written {
     nothing,          ///< there is nothing to write, or not now
-    stored,           ///< one transaction has succeeded; there may be more to write
-    unresolved,       ///< refused, failed for a record's sake, or not answered
+    stored,           ///< one compare-and-swap has succeeded; there may be more to write
+    unresolved,       ///< refused, failed because a record has changed, or not answered
     leadership_lost,  ///< the leader's key has changed
   };
 
@@ -35,22 +34,21 @@
   RecordWriter(net::Reactor& reactor, const base::Settings& settings, store::Client& store,
                sched::ClusterState& cluster, RecordReloader& reloader, std::uint64_t fencing_token);
 
-  /// Writes what is most urgent, as much as one transaction takes.
+  /// Writes what is most urgent, as much as one compare-and-swap takes. Called by the leader term
+  /// after each placement pass until there is nothing left to write.
   net::Task<Written> write_next();
-  /// Whether a job that others need was done since the last call.
+  /// Whether a job with dependents was done since the last call.
   bool take_dependency_done() { return std::exchange(dependency_done_, false); }
 
  private:
-  struct Batch;
-  std::vector<sched::Job*> jobs_to_write();
-  Batch next_batch();
-  void add_to_batch(sched::Job& job, Batch& batch);
-  void add_stale_parts(Batch& batch);
-  std::vector<wire::Mutation> retiring_changes(const sched::Job& job, const JobOutcome& outcome,
-                                               std::vector<std::string>& left_parts) const;
-  void apply_stored(Batch& batch, std::uint64_t revision);
-  void apply_not_stored(const Batch& batch, const store::CompareAndSwapResult& result);
-  void note_retired(const std::string& id, const JobOutcome& outcome);
+  RecordBatch next_batch();
+  BatchEntry make_entry(const sched::Job& job) const;
+  JobOutcome outcome_of(const sched::Job& job) const;
+  void apply_stored(const RecordBatch& batch, std::uint64_t revision);
+  void apply_record_stored(const BatchEntry& entry, sched::Job& job, std::uint64_t revision);
+  void apply_outcome_stored(const BatchEntry& entry, const sched::Job& job);
+  void apply_not_stored(const RecordBatch& batch, const store::CompareAndSwapResult& result);
+  void apply_entry_not_stored(const BatchEntry& entry, const store::CompareAndSwapResult& result);
   double now() const { return reactor_.now(); }
 
   net::Reactor& reactor_;
@@ -59,8 +57,8 @@
   sched::ClusterState& cluster_;
   RecordReloader& reloader_;
   std::uint64_t fencing_token_;
-  double write_after_ = 0;  ///< the state service has refused a write
-  /// Parts of records of jobs that are over: never read again, removed when a transaction has room.
+  double retry_at_ = 0;  ///< no write before, since the key-value store did not carry one out
+  /// Keys of parts of jobs that are over: never read again, removed when a write has room for it.
   std::deque<std::string> stale_parts_;
   bool dependency_done_ = false;
 };
