--- a/src/control/job_lookup.cpp
+++ b/src/control/job_lookup.cpp
@@ -5,47 +5,61 @@
 
 namespace cranklock::control {
 
+using base::Failure;
 using net::Task;
 using store::Status;
 
+namespace {
+
+base::Result<StoredJob, LookupError> live_job(wire::StoredValue value) {
+  auto job = read_record(value.data);
+  if (!job) return Failure(LookupError::record_malformed);
+  StoredJob found;
+  found.state = StoredJob::State::live;
+  found.job = std::move(*job);
+  found.job.revision = value.revision;
+  found.main_value = std::move(value.data);
+  return found;
+}
+
+StoredJob ended_job(const JobOutcome& outcome) {
+  StoredJob found;
+  found.state = StoredJob::State::ended;
+  found.outcome = outcome;
+  return found;
+}
+
+}  // namespace
+
 const JobOutcome* JobLookup::known_outcome(const std::string& id) const {
   return outcomes_.find(id);
 }
 
-Task<StoredJob> JobLookup::find(std::string id) {
-  StoredJob found;
-  if (const JobOutcome* known = known_outcome(id)) {
-    found.kind = StoredJob::Kind::ended;
-    found.outcome = *known;
-    co_return found;
-  }
-  // Guards against users who wait for a state service that does not answer this node: they are told
-  // at once, and find another node the sooner.
-  if (!state_reached_()) co_return found;
-  // First the live record, then the ended one: a job moves from the first to the second at once and
-  // never back, so missing both, in this order, means that it was in neither when asked.
+Task<base::Result<StoredJob, LookupError>> JobLookup::find(std::string id) {
+  if (const JobOutcome* known = known_outcome(id)) co_return ended_job(*known);
+  // Guards against clients that wait for a key-value store which does not answer this node: they
+  // are told at once, and find another node the sooner.
+  if (!state_reached_()) co_return Failure(LookupError::store_unavailable);
+  // First the live record, then the outcome: a job moves from the first to the second in one write
+  // and never back, so missing both, in this order, means that it was in neither when asked.
   auto reading = store_.read(job_key(id), kUserTimeout);
-  auto live = co_await reading;
-  if (live.status == Status::ok) {
-    auto job = read_record(live.value.data);
-    if (!job) co_return found;
-    found.kind = StoredJob::Kind::live;
-    found.job = std::move(*job);
-    found.job.revision = live.value.revision;
-    found.text = std::move(live.value.data);
-    co_return found;
-  }
-  if (live.status != Status::failed) co_return found;
-  auto reading_ended = store_.read(outcome_key(id), kUserTimeout);
-  const auto ended = co_await reading_ended;
-  if (ended.status == Status::failed) found.kind = StoredJob::Kind::absent;
-  if (ended.status != Status::ok) co_return found;
-  const auto outcome = read_outcome(ended.value.data);
-  if (!outcome) co_return found;
-  found.kind = StoredJob::Kind::ended;
-  found.outcome = *outcome;
-  outcomes_.put(id, *outcome);
+  auto read = co_await reading;
+  if (read.status == Status::ok) co_return live_job(std::move(read.value));
+  if (read.status != Status::failed) co_return Failure(LookupError::store_unavailable);
+  auto finding = find_outcome(std::move(id));
+  auto found = co_await finding;
   co_return found;
 }
 
+Task<base::Result<StoredJob, LookupError>> JobLookup::find_outcome(std::string id) {
+  auto reading = store_.read(outcome_key(id), kUserTimeout);
+  const auto read = co_await reading;
+  if (read.status == Status::failed) co_return StoredJob();
+  if (read.status != Status::ok) co_return Failure(LookupError::store_unavailable);
+  const auto outcome = read_outcome(read.value.data);
+  if (!outcome) co_return Failure(LookupError::record_malformed);
+  outcomes_.put(id, *outcome);
+  co_return ended_job(*outcome);
+}
+
 }  // namespace cranklock::control
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -9,14 +9,17 @@
 
 namespace cranklock::control {
 
+using base::Failure;
 using net::Task;
 using store::Status;
 using wire::JobState;
 
 namespace {
-constexpr double kShareOfRequests = 0.25;          ///< of this node's, for exchanges
-constexpr double kMinInterval = kUserTimeout / 8;  ///< seconds
+
+constexpr double kShareOfRequests = 0.25;           ///< of this node's, for syncs
+constexpr double kMinIntervalS = kUserTimeout / 8;  ///< between two syncs
 constexpr int kPageItems = 200;
+
 }  // namespace
 
 JobStatus status_of(const sched::Job& job) {
@@ -29,134 +32,159 @@
   return status;
 }
 
-double StatusCache::interval() const {
-  return std::max(1 / (kShareOfRequests * store_.request_rate()), kMinInterval);
-}
+/// Marks that a request carries a sync out, and wakes the waiters when it no longer does.
+class StatusCache::SyncInProgress {
+ public:
+  explicit SyncInProgress(StatusCache& cache) : cache_(cache) { cache_.sync_in_progress_ = true; }
+  SyncInProgress(const SyncInProgress&) = delete;
+  SyncInProgress& operator=(const SyncInProgress&) = delete;
+  ~SyncInProgress() {
+    cache_.sync_in_progress_ = false;
+    cache_.wake_waiters();
+  }
 
-bool StatusCache::record_read() {
-  const double now = reactor_.now();
-  reads_.note(now);
-  return reads_.per_second(now) * interval() > 1;
-}
+ private:
+  StatusCache& cache_;
+};
 
-/// Marks that one of those who wait carries an exchange out. When that one goes away, with its
-/// user's connection for instance, another takes over.
-struct StatusCache::Running {
-  explicit Running(StatusCache& of) : cache(of) { cache.running_ = true; }
-  Running(const Running&) = delete;
-  Running& operator=(const Running&) = delete;
-  ~Running() {
-    cache.running_ = false;
-    cache.wake_waiting();
+/// Keeps a signal among the waiters for as long as this object lives.
+class StatusCache::WaiterRegistration {
+ public:
+  WaiterRegistration(std::vector<net::Signal*>& waiters, net::Signal& signal)
+      : waiters_(waiters), signal_(&signal) {
+    waiters_.push_back(signal_);
   }
-  StatusCache& cache;
+  WaiterRegistration(const WaiterRegistration&) = delete;
+  WaiterRegistration& operator=(const WaiterRegistration&) = delete;
+  ~WaiterRegistration() { std::erase(waiters_, signal_); }
+
+ private:
+  std::vector<net::Signal*>& waiters_;
+  net::Signal* signal_;
 };
 
-void StatusCache::wake_waiting() {
-  for (net::Signal* signal : waiting_) signal->set();
+double StatusCache::interval() const {
+  return std::max(1 / (kShareOfRequests * store_.request_rate()), kMinIntervalS);
+}
+
+void StatusCache::count_read() {
+  reads_.note(reactor_.now());
 }
 
-Task<StatusCache::Found> StatusCache::find(std::string id) {
+bool StatusCache::is_worthwhile() {
+  return reads_.per_second(reactor_.now()) * interval() > 1;
+}
+
+Task<base::Result<JobStatus, StatusMiss>> StatusCache::find(std::string id) {
   const double asked = reactor_.now();
-  const double until = asked + kUserTimeout;
-  Found found;
-  while (caught_up_sent_ < asked) {
-    const double left = until - reactor_.now();
-    if (failed_sent_ >= asked || left <= 0) co_return found;
-    if (!running_) {
+  const double deadline = asked + kUserTimeout;
+  while (last_successful_sync_sent_ < asked) {
+    const double left = deadline - reactor_.now();
+    if (last_failed_sync_sent_ >= asked || left <= 0) {
+      co_return Failure(StatusMiss::store_unavailable);
+    }
+    if (sync_in_progress_) {
+      auto waiting = wait_for_sync(left);
+      co_await waiting;
+    } else {
       auto syncing = sync();
       co_await syncing;
-      continue;
     }
-    net::Signal signal(reactor_);
-    struct Listed {
-      std::vector<net::Signal*>& in;
-      net::Signal* signal;
-      ~Listed() { std::erase(in, signal); }
-    };
-    const Listed listed{waiting_, &signal};
-    waiting_.push_back(&signal);
-    net::Signal::Wait wait(signal, left);
-    co_await wait;
   }
+  co_return find_cached(id);
+}
+
+base::Result<JobStatus, StatusMiss> StatusCache::find_cached(const std::string& id) const {
   const Entry* entry = jobs_.find(id);
-  found.kind = entry != nullptr && entry->status ? Kind::known : Kind::unknown;
-  if (found.kind == Kind::known) found.status = *entry->status;
-  co_return found;
+  if (entry == nullptr || !entry->status) return Failure(StatusMiss::not_cached);
+  return *entry->status;
+}
+
+Task<void> StatusCache::wait_for_sync(double timeout_s) {
+  net::Signal signal(reactor_);
+  const WaiterRegistration registration(waiters_, signal);
+  net::Signal::Wait wait(signal, timeout_s);
+  co_await wait;
+}
+
+void StatusCache::wake_waiters() {
+  for (net::Signal* signal : waiters_) signal->set();
 }
 
 Task<void> StatusCache::sync() {
-  const Running running(*this);
-  net::Sleep pace(reactor_, std::max(sync_sent_at_ + interval() - reactor_.now(), 0.0));
+  const SyncInProgress in_progress(*this);
+  net::Sleep pace(reactor_, std::max(last_sync_sent_ + interval() - reactor_.now(), 0.0));
   co_await pace;
-  sync_sent_at_ = reactor_.now();
-  if (revision_ && sync_sent_at_ - caught_up_sent_ > std::max(max_gap(), 2 * interval())) {
-    revision_.reset();
-  }
+  last_sync_sent_ = reactor_.now();
+  const double gap = last_sync_sent_ - last_successful_sync_sent_;
+  if (revision_ && gap > std::max(max_gap(), 2 * interval())) revision_.reset();
   if (!revision_) {
-    auto beginning = begin();
-    co_await beginning;
+    auto syncing = full_sync();
+    co_await syncing;
     co_return;
   }
-  auto catching_up = catch_up();
-  co_await catching_up;
-  if (!revision_ || !read_after_) co_return;
-  auto reading = read_stored();
+  auto syncing = delta_sync();
+  co_await syncing;
+  if (!revision_ || !next_page_) co_return;
+  auto reading = read_next_page();
   co_await reading;
 }
 
-// From here on every change is taken in; what is stored already is read page by page. What is not
-// on the first page is not known yet, so its answer is as good as one with all changes.
-Task<void> StatusCache::begin() {
+// Begins a full sync with the first page. From here on delta syncs bring every change, and each is
+// followed by one more page. A job that is on none of the pages read so far is not cached yet, so
+// answers from the cache are as good as those with all changes.
+Task<void> StatusCache::full_sync() {
   jobs_ = base::RecentMap<Entry>(kMaxJobs);
-  read_after_ = "";
-  const double sent = sync_sent_at_;
-  auto reading = read_stored();
-  revision_ = co_await reading;
-  if (revision_) {
-    caught_up_sent_ = sent;
+  next_page_ = "";
+  const double sent = last_sync_sent_;
+  auto reading = read_next_page();
+  const auto revision = co_await reading;
+  if (revision) {
+    revision_ = *revision;
+    last_successful_sync_sent_ = sent;
   } else {
-    failed_sent_ = sent;
+    last_failed_sync_sent_ = sent;
   }
 }
 
-// The next page; returns the revision at which it was read.
-Task<std::optional<std::uint64_t>> StatusCache::read_stored() {
-  auto reading = store_.read_page(kJobsPrefix, *read_after_, kPageItems, kUserTimeout);
+// Returns the revision at which the page was read, or why it was not.
+Task<base::Result<std::uint64_t, Status>> StatusCache::read_next_page() {
+  auto reading = store_.read_page(kJobsPrefix, *next_page_, kPageItems, kUserTimeout);
   const auto read = co_await reading;
-  if (read.status != Status::ok) co_return std::nullopt;
-  take_in(read.page.items);
-  read_after_.reset();
-  if (read.page.more && !read.page.items.empty()) read_after_ = read.page.items.back().key;
+  if (read.status != Status::ok) co_return Failure(read.status);
+  const auto& values = read.page.items;
+  apply_values(values);
+  next_page_.reset();
+  if (read.page.more && !values.empty()) next_page_ = values.back().key;
   co_return read.page.revision;
 }
 
-Task<void> StatusCache::catch_up() {
-  const double sent = sync_sent_at_;
+Task<void> StatusCache::delta_sync() {
+  const double sent = last_sync_sent_;
   auto asking = store_.changes_since(kJobsPrefix, *revision_, kUserTimeout);
   const auto changes = co_await asking;
   if (changes.status == Status::ok) {
-    take_in(changes.page.items);
+    apply_values(changes.page.items);
     revision_ = std::max(*revision_, changes.page.revision);
-    caught_up_sent_ = sent;
+    last_successful_sync_sent_ = sent;
     co_return;
   }
-  // Too far behind, or an answer too long to be read: all is read anew.
+  // Too far behind, or an answer too long to be read: a full sync is due.
   if (changes.status != Status::refused) revision_.reset();
-  if (changes.status != Status::failed) failed_sent_ = sent;
+  if (changes.status != Status::failed) last_failed_sync_sent_ = sent;
 }
 
-// Pages and changes never overlap in time, but a page may be newer than the changes that follow it.
-void StatusCache::take_in(const std::vector<wire::StoredValue>& items) {
-  for (const auto& item : items) {
-    const auto id = job_of_key(item.key);
-    if (const Entry* known = jobs_.find(id); known != nullptr && known->revision >= item.revision) {
-      continue;
-    }
+// Applies values of a page, or changes. These never overlap in time, but a page may be newer than
+// the changes that follow it.
+void StatusCache::apply_values(const std::vector<wire::StoredValue>& values) {
+  for (const auto& value : values) {
+    const auto id = job_of_key(value.key);
+    const Entry* known = jobs_.find(id);
+    if (known != nullptr && known->revision >= value.revision) continue;
     Entry entry;
-    entry.revision = item.revision;
-    // What is removed or malformed has no status.
-    if (const auto job = read_record(item.data)) {
+    entry.revision = value.revision;
+    // A record that is removed or malformed has no status.
+    if (const auto job = read_record(value.data)) {
       // A job that waits for others may be cancelled with them: that takes more than its record.
       const bool waits = !job->spec.dependencies.empty() && job->placements.empty();
       if (!waits) entry.status = status_of(*job);
