--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -23,161 +23,173 @@
                   base::field("reason", to_string(error)));
 }
 
+void log_accepted(const wire::JobSpec& spec) {
+  base::log_info("job accepted", base::field("job", spec.id), base::field("class", spec.job_class),
+                 base::field("team", spec.team), base::field("tasks", spec.tasks));
+}
+
 }  // namespace
 
-JobWatcher::JobWatcher(Services services, LeaderLease& lease, sched::ClusterState& cluster,
-                       RecordReloader& reloader, net::Signal& work, Callbacks callbacks)
-    : services_(services),
-      leader_lease_(lease),
-      cluster_(cluster),
-      reloader_(reloader),
-      work_(work),
-      callbacks_(std::move(callbacks)) {}
+JobWatcher::JobWatcher(LeaderContext& context, RecordReloader& reloader, Callbacks callbacks)
+    : context_(context), reloader_(reloader), callbacks_(std::move(callbacks)) {}
 
-// ---- take-over ----
+// ---- failover ----
 
 Task<bool> JobWatcher::load() {
-  const double sent = now();
-  auto reading = services_.store.read_all(kJobsPrefix, kStoreTimeout);
+  const double sent = context_.now();
+  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeout);
   const auto jobs = co_await reading;
   if (jobs.status != Status::ok) co_return false;
-  loaded_revision_ = jobs.page.revision;
-  leader_lease_.caught_up(sent);
-  for (const auto& item : jobs.page.items) {
-    auto loading = load_one(item);
+  revision_ = jobs.page.revision;
+  context_.lease.caught_up(sent);
+  for (const auto& value : jobs.page.items) {
+    auto loading = load_job(value);
     if (!co_await loading) co_return false;
   }
   known_before_ = sent;
   co_return true;
 }
 
-Task<bool> JobWatcher::load_one(const wire::StoredValue& item) {
-  auto job = read_record(item.data);
+Task<bool> JobWatcher::load_job(const wire::StoredValue& value) {
+  auto job = read_record(value.data);
   if (!job) {
-    log_malformed(item.key, job.error());
+    log_malformed(value.key, job.error());
     co_return true;
   }
-  job->revision = item.revision;
+  job->revision = value.revision;
   if (job->stored_parts > 0) {
     auto reading = reloader_.read_parts(*job);
-    if (!co_await reading) {
+    if (co_await reading == RecordRead::unavailable) {
       // It changed while it was read: read it again by itself.
       auto reloading = reloader_.reload(job->spec.id);
-      co_return co_await reloading;
+      const auto reloaded = co_await reloading;
+      co_return reloaded == RecordRead::complete;
     }
   }
-  put(std::move(*job));
+  upsert_job(std::move(*job));
   co_return true;
 }
 
-// Guards against a deletion put off by every change of leader: the record tells when its user
-// cancelled, as well as two clocks of the day agree. What came with the changes was not stored yet
-// when all was known last.
-double JobWatcher::cancelled_since(std::int64_t at_ms) const {
-  const double age = static_cast<double>(services_.reactor.wall_ms() - at_ms) / 1000 +
-                     2 * services_.settings.clock_error_s;
-  return std::min(std::max(now() - std::max(age, 0.0), known_before_), now());
+// The time on the steady clock at which a job was cancelled, at the latest. Guards against a
+// deletion put off by every change of leader: the record tells when its client cancelled, as well
+// as two clocks of the day agree. What came with the changes was not stored yet when all was known
+// last.
+double JobWatcher::cancelled_since(std::int64_t cancelled_at_ms) const {
+  const auto& services = context_.services;
+  const double now = context_.now();
+  const double age_s = static_cast<double>(services.reactor.wall_ms() - cancelled_at_ms) / 1000 +
+                       2 * services.settings.clock_error_s;
+  return std::min(std::max(now - std::max(age_s, 0.0), known_before_), now);
 }
 
-void JobWatcher::put(Job job) {
+void JobWatcher::upsert_job(Job job) {
   if (job.cancelled()) job.cancelled_since = cancelled_since(job.cancelled_at_ms);
-  cluster_.upsert_job(std::move(job), now());
+  context_.cluster.upsert_job(std::move(job), context_.now());
 }
 
 // ---- changes ----
 
 Task<void> JobWatcher::follow() {
-  std::uint64_t since = loaded_revision_;
-  // As long as the pause between renewals: what an answer proves is as old as its question.
-  const double wait = LeaderLease::lease_life(services_.settings) / 4;
-  int unclear = 0;  // answers in a row
+  constexpr int kMaxUnanswered = 3;
+  const auto& settings = context_.services.settings;
+  // As long as the pause between renewals: what an answer proves is as old as its request.
+  const double hold_s = LeaderLease::lease_life(settings) / 4;
+  int unanswered = 0;  // watches in a row
   for (;;) {
-    const double sent = now();
-    auto watching = services_.store.watch(kJobsPrefix, since, wait);
+    const double sent = context_.now();
+    auto watching = context_.services.store.watch(kJobsPrefix, revision_, hold_s);
     auto result = co_await watching;
     if (result.status == Status::ok) {
-      unclear = 0;
-      since = std::max(since, result.page.revision);
-      note_changes(std::move(result.page.items), sent);
+      unanswered = 0;
+      revision_ = std::max(revision_, result.page.revision);
+      on_changes(std::move(result.page.items), sent);
       continue;
     }
-    leader_lease_.fell_behind();
+    context_.lease.fell_behind();
     // Guards against an answer that is too long to be read, and so would be asked for for ever. In
     // an outage renewals are not answered either.
-    const bool served = leader_lease_.confirmed_sent() > sent;
-    unclear = result.status == Status::unknown && served ? unclear + 1 : 0;
-    if (result.status == Status::failed || unclear >= 3) {
-      // Too far behind: read everything again, as changes.
-      const double asked = now();
-      auto reading = services_.store.read_all(kJobsPrefix, kStoreTimeout);
-      auto all = co_await reading;
-      if (all.status == Status::ok) {
-        unclear = 0;
-        since = all.page.revision;
-        note_changes(std::move(all.page.items), asked);
+    const bool renewed = context_.lease.confirmed_sent() > sent;
+    unanswered = result.status == Status::unknown && renewed ? unanswered + 1 : 0;
+    const bool too_far_behind = result.status == Status::failed;
+    if (too_far_behind || unanswered >= kMaxUnanswered) {
+      auto reading = read_all_as_changes();
+      if (co_await reading) {
+        unanswered = 0;
         continue;
       }
     }
-    Sleep pause(services_.reactor, std::min(services_.settings.heartbeat_interval_s, wait) / 4);
+    Sleep pause(context_.services.reactor, std::min(settings.heartbeat_interval_s, hold_s) / 4);
     co_await pause;
   }
 }
 
-// Cancellations are acted on as they come: other changes wait until no transaction of ours is under
-// way, which may take as long as the state service pleases.
-void JobWatcher::note_changes(std::vector<wire::StoredValue> items, double sent) {
-  bool stops = false;
-  for (auto& item : items) {
-    Job* known = cluster_.job(job_of_key(item.key));
-    if (known != nullptr && item.revision > known->revision && !known->cancelled()) {
-      if (const auto at_ms = read_cancelled_at_ms(item.data); at_ms != 0) {
-        cluster_.cancel(*known, at_ms, cancelled_since(at_ms));
-        stops = true;
-      }
-    }
-    pending_.push_back(std::move(item));
+Task<bool> JobWatcher::read_all_as_changes() {
+  const double sent = context_.now();
+  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeout);
+  auto jobs = co_await reading;
+  if (jobs.status != Status::ok) co_return false;
+  revision_ = jobs.page.revision;
+  on_changes(std::move(jobs.page.items), sent);
+  co_return true;
+}
+
+// Cancellations are acted on as they come: other changes wait until no write of the leader's own is
+// under way, which may take as long as the key-value store pleases.
+void JobWatcher::on_changes(std::vector<wire::StoredValue> values, double sent) {
+  bool any_cancelled = false;
+  for (auto& value : values) {
+    if (cancel_at_once(value)) any_cancelled = true;
+    pending_.push_back(std::move(value));
   }
-  leader_lease_.caught_up(sent);
+  context_.lease.caught_up(sent);
   known_before_ = std::max(known_before_, sent);
-  if (!pending_.empty()) work_.set();
-  if (stops) callbacks_.job_cancelled();
+  if (!pending_.empty()) context_.work.set();
+  if (any_cancelled) callbacks_.job_cancelled();
+}
+
+// Cancels the job if this change is its cancellation; returns whether it is.
+bool JobWatcher::cancel_at_once(const wire::StoredValue& value) {
+  Job* known = context_.cluster.job(job_of_key(value.key));
+  if (known == nullptr || value.revision <= known->revision || known->cancelled()) return false;
+  const auto cancelled_at_ms = read_cancelled_at_ms(value.data);
+  if (cancelled_at_ms == 0) return false;
+  context_.cluster.cancel(*known, cancelled_at_ms, cancelled_since(cancelled_at_ms));
+  return true;
 }
 
 void JobWatcher::apply_changes() {
   while (!pending_.empty()) {
-    const auto item = std::move(pending_.front());
+    const auto value = std::move(pending_.front());
     pending_.pop_front();
-    apply_change(item);
+    apply_change(value);
   }
 }
 
-void JobWatcher::apply_change(const wire::StoredValue& item) {
-  const auto id = job_of_key(item.key);
-  const Job* known = cluster_.job(id);
-  if (known != nullptr && item.revision <= known->revision) return;
-  if (item.data.empty()) {
-    if (known != nullptr) cluster_.remove_job(id);
+void JobWatcher::apply_change(const wire::StoredValue& value) {
+  const auto id = job_of_key(value.key);
+  const Job* known = context_.cluster.job(id);
+  if (known != nullptr && value.revision <= known->revision) return;
+  if (value.data.empty()) {
+    if (known != nullptr) context_.cluster.remove_job(id);
     return;
   }
-  auto job = read_record(item.data);
+  auto job = read_record(value.data);
   if (!job) {
-    log_malformed(item.key, job.error());
+    log_malformed(value.key, job.error());
     return;
   }
   if (job->stored_parts > 0) {
     reloader_.request(id);
     return;
   }
-  job->revision = item.revision;
+  job->revision = value.revision;
   if (known == nullptr) {
     callbacks_.job_accepted();
-    base::log_info("job accepted", base::field("job", id),
-                   base::field("class", job->spec.job_class), base::field("team", job->spec.team),
-                   base::field("tasks", job->spec.tasks));
+    log_accepted(job->spec);
   } else if (job->cancelled()) {
     base::log_info("job cancelled", base::field("job", id));
   }
-  put(std::move(*job));
+  upsert_job(std::move(*job));
 }
 
 }  // namespace cranklock::control
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -28,13 +28,10 @@
       context_{services, lease, status_, cluster_, work_, services.reactor.now()},
       last_heard_(services.reactor.now()),
       machines_(services, lease, cluster_, work_),
-      outcomes_(services.reactor, services.store, cluster_, work_),
-      reloader_(
-          services.reactor, services.settings, services.store, cluster_,
-          [this](Job job) { jobs_.put(std::move(job)); }, work_),
-      jobs_(services, lease, cluster_, reloader_, work_, job_callbacks()),
-      writer_(services.reactor, services.settings, services.store, cluster_, reloader_,
-              lease.fencing_token()),
+      outcomes_(context_),
+      reloader_(context_, [this](Job job) { jobs_.upsert_job(std::move(job)); }),
+      jobs_(context_, reloader_, job_callbacks()),
+      writer_(context_, reloader_),
       commands_(context_, machines_, [this] { last_heard_ = now(); }),
       scaler_(services, lease, cluster_, work_, scaler_callbacks()) {
   const double advise_every_s = services.settings.operators.defrag.advise_every_s;
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -5,7 +5,6 @@
 
 #include "control/job_record.hpp"
 #include "control/record_keys.hpp"
-#include "control/services.hpp"
 
 namespace cranklock::control {
 
@@ -13,29 +12,26 @@
 using sched::Job;
 using store::Status;
 
-RecordReloader::RecordReloader(net::Reactor& reactor, const base::Settings& settings,
-                               store::Client& store, sched::ClusterState& cluster,
-                               std::function<void(Job)> put, net::Signal& changed)
-    : settings_(settings),
-      store_(store),
-      cluster_(cluster),
-      put_(std::move(put)),
-      changed_(changed),
-      due_(reactor) {}
+RecordReloader::RecordReloader(LeaderContext& context, std::function<void(Job)> upsert_job)
+    : context_(context),
+      upsert_job_(std::move(upsert_job)),
+      requested_signal_(context.services.reactor) {}
 
 void RecordReloader::request(const std::string& id) {
   requested_.insert(id);
-  due_.set();
+  requested_signal_.set();
 }
 
 Task<void> RecordReloader::run() {
   constexpr std::size_t kMaxAtOnce = 8;
   for (;;) {
-    const double every = settings_.heartbeat_interval_s / 4;
-    net::Signal::Wait wait(due_, requested_.empty() ? 4 * every : every);
+    const double retry_interval_s = context_.services.settings.heartbeat_interval_s / 4;
+    const double idle_interval_s = 4 * retry_interval_s;
+    net::Signal::Wait wait(requested_signal_,
+                           requested_.empty() ? idle_interval_s : retry_interval_s);
     co_await wait;
-    const std::vector<std::string> due(requested_.begin(), requested_.end());
-    for (const auto& id : due) {
+    const std::vector<std::string> ids(requested_.begin(), requested_.end());
+    for (const auto& id : ids) {
       if (reading_.size() >= kMaxAtOnce) break;
       if (reading_.insert(id).second) scope_.spawn(reload_requested(id));
     }
@@ -44,50 +40,50 @@
 
 Task<void> RecordReloader::reload_requested(std::string id) {
   auto reading = reload(id);
-  const bool settled = co_await reading;
+  const auto read = co_await reading;
   reading_.erase(id);
-  if (!settled) co_return;
+  if (read != RecordRead::complete) co_return;
   requested_.erase(id);
-  due_.set();
-  changed_.set();
+  requested_signal_.set();
+  context_.work.set();
 }
 
-Task<bool> RecordReloader::read_parts(Job& job) {
-  for (int i = 0; i < job.stored_parts; ++i) {
-    auto reading = store_.read(part_key(job.spec.id, i), kStoreTimeout);
-    const auto part = co_await reading;
-    if (part.status != Status::ok ||
-        add_part(part.value.data, part.value.revision, job) != PartStatus::added) {
-      co_return false;
-    }
+Task<RecordRead> RecordReloader::read_parts(Job& job) {
+  for (int part = 0; part < job.stored_parts; ++part) {
+    auto reading = context_.services.store.read(part_key(job.spec.id, part), kStoreTimeout);
+    const auto found = co_await reading;
+    if (found.status != Status::ok) co_return RecordRead::unavailable;
+    const auto added = add_part(found.value.data, found.value.revision, job);
+    if (added != PartStatus::added) co_return RecordRead::unavailable;
   }
-  co_return true;
+  co_return RecordRead::complete;
 }
 
-Task<bool> RecordReloader::reload(std::string id) {
-  constexpr int kTries = 3;
-  for (int tries = 0; tries < kTries; ++tries) {
-    auto reading = store_.read(job_key(id), kStoreTimeout);
+Task<RecordRead> RecordReloader::reload(std::string id) {
+  constexpr int kMaxTries = 3;
+  for (int tries = 0; tries < kMaxTries; ++tries) {
+    auto reading = context_.services.store.read(job_key(id), kStoreTimeout);
     const auto found = co_await reading;
     if (found.status == Status::failed) {
-      cluster_.remove_job(id);
-      co_return true;
+      context_.cluster.remove_job(id);
+      co_return RecordRead::complete;
     }
-    if (found.status != Status::ok) co_return false;
+    if (found.status != Status::ok) co_return RecordRead::unavailable;
     auto job = read_record(found.value.data);
-    if (!job) co_return false;
+    if (!job) co_return RecordRead::unavailable;
     job->revision = found.value.revision;
     auto reading_parts = read_parts(*job);
-    if (!co_await reading_parts) continue;
-    // The changes may have overtaken this reading. Nor does it tell anything that is not known: a
-    // write of ours without an answer may still be carried out on top of it.
-    const Job* known = cluster_.job(id);
+    const auto parts = co_await reading_parts;
+    if (parts != RecordRead::complete) continue;
+    // The changes may have overtaken this read. Nor does one of the same revision tell anything
+    // that is not known: a write of ours without an answer may still be carried out on top of it.
+    const Job* known = context_.cluster.job(id);
     if (known != nullptr && known->revision > job->revision) continue;
-    if (known != nullptr && known->revision == job->revision) co_return true;
-    put_(std::move(*job));
-    co_return true;
+    if (known != nullptr && known->revision == job->revision) co_return RecordRead::complete;
+    upsert_job_(std::move(*job));
+    co_return RecordRead::complete;
   }
-  co_return false;
+  co_return RecordRead::unavailable;
 }
 
 }  // namespace cranklock::control
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -35,21 +35,15 @@
 
 }  // namespace
 
-RecordWriter::RecordWriter(net::Reactor& reactor, const base::Settings& settings,
-                           store::Client& store, sched::ClusterState& cluster,
-                           RecordReloader& reloader, std::uint64_t fencing_token)
-    : reactor_(reactor),
-      settings_(settings),
-      store_(store),
-      cluster_(cluster),
-      reloader_(reloader),
-      fencing_token_(fencing_token) {}
+RecordWriter::RecordWriter(LeaderContext& context, RecordReloader& reloader)
+    : context_(context), reloader_(reloader) {}
 
 Task<RecordWriter::Written> RecordWriter::write_next() {
   if (now() < retry_at_) co_return Written::nothing;
   const RecordBatch batch = next_batch();
   if (batch.empty()) co_return Written::nothing;
-  auto writing = store_.compare_and_swap(batch.compares(), batch.mutations(), kStoreTimeout);
+  auto writing =
+      context_.services.store.compare_and_swap(batch.compares(), batch.mutations(), kStoreTimeout);
   const auto result = co_await writing;
   if (result.status == Status::ok) {
     apply_stored(batch, result.revision);
@@ -65,9 +59,11 @@
 // ---- what is written ----
 
 RecordBatch RecordWriter::next_batch() {
-  RecordBatch batch(fencing_token_, {store_.value_bytes(), store_.txn_changes()});
+  RecordBatch batch(context_.lease.fencing_token(),
+                    {context_.services.store.value_bytes(), context_.services.store.txn_changes()});
   const auto is_reloading = [&](const std::string& id) { return reloader_.is_requested(id); };
-  for (Job* job : order_writes(cluster_, {now(), settings_.cancel_s, is_reloading})) {
+  for (Job* job :
+       order_writes(context_.cluster, {now(), context_.services.settings.cancel_s, is_reloading})) {
     BatchEntry entry = make_entry(*job);
     const std::size_t bytes = request_bytes(entry);
     const auto result = batch.add(std::move(entry));
@@ -86,8 +82,8 @@
 }
 
 BatchEntry RecordWriter::make_entry(const Job& job) const {
-  if (!is_over(job)) return make_record_entry(job, store_.value_bytes());
-  return make_outcome_entry(job, outcome_of(job), store_.txn_changes());
+  if (!is_over(job)) return make_record_entry(job, context_.services.store.value_bytes());
+  return make_outcome_entry(job, outcome_of(job), context_.services.store.txn_changes());
 }
 
 JobOutcome RecordWriter::outcome_of(const Job& job) const {
@@ -95,8 +91,8 @@
   outcome.state = job.cancelled() ? wire::JobState::cancelled : wire::JobState::done;
   outcome.tasks = job.done.size();
   // Kept only for dependents, whose own times count from here.
-  const bool has_dependents = cluster_.dependencies().has_dependents(job.spec.id);
-  if (has_dependents) outcome.ended_ms = reactor_.wall_ms();
+  const bool has_dependents = context_.cluster.dependencies().has_dependents(job.spec.id);
+  if (has_dependents) outcome.ended_ms = context_.services.reactor.wall_ms();
   return outcome;
 }
 
@@ -111,7 +107,8 @@
                                     const store::CompareAndSwapResult& result) {
   stale_parts_.insert(stale_parts_.end(), batch.stale_parts().begin(), batch.stale_parts().end());
   for (const auto& entry : batch.entries()) apply_entry_not_stored(entry, result);
-  if (result.status != Status::failed) retry_at_ = now() + settings_.heartbeat_interval_s / 8;
+  if (result.status != Status::failed)
+    retry_at_ = now() + context_.services.settings.heartbeat_interval_s / 8;
 }
 
 void RecordWriter::apply_entry_not_stored(const BatchEntry& entry,
@@ -120,7 +117,7 @@
     reloader_.request(entry.job_id);
     return;
   }
-  Job* job = cluster_.job(entry.job_id);
+  Job* job = context_.cluster.job(entry.job_id);
   if (job == nullptr) return;
   job->dirty = true;
   if (result.status != Status::unknown) return;
@@ -136,7 +133,7 @@
 
 void RecordWriter::apply_stored(const RecordBatch& batch, std::uint64_t revision) {
   for (const auto& entry : batch.entries()) {
-    Job* job = cluster_.job(entry.job_id);
+    Job* job = context_.cluster.job(entry.job_id);
     if (job == nullptr) continue;
     if (entry.retires_job) {
       apply_outcome_stored(entry, *job);
@@ -154,7 +151,7 @@
     if (placement == nullptr) continue;
     placement->durable = true;
     if (placement->write_unresolved && placement->abandoned) {  // since the write was sent
-      cluster_.resolve_abandoned(job, *placement, now());
+      context_.cluster.resolve_abandoned(job, *placement, now());
       job.dirty = true;
     }
     placement->write_unresolved = false;
@@ -163,10 +160,10 @@
   for (const auto& abandoned : entry.abandoned) {
     auto* placement = job.find(abandoned.first, abandoned.second);
     if (placement == nullptr) continue;
-    cluster_.resolve_abandoned(job, *placement, now());
+    context_.cluster.resolve_abandoned(job, *placement, now());
     ended.push_back(abandoned);
   }
-  cluster_.forget_ended(job, ended);
+  context_.cluster.forget_ended(job, ended);
 }
 
 // The write was answered: it is the outcome's proof for dependents (invariant 14).
@@ -179,14 +176,14 @@
   if (done) {
     known.resolution = sched::Dependencies::Resolution::done;
     known.at_ms = entry.outcome.ended_ms;
-    if (cluster_.dependencies().has_dependents(entry.job_id)) dependency_done_ = true;
+    if (context_.cluster.dependencies().has_dependents(entry.job_id)) dependency_done_ = true;
   } else {
     known.resolution = sched::Dependencies::Resolution::cancelled;
     known.at_ms = job.cancelled_at_ms;
     known.since = job.cancelled_since;
   }
-  cluster_.remove_job(entry.job_id);
-  cluster_.record_outcome(entry.job_id, known);
+  context_.cluster.remove_job(entry.job_id);
+  context_.cluster.record_outcome(entry.job_id, known);
 }
 
 }  // namespace cranklock::control
--- a/src/control/record_writer.hpp
+++ b/src/control/record_writer.hpp
@@ -6,12 +6,10 @@
 #include <string>
 #include <utility>
 
-#include "base/settings.hpp"
+#include "control/leader_context.hpp"
 #include "control/record_batch.hpp"
 #include "control/record_reloader.hpp"
-#include "net/reactor.hpp"
 #include "net/task.hpp"
-#include "sched/cluster_state.hpp"
 #include "store/client.hpp"
 
 namespace cranklock::control {
@@ -30,9 +28,8 @@
     leadership_lost,  ///< the leader's key has changed
   };
 
-  /// `fencing_token` is the leader's. All that is referred to outlives the writer.
-  RecordWriter(net::Reactor& reactor, const base::Settings& settings, store::Client& store,
-               sched::ClusterState& cluster, RecordReloader& reloader, std::uint64_t fencing_token);
+  /// All that is referred to outlives the writer.
+  RecordWriter(LeaderContext& context, RecordReloader& reloader);
 
   /// Writes what is most urgent, as much as one compare-and-swap takes. Called by the leader term
   /// after each placement pass until there is nothing left to write.
@@ -49,14 +46,10 @@
   void apply_outcome_stored(const BatchEntry& entry, const sched::Job& job);
   void apply_not_stored(const RecordBatch& batch, const store::CompareAndSwapResult& result);
   void apply_entry_not_stored(const BatchEntry& entry, const store::CompareAndSwapResult& result);
-  double now() const { return reactor_.now(); }
+  double now() const { return context_.now(); }
 
-  net::Reactor& reactor_;
-  const base::Settings& settings_;
-  store::Client& store_;
-  sched::ClusterState& cluster_;
+  LeaderContext& context_;
   RecordReloader& reloader_;
-  std::uint64_t fencing_token_;
   double retry_at_ = 0;  ///< no write before, since the key-value store did not carry one out
   /// Keys of parts of jobs that are over: never read again, removed when a write has room for it.
   std::deque<std::string> stale_parts_;
