--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -1,4 +1,4 @@
-// What stands in the state service, as literal bytes: keys and records. Controllers of other
+// What stands in the key-value store, as literal bytes: keys and records. Controllers of other
 // versions read and write the same ones, so that no key and no field may change its name.
 #include <gtest/gtest.h>
 
@@ -17,6 +17,8 @@
 using control::PartStatus;
 using control::RecordError;
 
+constexpr std::size_t kMaxValueBytes = 8192;
+
 using Texts = std::vector<std::string>;
 
 sched::Placement placement(std::uint32_t task, std::uint64_t attempt, const std::string& machine) {
@@ -45,6 +47,10 @@
 const std::string kDependentRecordHead =
     R"({"dependent":)" + kCompleteJob + R"(,"at":1700000000001,"w":1700000000002,"n":9,"g":17,)";
 
+RecordError malformed(const char* field) {
+  return {RecordError::Kind::malformed_field, field};
+}
+
 // Keys.
 
 TEST(StorageKeys, JobsAndTheirPartsAndOutcomesHaveTheirKeys) {
@@ -84,14 +90,14 @@
   const std::string expected =
       kDependentRecordHead +
       R"("d":[[0,2],[4,5]],"p":[[2,7,"n-000007"],[3,8,"n-000008"],[6,9,"n-000009"]],"parts":0})";
-  EXPECT_EQ(control::write_record(stored_job(), 8192), Texts{expected});
+  EXPECT_EQ(control::write_record(stored_job(), kMaxValueBytes), Texts{expected});
 }
 
 TEST(StoredJob, AJobThatNeedsNoOtherStandsUnderAnotherName) {
   sched::Job job = stored_job();
   job.spec.dependencies.clear();
   job.cancelled_at_ms = 0;
-  const auto texts = control::write_record(job, 8192);
+  const auto texts = control::write_record(job, kMaxValueBytes);
   ASSERT_EQ(texts.size(), 1U);
   EXPECT_EQ(texts[0].substr(0, 23), R"({"job":{"Id":"j-000412")");
   EXPECT_NE(texts[0].find(R"(,"at":1700000000001,"w":0,"n":9,"g":17,"d":)"), std::string::npos);
@@ -153,7 +159,7 @@
   const auto again =
       control::with_cancellation(kDependentRecordHead + R"("parts":0})", 1700000000009);
   ASSERT_FALSE(again);
-  EXPECT_EQ(again.error(), (RecordError{RecordError::Kind::malformed_field, "w"}));
+  EXPECT_EQ(again.error(), malformed("w"));
 }
 
 TEST(StoredJob, AMalformedMainValueIsRefusedWithItsField) {
@@ -164,9 +170,6 @@
   const std::string record =
       kDependentRecordHead + R"("d":[[0,2]],"p":[[2,7,"n-000007"]],"parts":64})";
   ASSERT_TRUE(control::read_record(record));
-  const auto malformed = [](const char* field) {
-    return RecordError{RecordError::Kind::malformed_field, field};
-  };
   EXPECT_EQ(error_of(record, "{", "["), (RecordError{RecordError::Kind::not_an_object, ""}));
   EXPECT_EQ(error_of(record, R"("dependent")", R"("dependant")"), malformed("job"));
   EXPECT_EQ(error_of(record, R"("Id")", R"("Di")"), malformed("job"));
@@ -213,9 +216,6 @@
 }
 
 TEST(StoredOutcome, AMalformedOneIsRefusedWithItsField) {
-  const auto malformed = [](const char* field) {
-    return RecordError{RecordError::Kind::malformed_field, field};
-  };
   EXPECT_EQ(control::read_outcome("").error().kind, RecordError::Kind::not_an_object);
   EXPECT_EQ(control::read_outcome(R"({"s":"running","n":2})").error(), malformed("s"));
   EXPECT_EQ(control::read_outcome(R"({"s":"done"})").error(), malformed("n"));
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -26,9 +26,11 @@
     R"("DueS":900.0},"at":1000,"w":0,"n":3,"g":17,"d":[[0,1]],"p":[[1,2,"n-000007"]],"parts":1})";
 const char* const kProductionPart = R"({"g":17,"d":[],"p":[[2,3,"n-000008"]]})";
 
+constexpr std::size_t kMaxBytes = 8192;  ///< of a value, by the present limits
+
 /// What the version in production insists on in a record's main value, from its sources; anything
 /// else it calls malformed and leaves alone.
-bool older_reads(const std::string& text) {
+bool older_version_reads(const std::string& text) {
   const wire::JsonDocument document(text);
   if (!document.is_object()) return false;
   const wire::Json& record = document.root();
@@ -51,16 +53,16 @@
   return wire::read_count(*job, "Teeth").has_value();
 }
 
-/// The placements that the older version takes from main value and parts, in which it insists on
+/// How many placements the older version takes from main value and parts, in which it insists on
 /// three fields each; -1 when it finds a part of another write.
-int older_places(const std::vector<std::string>& texts) {
+int placements_of_older_version(const std::vector<std::string>& values) {
   int placements = 0;
-  std::uint64_t generation = 0;
-  for (std::size_t i = 0; i < texts.size(); ++i) {
-    const wire::JsonDocument document(texts[i]);
-    const auto g = wire::read_count(document.root(), "g").value_or(0);
-    if (i > 0 && g != generation) return -1;
-    generation = g;
+  std::uint64_t main_generation = 0;
+  for (std::size_t i = 0; i < values.size(); ++i) {
+    const wire::JsonDocument document(values[i]);
+    const auto generation = wire::read_count(document.root(), "g").value_or(0);
+    if (i == 0) main_generation = generation;
+    if (generation != main_generation) return -1;
     const wire::Json* list = wire::find(document.root(), "p");
     if (list == nullptr) continue;
     for (const auto& placement : list->GetArray()) {
@@ -74,6 +76,7 @@
   return placements;
 }
 
+/// An array all of whose tasks are placed.
 sched::Job long_job(std::uint32_t tasks) {
   sched::Job job = make_job("j-000001", wire::JobKind::job_array, tasks, 1);
   job.revision = 17;
@@ -102,12 +105,12 @@
   EXPECT_EQ(outcome->ended_ms, 0);
 }
 
-TEST(Versions, ARecordWithoutNeedsIsWrittenAsInProduction) {
+TEST(Versions, ARecordWithoutDependenciesIsWrittenAsInProduction) {
   auto job = read_record(kProductionRecord);
   ASSERT_TRUE(job);
   ASSERT_EQ(control::add_part(kProductionPart, kOtherRevision, *job), PartStatus::added);
   job->revision = 17;
-  const auto texts = write_record(*job, 8192);
+  const auto texts = write_record(*job, kMaxBytes);
   ASSERT_EQ(texts.size(), 1U);
   std::string expected = kProductionRecord;
   const std::string placements = R"([1,2,"n-000007"])";
@@ -120,9 +123,9 @@
 
 // A record as large as the present limits allow is written again within the coming ones.
 TEST(Versions, ALongRecordIsWrittenInSmallValuesThatTheOlderVersionReads) {
-  constexpr std::size_t kPresent = 8192, kComing = 2048;
+  constexpr std::size_t kComingMaxBytes = 2048;
   const auto job = long_job(300);
-  const auto before = write_record(job, kPresent);
+  const auto before = write_record(job, kMaxBytes);
   auto read = read_record(before[0]);
   ASSERT_TRUE(read);
   ASSERT_EQ(static_cast<std::size_t>(read->stored_parts), before.size() - 1);
@@ -130,11 +133,11 @@
     ASSERT_EQ(control::add_part(before[i], kOtherRevision, *read), PartStatus::added);
   }
   read->revision = 18;
-  const auto texts = write_record(*read, kComing);
+  const auto texts = write_record(*read, kComingMaxBytes);
   EXPECT_GT(texts.size(), before.size());
-  for (const auto& text : texts) EXPECT_LE(text.size(), kComing);
-  EXPECT_TRUE(older_reads(texts[0]));
-  EXPECT_EQ(older_places(texts), 300);
+  for (const auto& text : texts) EXPECT_LE(text.size(), kComingMaxBytes);
+  EXPECT_TRUE(older_version_reads(texts[0]));
+  EXPECT_EQ(placements_of_older_version(texts), 300);
 }
 
 // As many live tasks as are allowed fit one transaction, with as many ranges of done ones between.
@@ -144,9 +147,9 @@
     auto settings = small_settings();
     settings.value_kb = value_kb;
     settings.txn_ops = txn_ops;
-    const auto most = static_cast<std::uint32_t>(sched::max_live_tasks(settings));
-    EXPECT_GT(most, 100U);
-    auto job = long_job(most);
+    const auto max_tasks = static_cast<std::uint32_t>(sched::max_live_tasks(settings));
+    EXPECT_GT(max_tasks, 100U);
+    auto job = long_job(max_tasks);
     for (auto& placement : job.placements) {
       job.done.add(50'000 + 2 * placement.task);
       placement.task = 50'001 + 2 * placement.task;
@@ -156,13 +159,14 @@
   }
 }
 
-// The older version would start such a job too early, and write its record without what it needs.
-TEST(Versions, TheOlderVersionLeavesAJobWithNeedsAlone) {
+// The older version would start such a job too early, and write its record without its
+// dependencies.
+TEST(Versions, TheOlderVersionLeavesAJobWithDependenciesAlone) {
   sched::Job job = long_job(1);
-  EXPECT_TRUE(older_reads(write_record(job, 8192)[0]));
+  EXPECT_TRUE(older_version_reads(write_record(job, kMaxBytes)[0]));
   job.spec.dependencies = {"j-000007", "j-000008"};
-  const auto texts = write_record(job, 8192);
-  EXPECT_FALSE(older_reads(texts[0]));
+  const auto texts = write_record(job, kMaxBytes);
+  EXPECT_FALSE(older_version_reads(texts[0]));
   const auto read = read_record(texts[0]);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->spec.dependencies, job.spec.dependencies);
@@ -187,11 +191,11 @@
   expected += std::string("\0\0\0\0\0\0\0\x03", 8) + std::string(16, '\0');
   expected += std::string("\0\0\0\x07", 4);
   EXPECT_EQ(peer::pack(peer_heartbeat), expected);
-  std::string forwarded = peer::pack(peer::ForwardedHeartbeat{9, "ab"});
+  const std::string forwarded = peer::pack(peer::ForwardedHeartbeat{9, "ab"});
   EXPECT_EQ(forwarded, std::string("\x00\x0c\x02\x02\0\0\0\0\0\0\0\x09\x00\x02"
                                    "ab",
                                    16));
-  peer::ForwardedResponse answer{9, 200, 5, 1, "c"};
+  const peer::ForwardedResponse answer{9, 200, 5, 1, "c"};
   EXPECT_EQ(peer::pack(answer), std::string("\x00\x19\x02\x03\0\0\0\0\0\0\0\x09\x00\xc8"
                                             "\0\0\0\0\0\0\0\x05\0\0\0\x01\x00\x01"
                                             "c",
