--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -3,94 +3,32 @@
 
 #include <gtest/gtest.h>
 
-#include "control/job_api.hpp"
-#include "control/job_record.hpp"
-#include "control/record_keys.hpp"
-#include "test_cluster.hpp"
+#include "stored_jobs.hpp"
 
 namespace cranklock::control {
 namespace {
 
-using testing::FakeReactor;
-using testing::StateStandIn;
-
-constexpr double kLatencyS = 0.001;
-
-/// Requests reach the key-value store after a millisecond, as do its answers, and it can be made to
-/// refuse.
-struct SlowTransport : net::Transport {
-  FakeReactor& reactor;
-  StateStandIn& store;
-  int refusal_status = 0;  ///< instead of serving; 0: it serves
-  int calls = 0;
-
-  SlowTransport(FakeReactor& clock, StateStandIn& stand_in) : reactor(clock), store(stand_in) {}
-  net::Task<net::Reply> call(std::string, net::Request request, double) override {
-    ++calls;
-    net::Sleep request_latency(reactor, kLatencyS);
-    co_await request_latency;
-    if (refusal_status != 0) {
-      co_return net::Reply{net::Reply::Kind::answered, make_response(refusal_status, "{}")};
-    }
-    auto response = store.handle(request);
-    net::Sleep response_latency(reactor, kLatencyS);
-    co_await response_latency;
-    co_return net::Reply{net::Reply::Kind::answered, std::move(response)};
-  }
-};
+using testing::name;
 
-/// Ids of many jobs, by number.
-std::string numbered_id(int number) {
-  return "j-" + std::to_string(100'000 + number);
-}
-
-class StatusCacheTest : public ::testing::Test {
+class StatusCacheTest : public testing::StoredJobsTest {
  protected:
   using Status = base::Result<JobStatus, StatusMiss>;
 
-  static constexpr std::size_t kMaxBytes = 8192;
-  static constexpr const char* kJob = "j-000001";
-  static constexpr bool kCancelled = true;
-
-  StatusCacheTest() { reactor_.run_until(100); }
-
-  void run(double seconds) { reactor_.run_until(reactor_.now() + seconds); }
-  /// Stores a live job that has not started.
-  void store_job(const std::string& id, bool cancelled = false) {
-    auto job = testing::make_job(id, wire::JobKind::service, 2, 1, "red");
-    job.cancelled_at_ms = cancelled ? 1 : 0;
-    write({{job_key(id), write_record(job, kMaxBytes)[0], 0}});
-  }
-  void write(const std::vector<wire::Mutation>& mutations) {
-    const auto body = wire::compare_and_swap_request({}, mutations);
-    ASSERT_EQ(stand_in_.handle({"POST", "/txn", "", body, true}).status, 200);
-  }
   /// A status request, answered before this returns.
-  Status find(const std::string& id) {
-    auto finding = cache_.find(id);
-    finding.start();
-    for (int i = 0; i < 200 && !finding.done(); ++i) run(0.01);
-    EXPECT_TRUE(finding.done());
-    return finding.take();
-  }
+  Status find(const std::string& id) { return await(cache_.find(id)); }
   wire::JobState state_of(const std::string& id) { return find(id).value().state; }
 
-  FakeReactor reactor_;
-  StateStandIn stand_in_{reactor_};
-  SlowTransport transport_{reactor_, stand_in_};
-  base::Settings settings_ = testing::small_settings();
-  store::Client store_{reactor_, transport_, settings_};
   StatusCache cache_{reactor_, settings_, store_};
 };
 
 TEST_F(StatusCacheTest, ManyRequestsAtOnceShareOneSync) {
   constexpr int kJobs = 50;
-  for (int i = 0; i < kJobs; ++i) store_job(numbered_id(i));
-  ASSERT_TRUE(find(numbered_id(0)));
+  for (int i = 0; i < kJobs; ++i) store_job(name(i));
+  ASSERT_TRUE(find(name(0)));
   const int calls_before = transport_.calls;
   std::vector<net::Task<Status>> requests;
   for (int i = 0; i < kJobs; ++i) {
-    requests.push_back(cache_.find(numbered_id(i)));
+    requests.push_back(cache_.find(name(i)));
     requests.back().start();
   }
   run(1);
@@ -106,9 +44,9 @@
 TEST_F(StatusCacheTest, WhatWasWrittenBeforeARequestIsInItsAnswer) {
   store_job(kJob);
   ASSERT_EQ(state_of(kJob), wire::JobState::queued);
-  store_job(kJob, kCancelled);
+  store_cancelled_job(kJob);
   EXPECT_EQ(state_of(kJob), wire::JobState::cancelled);
-  write({{job_key(kJob), "", 0}, {outcome_key(kJob), "{}", 0}});
+  store_outcome(kJob, "{}");
   EXPECT_EQ(find(kJob).error(), StatusMiss::not_cached);
 }
 
@@ -121,13 +59,13 @@
   const double deadline = reactor_.now() + cache_.interval() + 0.1;
   while (!first.done() && reactor_.now() < deadline) {
     const int calls = transport_.calls;
-    run(kLatencyS / 2);
+    run(testing::kLatencyS / 2);
     if (transport_.calls == calls) continue;
-    run(kLatencyS);  // served, and the answer on its way
+    run(testing::kLatencyS);  // served, and the answer on its way
     break;
   }
   ASSERT_FALSE(first.done());
-  store_job(kJob, kCancelled);
+  store_cancelled_job(kJob);
   EXPECT_EQ(state_of(kJob), wire::JobState::cancelled);
   ASSERT_TRUE(first.done());
   EXPECT_EQ(first.take().value().state, wire::JobState::queued);
@@ -163,12 +101,12 @@
   constexpr int kJobs = 500;
   constexpr int kFurtherPages = 3;
   constexpr int kMoreWritesThanAreRemembered = 10'500;
-  for (int i = 0; i < kJobs; ++i) store_job(numbered_id(i));
-  const auto last = numbered_id(kJobs - 1);
+  for (int i = 0; i < kJobs; ++i) store_job(name(i));
+  const auto last = name(kJobs - 1);
   EXPECT_EQ(find(last).error(), StatusMiss::not_cached);  // not read yet: it is looked up
   for (int i = 0; i < kFurtherPages; ++i) (void)find(last);
   EXPECT_TRUE(find(last));
-  store_job(last, kCancelled);
+  store_cancelled_job(last);
   for (int i = 0; i < kMoreWritesThanAreRemembered; ++i) write({{"other", std::to_string(i), 0}});
   for (int i = 0; i <= kFurtherPages; ++i) (void)find(last);
   EXPECT_EQ(state_of(last), wire::JobState::cancelled);
@@ -177,9 +115,9 @@
 // A job that waits for others may be cancelled with them before its own record says so.
 TEST_F(StatusCacheTest, AJobThatWaitsForOthersIsLookedUp) {
   const std::string dependent = "j-000002";
-  auto job = testing::make_job(dependent, wire::JobKind::service, 2, 1, "red");
+  auto job = make_service(dependent);
   job.spec.dependencies = {kJob};
-  write({{job_key(dependent), write_record(job, kMaxBytes)[0], 0}});
+  store_job(job);
   EXPECT_EQ(find(dependent).error(), StatusMiss::not_cached);
   EXPECT_EQ(find(dependent).error(), StatusMiss::not_cached);
 }
