--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -14,7 +14,7 @@
       scale_out_budget_(reactor, settings.cloud_rps / 2),
       other_budget_(reactor, settings.cloud_rps / 2) {}
 
-net::Task<net::Reply> Client::send(net::Request request, store::Budget& budget) {
+net::Task<net::Reply> Client::send(net::Request request, net::TokenBucket& budget) {
   for (double wait = 0; (wait = budget.take(1)) > 0;) {
     net::Sleep pause(reactor_, wait);
     co_await pause;
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -8,7 +8,7 @@
 
 #include "base/settings.hpp"
 #include "net/client.hpp"
-#include "store/client.hpp"
+#include "net/token_bucket.hpp"
 #include "wire/messages.hpp"
 
 namespace cranklock::cloud {
@@ -46,14 +46,14 @@
   static double list_interval(const base::Settings& settings, std::size_t machines);
 
  private:
-  net::Task<net::Reply> send(net::Request request, store::Budget& budget);
+  net::Task<net::Reply> send(net::Request request, net::TokenBucket& budget);
 
   net::Reactor& reactor_;
   net::Transport& transport_;
   const base::Settings& settings_;
-  store::Budget
+  net::TokenBucket
       scale_out_budget_;  ///< DESIGN: scale-out requests start at half the cloud's call rate
-  store::Budget other_budget_;
+  net::TokenBucket other_budget_;
 };
 
 }  // namespace cranklock::cloud
--- a/src/control/job_api.cpp
+++ b/src/control/job_api.cpp
@@ -158,8 +158,8 @@
   job.spec = std::move(spec);
   job.created_ms = services_.reactor.wall_ms();
   if (cancelled) job.cancelled_at_ms = job.created_ms;
-  const auto values = write_record(job, services_.store.value_bytes());
-  if (values[0].size() > services_.store.value_bytes()) {
+  const auto values = write_record(job, services_.store.max_value_bytes());
+  if (values[0].size() > services_.store.max_value_bytes()) {
     co_return bad_request("the description is too long");
   }
   std::vector<wire::Compare> compares{{job_key(id), 0}, {outcome_key(id), 0}};
@@ -170,7 +170,7 @@
   if (created.status == Status::ok) {
     co_return state_response(201, id, cancelled ? JobState::cancelled : JobState::queued);
   }
-  if (created.status == Status::refused)
+  if (created.status == Status::rejected)
     co_return retry_later("the state service is not available");
   // Known already, or unanswered: what is stored tells.
   auto looking = lookup_.find(id);
@@ -249,7 +249,7 @@
 
 Task<Status> JobApi::write_cancellation(std::string id, const StoredJob& found) {
   auto main_value = with_cancellation(found.main_value, services_.reactor.wall_ms());
-  if (!main_value) co_return Status::refused;
+  if (!main_value) co_return Status::rejected;
   std::vector<wire::Compare> compares{{job_key(id), found.job.revision}};
   std::vector<wire::Mutation> mutations{{job_key(id), std::move(*main_value), 0}};
   auto writing = services_.store.compare_and_swap(std::move(compares), std::move(mutations),
@@ -273,7 +273,7 @@
     auto writing = write_cancellation(id, *found);
     const auto written = co_await writing;
     if (written == Status::ok) co_return state_response(200, id, JobState::cancelled);
-    if (written == Status::refused) break;
+    if (written == Status::rejected) break;
     // The record changed meanwhile, or no answer came: look again.
   }
   co_return store_unavailable();
--- a/src/control/job_lookup.cpp
+++ b/src/control/job_lookup.cpp
@@ -45,7 +45,7 @@
   auto reading = store_.read(job_key(id), kUserTimeout);
   auto read = co_await reading;
   if (read.status == Status::ok) co_return live_job(std::move(read.value));
-  if (read.status != Status::failed) co_return Failure(LookupError::store_unavailable);
+  if (read.status != Status::not_found) co_return Failure(LookupError::store_unavailable);
   auto finding = find_outcome(std::move(id));
   auto found = co_await finding;
   co_return found;
@@ -54,7 +54,7 @@
 Task<base::Result<StoredJob, LookupError>> JobLookup::find_outcome(std::string id) {
   auto reading = store_.read(outcome_key(id), kUserTimeout);
   const auto read = co_await reading;
-  if (read.status == Status::failed) co_return StoredJob();
+  if (read.status == Status::not_found) co_return StoredJob();
   if (read.status != Status::ok) co_return Failure(LookupError::store_unavailable);
   const auto outcome = read_outcome(read.value.data);
   if (!outcome) co_return Failure(LookupError::record_malformed);
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -109,8 +109,8 @@
     // Guards against an answer that is too long to be read, and so would be asked for for ever. In
     // an outage renewals are not answered either.
     const bool renewed = context_.lease.confirmed_sent() > sent;
-    unanswered = result.status == Status::unknown && renewed ? unanswered + 1 : 0;
-    const bool too_far_behind = result.status == Status::failed;
+    unanswered = result.status == Status::indeterminate && renewed ? unanswered + 1 : 0;
+    const bool too_far_behind = result.status == Status::compacted;
     if (too_far_behind || unanswered >= kMaxUnanswered) {
       auto reading = read_all_as_changes();
       if (co_await reading) {
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -96,7 +96,7 @@
   if (is_ineligible_) {
     spdlog::error("limits are shared with other regions, and the settings name none: not leading");
   }
-  co_return found.status == Status::failed;
+  co_return found.status == Status::not_found;
 }
 
 // ---- take-over ----
@@ -110,7 +110,7 @@
     if (auto parsed = wire::parse_machine_types(types.value.data)) {
       cluster_.set_types(std::move(*parsed));
     }
-  } else if (types.status != Status::failed) {
+  } else if (types.status != Status::not_found) {
     co_return false;
   }
   auto loading_pools = scaler_.load();
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -30,7 +30,7 @@
 Task<bool> MoveService::load() {
   auto reading = services_.store.read(kMovesKey, kStoreTimeout);
   const auto found = co_await reading;
-  if (found.status == Status::failed) co_return true;
+  if (found.status == Status::not_found) co_return true;
   if (found.status != Status::ok) co_return false;
   revision_ = found.value.revision;
   if (const auto record = defrag::read_move_record(found.value.data)) {
@@ -65,7 +65,7 @@
   constexpr double kRestAfterLook = 50;  // times what the last one took
   if (now() < look_after_ || executor_.has_plan() || cluster_.types().empty()) return;
   const double began = now();
-  executor_.look(services_.store.value_bytes(), wall_ms(), began);
+  executor_.look(services_.store.max_value_bytes(), wall_ms(), began);
   const double took = now() - began;
   look_after_ = now() + std::max(services_.settings.heartbeat_interval_s, kRestAfterLook * took);
 }
@@ -88,17 +88,18 @@
       services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeout);
   const auto result = co_await writing;
   const auto compare_failed = [&](const char* key) {
-    return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
+    return std::find(result.failed_keys.begin(), result.failed_keys.end(), key) !=
+           result.failed_keys.end();
   };
-  is_unknown_ = is_unknown_ || result.status == Status::unknown;
+  is_unknown_ = is_unknown_ || result.status == Status::indeterminate;
   if (result.status == Status::ok) {
     is_unknown_ = false;
     revision_ = result.revision;
     executor_.note_stored(record);
     due_.set();
-  } else if (result.status == Status::failed && compare_failed(kLeaderKey)) {
+  } else if (result.status == Status::precondition_failed && compare_failed(kLeaderKey)) {
     callbacks_.lose("the leader's key has changed");
-  } else if (result.status == Status::failed) {
+  } else if (result.status == Status::precondition_failed) {
     if (compare_failed(kMovesOffKey)) {
       executor_.drop(DropReason::off, now());
       look_after_ = now() + services_.settings.lease_s;
@@ -118,7 +119,7 @@
   if (found.status == Status::ok) {
     revision_ = found.value.revision;
     is_unknown_ = true;
-  } else if (found.status == Status::failed) {
+  } else if (found.status == Status::not_found) {
     revision_ = 0;
   }
 }
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -166,13 +166,13 @@
 
 // For nodes that start while the cloud is down. True when there is nothing more to do.
 Task<bool> Node::store_types(std::string text) {
-  if (text.size() > services_.store.value_bytes()) co_return true;  // done without
+  if (text.size() > services_.store.max_value_bytes()) co_return true;  // done without
   std::vector<wire::Compare> compares{{kTypesKey, 0}};
   std::vector<wire::Mutation> mutations{{kTypesKey, std::move(text), 0}};
   auto writing =
       services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeout);
   const auto written = co_await writing;
-  co_return written.status == Status::ok || written.status == Status::failed;
+  co_return written.status == Status::ok || written.status == Status::precondition_failed;
 }
 
 Task<void> Node::learn_types() {
@@ -211,7 +211,7 @@
   for (;;) {
     auto reading = services_.store.read(kLeaderKey, 1.0);
     const auto found = co_await reading;
-    if (found.status == Status::ok || found.status == Status::failed) {
+    if (found.status == Status::ok || found.status == Status::not_found) {
       state_heard_ = services_.reactor.now();
       note_leader(found);
     }
@@ -255,10 +255,10 @@
       }
       break;
     }
-    if (written.status == Status::refused) break;
+    if (written.status == Status::rejected) break;
   }
   if (!grant.ok) {
-    auto dropping = services_.store.drop_lease(*lease, life / 3);
+    auto dropping = services_.store.revoke_lease(*lease, life / 3);
     co_await dropping;
   }
   co_return grant;
@@ -281,7 +281,7 @@
       }
       continue;
     }
-    const bool free = found.status == Status::failed;
+    const bool free = found.status == Status::not_found;
     if (free) note_leader(found);
     if (!free || services_.reactor.now() < abstain_until_) {
       Sleep pause(services_.reactor, life / 8);
@@ -323,10 +323,10 @@
     const double sent = services_.reactor.now();
     auto renewing = services_.store.renew_lease(grant.lease, life / 3);
     const auto renewed = co_await renewing;
-    if (renewed != Status::failed) leader_lease_->asked(sent);
+    if (renewed != Status::not_found) leader_lease_->asked(sent);
     if (renewed == Status::ok) {
       leader_lease_->confirm(sent);
-    } else if (renewed == Status::failed) {
+    } else if (renewed == Status::not_found) {
       log_leadership_lost(grant.fencing_token, LeadershipLoss::lease_ended);
       break;
     }
@@ -346,7 +346,7 @@
   term_.reset();
   leader_lease_.reset();
   services_.store.set_leading(false);
-  auto dropping = services_.store.drop_lease(grant.lease, life / 3);
+  auto dropping = services_.store.revoke_lease(grant.lease, life / 3);
   co_await dropping;
 }
 
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -198,7 +198,7 @@
   const auto result = co_await writing;
   if (result.status == Status::ok) {
     pool_revisions_[name] = result.revision;
-  } else if (result.status != Status::refused) {
+  } else if (result.status != Status::rejected) {
     auto reading = services_.store.read(key, kStoreTimeout);
     const auto found = co_await reading;
     if (found.status == Status::ok) pool_revisions_[name] = found.value.revision;
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -64,7 +64,7 @@
   for (int tries = 0; tries < kMaxTries; ++tries) {
     auto reading = context_.services.store.read(job_key(id), kStoreTimeout);
     const auto found = co_await reading;
-    if (found.status == Status::failed) {
+    if (found.status == Status::not_found) {
       context_.cluster.remove_job(id);
       co_return RecordRead::complete;
     }
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -24,8 +24,8 @@
 /// Whether the write failed because this job's record is not the one that it was to replace. A
 /// failure that names no key counts for each.
 bool record_has_changed(const store::CompareAndSwapResult& result, const std::string& job_id) {
-  return result.status == Status::failed &&
-         (result.failed.empty() || contains(result.failed, job_key(job_id)));
+  return result.status == Status::precondition_failed &&
+         (result.failed_keys.empty() || contains(result.failed_keys, job_key(job_id)));
 }
 
 /// No placement of the job can be on a machine any more, and none is still to come.
@@ -49,7 +49,7 @@
     apply_stored(batch, result.revision);
     co_return Written::stored;
   }
-  if (result.status == Status::failed && contains(result.failed, kLeaderKey)) {
+  if (result.status == Status::precondition_failed && contains(result.failed_keys, kLeaderKey)) {
     co_return Written::leadership_lost;
   }
   apply_not_stored(batch, result);
@@ -59,8 +59,8 @@
 // ---- what is written ----
 
 RecordBatch RecordWriter::next_batch() {
-  RecordBatch batch(context_.lease.fencing_token(),
-                    {context_.services.store.value_bytes(), context_.services.store.txn_changes()});
+  RecordBatch batch(context_.lease.fencing_token(), {context_.services.store.max_value_bytes(),
+                                                     context_.services.store.max_mutations()});
   const auto is_reloading = [&](const std::string& id) { return reloader_.is_requested(id); };
   for (Job* job :
        order_writes(context_.cluster, {now(), context_.services.settings.cancel_s, is_reloading})) {
@@ -82,8 +82,8 @@
 }
 
 BatchEntry RecordWriter::make_entry(const Job& job) const {
-  if (!is_over(job)) return make_record_entry(job, context_.services.store.value_bytes());
-  return make_outcome_entry(job, outcome_of(job), context_.services.store.txn_changes());
+  if (!is_over(job)) return make_record_entry(job, context_.services.store.max_value_bytes());
+  return make_outcome_entry(job, outcome_of(job), context_.services.store.max_mutations());
 }
 
 JobOutcome RecordWriter::outcome_of(const Job& job) const {
@@ -107,7 +107,7 @@
                                     const store::CompareAndSwapResult& result) {
   stale_parts_.insert(stale_parts_.end(), batch.stale_parts().begin(), batch.stale_parts().end());
   for (const auto& entry : batch.entries()) apply_entry_not_stored(entry, result);
-  if (result.status != Status::failed)
+  if (result.status != Status::precondition_failed)
     retry_at_ = now() + context_.services.settings.heartbeat_interval_s / 8;
 }
 
@@ -120,7 +120,7 @@
   Job* job = context_.cluster.job(entry.job_id);
   if (job == nullptr) return;
   job->dirty = true;
-  if (result.status != Status::unknown) return;
+  if (result.status != Status::indeterminate) return;
   for (const auto& [task, attempt] : entry.live) {
     auto* placement = job->find(task, attempt);
     if (placement != nullptr && !placement->durable && !placement->ended) {
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -170,8 +170,8 @@
     co_return;
   }
   // Too far behind, or an answer too long to be read: a full sync is due.
-  if (changes.status != Status::refused) revision_.reset();
-  if (changes.status != Status::failed) last_failed_sync_sent_ = sent;
+  if (changes.status != Status::rejected) revision_.reset();
+  if (changes.status != Status::compacted) last_failed_sync_sent_ = sent;
 }
 
 // Applies values of a page, or changes. These never overlap in time, but a page may be newer than
--- a/src/regions/share_book.cpp
+++ b/src/regions/share_book.cpp
@@ -400,8 +400,8 @@
       apply_guard(operation, result.revision);
       return true;  // what was counted as given is held again
     }
-    case store::Status::failed: {
-      const auto& failed = result.failed;
+    case store::Status::precondition_failed: {
+      const auto& failed = result.failed_keys;
       if (std::find(failed.begin(), failed.end(), leader_.key) != failed.end()) {
         leadership_lost_ = true;
       } else {
@@ -411,12 +411,14 @@
       }
       return false;
     }
-    case store::Status::refused:
+    case store::Status::rejected:
       // Certainly not carried out; what was sent before it, under the same conditions, may be.
       if (write_unresolved_) return false;
       under_way_.reset();
       return true;
-    case store::Status::unknown:
+    case store::Status::not_found:  // this and the next are no results of a compare-and-swap
+    case store::Status::compacted:
+    case store::Status::indeterminate:
       // To remove what was acknowledged once more does no harm, however late.
       write_unresolved_ = !clears;
       if (clears) under_way_.reset();
--- a/src/regions/share_service.cpp
+++ b/src/regions/share_service.cpp
@@ -95,7 +95,7 @@
       continue;
     }
     const auto transaction = book_.next_transaction(
-        [this](const std::string& team) { return demand_of(team); }, store_.txn_changes());
+        [this](const std::string& team) { return demand_of(team); }, store_.max_mutations());
     if (!transaction) {
       net::Signal::Wait wait(to_write_, ask_every(settings_));
       co_await wait;
@@ -112,7 +112,7 @@
     }
     to_tell_.set();
     const bool decided =
-        result.status == store::Status::ok || result.status == store::Status::failed;
+        result.status == store::Status::ok || result.status == store::Status::precondition_failed;
     if (decided) continue;
     net::Sleep pause(reactor_, retry_s);
     co_await pause;
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -4,46 +4,14 @@
 
 namespace cranklock::store {
 
-void Budget::set_rate(double rate, double burst) {
-  const double capacity = std::max(rate, burst);
-  if (rate_ == 0) level_ = capacity;  // full when new
-  rate_ = rate;
-  capacity_ = capacity;
-}
-
-void Budget::fill() {
-  const double now = reactor_.now();
-  if (at_ > 0) level_ = std::min(capacity_, level_ + (now - at_) * rate_);
-  at_ = now;
-}
-
-double Budget::take(double amount, double overdraft) {
-  fill();
-  const double need = std::min(amount, capacity_);  // more than it holds waits for a full bucket
-  const double least = need - overdraft;
-  if (level_ < least) return (least - level_) / rate_ + 0.001;
-  level_ -= amount;
-  return 0.0;
-}
-
-void Budget::force(double amount) {
-  fill();
-  level_ -= amount;
-}
-
-void Budget::empty() {
-  fill();
-  level_ = std::min(level_, 0.0);
-}
-
 Client::Client(net::Reactor& reactor, net::Transport& transport, const base::Settings& settings)
     : reactor_(reactor),
       transport_(transport),
       settings_(settings),
       requests_(reactor, settings.state_rps),
       writes_(reactor, settings.state_write_rps),
-      value_bytes_(static_cast<std::size_t>(settings.value_kb * 1024)),
-      txn_changes_(static_cast<std::size_t>(settings.txn_ops)) {
+      max_value_bytes_(static_cast<std::size_t>(settings.value_kb * 1024)),
+      max_mutations_(static_cast<std::size_t>(settings.txn_ops)) {
   set_leading(false);
 }
 
@@ -69,7 +37,7 @@
 net::Task<net::Reply> Client::send(net::Request request, double timeout_s, Charge charge) {
   const double until = reactor_.now() + timeout_s;
   if (charge.urgent) {
-    requests_.force(1);
+    requests_.force_take(1);
   } else {
     for (double wait = 0; (wait = requests_.take(1, charge.request_overdraft)) > 0;) {
       if (reactor_.now() + wait >= until) co_return net::Reply{net::Reply::Kind::not_sent, {}};
@@ -87,8 +55,8 @@
   auto reply = co_await calling;
   if (reply.status() == 429) {
     // Guards against a limit that is lower than this node knows being met again and again.
-    requests_.empty();
-    if (charge.writes > 0) writes_.empty();
+    requests_.drain();
+    if (charge.writes > 0) writes_.drain();
   }
   co_return reply;
 }
@@ -97,28 +65,28 @@
 // it would be refused for ever.
 void Client::lower_limits() {
   constexpr std::size_t kMinBytes = 1024, kMinMutations = 2;
-  value_bytes_ = std::max(value_bytes_ / 2, kMinBytes);
-  txn_changes_ = std::max(txn_changes_ / 2, kMinMutations);
+  max_value_bytes_ = std::max(max_value_bytes_ / 2, kMinBytes);
+  max_mutations_ = std::max(max_mutations_ / 2, kMinMutations);
 }
 
 namespace {
-/// For answers that carry no result of their own.
-Status status_of_reply(const net::Reply& reply) {
-  if (reply.kind == net::Reply::Kind::not_sent) return Status::refused;
-  if (!reply.answered()) return Status::unknown;
+/// `negative` is what a 404, 409 or 410 means for this request.
+Status status_of_reply(const net::Reply& reply, Status negative) {
+  if (reply.kind == net::Reply::Kind::not_sent) return Status::rejected;
+  if (!reply.answered()) return Status::indeterminate;
   switch (reply.response.status) {
     case 200:
       return Status::ok;
     case 404:
     case 409:
     case 410:
-      return Status::failed;
+      return negative;
     case 400:
     case 429:
     case 503:
-      return Status::refused;
+      return Status::rejected;
     default:
-      return Status::unknown;
+      return Status::indeterminate;
   }
 }
 }  // namespace
@@ -142,18 +110,18 @@
   auto sending = send(std::move(request), timeout_s, charge);
   const auto reply = co_await sending;
   CompareAndSwapResult result;
-  result.status = status_of_reply(reply);
+  result.status = status_of_reply(reply, Status::precondition_failed);
   const bool leased = std::any_of(mutations.begin(), mutations.end(),
                                   [](const wire::Mutation& change) { return change.lease != 0; });
   // With a lease it may as well be the lease that has ended.
   if (reply.status() == 400 && !leased) lower_limits();
-  if (result.status == Status::ok || result.status == Status::failed) {
+  if (result.status == Status::ok || result.status == Status::precondition_failed) {
     const auto answer = wire::parse_compare_and_swap_response(reply.response.body);
     if (!answer) {
-      result.status = Status::unknown;  // a malformed answer tells nothing
+      result.status = Status::indeterminate;  // a malformed answer tells nothing
     } else {
       result.revision = answer->revision;
-      result.failed = answer->failed;
+      result.failed_keys = answer->failed_keys;
     }
   }
   co_return result;
@@ -164,16 +132,16 @@
   auto sending = send(std::move(request), timeout_s, {});
   const auto reply = co_await sending;
   ReadResult result;
-  result.status = status_of_reply(reply);
+  result.status = status_of_reply(reply, Status::not_found);
   if (result.status == Status::ok) {
     auto value = wire::parse_stored(reply.response.body);
     if (!value || value->key != key) {
-      result.status = Status::unknown;
+      result.status = Status::indeterminate;
     } else {
       result.value = std::move(*value);
     }
-  } else if (result.status == Status::failed && !wire::parse_revision(reply.response.body)) {
-    result.status = Status::unknown;  // only the service's own 404 says that a key is absent
+  } else if (result.status == Status::not_found && !wire::parse_revision(reply.response.body)) {
+    result.status = Status::indeterminate;  // only the service's own 404 says that a key is absent
   }
   co_return result;
 }
@@ -184,13 +152,13 @@
   auto sending = send(std::move(request), timeout_s, {});
   const auto reply = co_await sending;
   RangeResult result;
-  result.status = status_of_reply(reply);
+  result.status = status_of_reply(reply, Status::not_found);
   if (result.status != Status::ok) co_return result;
   auto page = wire::parse_range(reply.response.body);
   if (page) {
     result.page = std::move(*page);
   } else {
-    result.status = Status::unknown;
+    result.status = Status::indeterminate;
   }
   co_return result;
 }
@@ -213,13 +181,13 @@
 
 RangeResult Client::changes_in(const net::Reply& reply) {
   RangeResult result;
-  result.status = status_of_reply(reply);
+  result.status = status_of_reply(reply, Status::compacted);
   if (result.status != Status::ok) return result;
   auto page = wire::parse_watch(reply.response.body);
   if (page) {
     result.page = std::move(*page);
   } else {
-    result.status = Status::unknown;
+    result.status = Status::indeterminate;
   }
   return result;
 }
@@ -255,10 +223,10 @@
   net::Request request{"POST", "/leases/" + std::to_string(lease) + "/renew", "", "{}", true};
   auto sending = send(std::move(request), timeout_s, {0, 0, true});
   const auto reply = co_await sending;
-  co_return status_of_reply(reply);
+  co_return status_of_reply(reply, Status::not_found);
 }
 
-net::Task<void> Client::drop_lease(std::uint64_t lease, double timeout_s) {
+net::Task<void> Client::revoke_lease(std::uint64_t lease, double timeout_s) {
   net::Request request{"DELETE", "/leases/" + std::to_string(lease), "", "", true};
   auto sending = send(std::move(request), timeout_s, {0, 0, true});
   co_await sending;
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -8,51 +8,35 @@
 
 #include "base/settings.hpp"
 #include "net/client.hpp"
+#include "net/token_bucket.hpp"
 #include "wire/messages.hpp"
 
 namespace cranklock::store {
 
-/// A bucket that fills at a rate and holds one second's worth, or more where a burst is allowed.
-class Budget {
- public:
-  Budget(net::Reactor& reactor, double rate) : reactor_(reactor) { set_rate(rate); }
-  /// `burst`: what it holds at least.
-  void set_rate(double rate, double burst = 0);
-  /// Seconds until `amount` may be taken; takes it when that is 0. `overdraft`: what the level may
-  /// fall below 0, at the expense of those that take without.
-  double take(double amount, double overdraft = 0);
-  /// Takes without asking; what is overdrawn delays the others.
-  void force(double amount);
-  double rate() const { return rate_; }
-  /// The service refused for its rate: what this bucket held is not there.
-  void empty();
-
- private:
-  void fill();
-  net::Reactor& reactor_;
-  double rate_ = 0, capacity_ = 0, level_ = 0, at_ = 0;
-};
-
+/// How a request to the key-value store ended.
 enum class Status {
-  ok,       ///< done, or found
-  failed,   ///< conditions not met, or not found
-  refused,  ///< certainly not executed: try again later
-  unknown,  ///< may have been executed, or may yet be
+  ok,                   ///< done, or found
+  precondition_failed,  ///< compare-and-swap: a compared revision does not hold; nothing was
+                        ///< changed
+  not_found,            ///< read: there is no such key; renewal: the lease has ended
+  compacted,      ///< watch: changes since that revision are not kept any more; read all again
+  rejected,       ///< certainly not executed, and may be tried again later
+  indeterminate,  ///< may have been executed, or may yet be
 };
 
 struct CompareAndSwapResult {
-  Status status = Status::unknown;
+  Status status = Status::indeterminate;
   std::uint64_t revision = 0;
-  std::vector<std::string> failed;
+  std::vector<std::string> failed_keys;  ///< whose compared revisions do not hold
 };
 
 struct ReadResult {
-  Status status = Status::unknown;
+  Status status = Status::indeterminate;
   wire::StoredValue value;
 };
 
 struct RangeResult {
-  Status status = Status::unknown;
+  Status status = Status::indeterminate;
   wire::RangePage page;
 };
 
@@ -79,20 +63,20 @@
   net::Task<RangeResult> read_page(std::string prefix, std::string after, int max_items,
                                    double timeout_s);
   /// Every change after the revision, at once. Does not wait for the budget, since many share the
-  /// answer: whoever asks keeps the pace. `failed` when the revision is too old.
+  /// answer: whoever asks keeps the pace. `compacted` when the revision is too old.
   net::Task<RangeResult> changes_since(std::string prefix, std::uint64_t since, double timeout_s);
   /// Requests a second that this node may make.
   double request_rate() const { return requests_.rate(); }
-  /// `failed` when the revision is too old.
+  /// `compacted` when the revision is too old.
   net::Task<RangeResult> watch(std::string prefix, std::uint64_t since, double wait_s);
   net::Task<std::optional<std::uint64_t>> grant_lease(double life_s, double timeout_s);
   net::Task<Status> renew_lease(std::uint64_t lease, double timeout_s);
-  net::Task<void> drop_lease(std::uint64_t lease, double timeout_s);
+  net::Task<void> revoke_lease(std::uint64_t lease, double timeout_s);
 
   /// Limits of a value and of a transaction: those of the settings, or less once the service has
   /// refused a transaction as malformed.
-  std::size_t value_bytes() const { return value_bytes_; }
-  std::size_t txn_changes() const { return txn_changes_; }
+  std::size_t max_value_bytes() const { return max_value_bytes_; }
+  std::size_t max_mutations() const { return max_mutations_; }
 
  private:
   /// What a request takes of the budgets.
@@ -110,9 +94,9 @@
   const base::Settings& settings_;
   void lower_limits();
 
-  Budget requests_, writes_;
+  net::TokenBucket requests_, writes_;
   double user_overdraft_ = 0;
-  std::size_t value_bytes_, txn_changes_;
+  std::size_t max_value_bytes_, max_mutations_;
 };
 
 }  // namespace cranklock::store
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -173,7 +173,7 @@
 };
 struct CompareAndSwapResponse {
   std::uint64_t revision = 0;
-  std::vector<std::string> failed;
+  std::vector<std::string> failed_keys;  ///< whose compared revisions do not hold
 };
 struct RangePage {
   std::vector<StoredValue> items;
--- a/tests/share_simulation.cpp
+++ b/tests/share_simulation.cpp
@@ -15,11 +15,13 @@
 store::CompareAndSwapResult KeyStore::apply(const ShareBook::Transaction& transaction) {
   store::CompareAndSwapResult result;
   for (const auto& condition : transaction.compares) {
-    if (revision_of(condition.key) != condition.revision) result.failed.push_back(condition.key);
+    if (revision_of(condition.key) != condition.revision)
+      result.failed_keys.push_back(condition.key);
   }
-  result.status = result.failed.empty() ? store::Status::ok : store::Status::failed;
+  result.status =
+      result.failed_keys.empty() ? store::Status::ok : store::Status::precondition_failed;
   result.revision = revision_;
-  if (!result.failed.empty()) return result;
+  if (!result.failed_keys.empty()) return result;
   result.revision = ++revision_;
   for (const auto& change : transaction.mutations) {
     if (change.data.empty()) {
@@ -100,7 +102,7 @@
   if (fate == Fate::answered) result = region.store.apply(*transaction);
   if (fate == Fate::applied_mute) region.store.apply(*transaction);
   if (fate == Fate::late) region.late.push_back(*transaction);
-  if (fate == Fate::refused) result.status = store::Status::refused;
+  if (fate == Fate::refused) result.status = store::Status::rejected;
   book.finish_transaction(result);
   return true;
 }
--- /dev/null
+++ b/tests/store_client_test.cpp
@@ -0,0 +1,131 @@
+// What the key-value store's answers mean for each request.
+#include <gtest/gtest.h>
+
+#include "store/client.hpp"
+#include "test_cluster.hpp"
+
+namespace cranklock::store {
+namespace {
+
+using net::Reply;
+using testing::FakeReactor;
+
+/// Gives every call the same reply.
+struct FixedReply : net::Transport {
+  Reply reply;
+  net::Task<Reply> call(std::string, net::Request, double) override { co_return reply; }
+};
+
+struct StoreClientTest : ::testing::Test {
+  FakeReactor reactor;
+  FixedReply transport;
+  base::Settings settings = testing::small_settings();
+  Client client{reactor, transport, settings};
+
+  StoreClientTest() { reactor.run_until(100); }
+
+  template <typename Result>
+  Result result_of(net::Task<Result> operation) {
+    operation.start();
+    reactor.run_until(reactor.now() + 10);
+    EXPECT_TRUE(operation.done());
+    return operation.take();
+  }
+  void answer(int status, std::string body = R"({"LedgerTurn":7})") {
+    transport.reply.kind = Reply::Kind::answered;
+    transport.reply.response.status = status;
+    transport.reply.response.body = std::move(body);
+  }
+  Status compare_and_swap(std::vector<wire::Mutation> mutations = {{"key", "1", 0}}) {
+    return result_of(client.compare_and_swap({{"key", 1}}, std::move(mutations), 5)).status;
+  }
+  Status read() { return result_of(client.read("key", 5)).status; }
+  Status read_page() { return result_of(client.read_page("jobs/", "", 7, 5)).status; }
+  Status changes_since() { return result_of(client.changes_since("jobs/", 1, 5)).status; }
+  Status watch() { return result_of(client.watch("jobs/", 1, 2)).status; }
+  Status renew_lease() { return result_of(client.renew_lease(77, 5)); }
+};
+
+TEST_F(StoreClientTest, ANegativeAnswerMeansWhatTheRequestAskedFor) {
+  for (const int status : {404, 409, 410}) {
+    answer(status);
+    EXPECT_EQ(compare_and_swap(), Status::precondition_failed) << status;
+    EXPECT_EQ(read(), Status::not_found) << status;
+    EXPECT_EQ(read_page(), Status::not_found) << status;
+    EXPECT_EQ(changes_since(), Status::compacted) << status;
+    EXPECT_EQ(watch(), Status::compacted) << status;
+    EXPECT_EQ(renew_lease(), Status::not_found) << status;
+  }
+}
+
+TEST_F(StoreClientTest, WhatTheStoreTurnsAwayIsRejected) {
+  for (const int status : {400, 429, 503}) {
+    answer(status);
+    EXPECT_EQ(compare_and_swap(), Status::rejected) << status;
+    EXPECT_EQ(read(), Status::rejected) << status;
+    EXPECT_EQ(read_page(), Status::rejected) << status;
+    EXPECT_EQ(changes_since(), Status::rejected) << status;
+    EXPECT_EQ(watch(), Status::rejected) << status;
+    EXPECT_EQ(renew_lease(), Status::rejected) << status;
+  }
+}
+
+TEST_F(StoreClientTest, WhatWasNotSentIsRejected) {
+  transport.reply.kind = Reply::Kind::not_sent;
+  EXPECT_EQ(compare_and_swap(), Status::rejected);
+  EXPECT_EQ(read(), Status::rejected);
+  EXPECT_EQ(renew_lease(), Status::rejected);
+}
+
+TEST_F(StoreClientTest, WithoutAnAnswerOrWithAnUnexpectedOneTheResultIsIndeterminate) {
+  transport.reply.kind = Reply::Kind::unknown;
+  EXPECT_EQ(compare_and_swap(), Status::indeterminate);
+  EXPECT_EQ(read(), Status::indeterminate);
+  EXPECT_EQ(renew_lease(), Status::indeterminate);
+  for (const int status : {201, 204, 301, 401, 403, 500, 502, 504}) {
+    answer(status);
+    EXPECT_EQ(compare_and_swap(), Status::indeterminate) << status;
+    EXPECT_EQ(read(), Status::indeterminate) << status;
+    EXPECT_EQ(watch(), Status::indeterminate) << status;
+    EXPECT_EQ(renew_lease(), Status::indeterminate) << status;
+  }
+}
+
+TEST_F(StoreClientTest, AMalformedAnswerTellsNothing) {
+  answer(200, "nonsense");
+  EXPECT_EQ(compare_and_swap(), Status::indeterminate);
+  EXPECT_EQ(read(), Status::indeterminate);
+  EXPECT_EQ(read_page(), Status::indeterminate);
+  EXPECT_EQ(watch(), Status::indeterminate);
+  answer(409, "nonsense");
+  EXPECT_EQ(compare_and_swap(), Status::indeterminate);
+}
+
+TEST_F(StoreClientTest, OnlyTheStoresOwn404SaysThatAKeyIsAbsent) {
+  answer(404, "no such page");
+  EXPECT_EQ(read(), Status::indeterminate);
+}
+
+TEST_F(StoreClientTest, AnAnswerAboutAnotherKeyIsNotTaken) {
+  answer(200, R"({"K":"other","Mark":3,"Data":{}})");
+  EXPECT_EQ(read(), Status::indeterminate);
+}
+
+TEST_F(StoreClientTest, ATransactionRefusedAsMalformedLowersTheLimits) {
+  const auto max_value_bytes = client.max_value_bytes();
+  const auto max_mutations = client.max_mutations();
+  answer(400);
+  compare_and_swap();
+  EXPECT_EQ(client.max_value_bytes(), max_value_bytes / 2);
+  EXPECT_EQ(client.max_mutations(), max_mutations / 2);
+}
+
+TEST_F(StoreClientTest, ATransactionWithALeaseLeavesTheLimits) {
+  const auto max_value_bytes = client.max_value_bytes();
+  answer(400);
+  compare_and_swap({{"leader", "1", 77}});
+  EXPECT_EQ(client.max_value_bytes(), max_value_bytes);
+}
+
+}  // namespace
+}  // namespace cranklock::store
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -338,12 +338,12 @@
   const auto done = wire::parse_compare_and_swap_response(R"({"LedgerTurn":18})");
   ASSERT_TRUE(done);
   EXPECT_EQ(done->revision, 18U);
-  EXPECT_TRUE(done->failed.empty());
+  EXPECT_TRUE(done->failed_keys.empty());
   const auto failed =
       wire::parse_compare_and_swap_response(R"({"LedgerTurn":19,"failed":["leader","a"]})");
   ASSERT_TRUE(failed);
   EXPECT_EQ(failed->revision, 19U);
-  EXPECT_EQ(failed->failed, (Texts{"leader", "a"}));
+  EXPECT_EQ(failed->failed_keys, (Texts{"leader", "a"}));
 }
 
 TEST(StateProtocol, AStoredValueAndARevisionAreRead) {
@@ -452,7 +452,7 @@
             "state:1 GET /follow?Under=jobs/&Since=18&HoldMs=0");
   EXPECT_EQ(c.request_of(c.store->grant_lease(9.5, 1)), R"(state:1 POST /leases {"LifeMs":9500})");
   EXPECT_EQ(c.request_of(c.store->renew_lease(77, 1)), "state:1 POST /leases/77/renew {}");
-  EXPECT_EQ(c.request_of(c.store->drop_lease(77, 1)), "state:1 DELETE /leases/77");
+  EXPECT_EQ(c.request_of(c.store->revoke_lease(77, 1)), "state:1 DELETE /leases/77");
 }
 
 TEST(CloudProtocol, EachOperationHasItsMethodAndPath) {
