--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -111,8 +111,8 @@
   routines.spawn(node.learn_types());
   routines.spawn(node.probe_state_service());
   routines.spawn(node.run());
-  routines.spawn(links.accept());
-  for (const auto& other : settings.others) routines.spawn(links.keep_link(other));
+  routines.spawn(links.accept_connections());
+  for (const auto& other : settings.others) routines.spawn(links.maintain_link(other));
   if (region_links) region_links->start(routines);
   spdlog::info("{} listens on {}", settings.name, settings.listen);
   reactor.run();
--- a/src/control/heartbeat_forwarder.cpp
+++ b/src/control/heartbeat_forwarder.cpp
@@ -128,7 +128,7 @@
     return state_heard() < leader_heard_at_ + settings_.heartbeat_interval_s / 2;
   };
   Response response;
-  if (body.size() < peer::kMaxText) {
+  if (body.size() < peer::kMaxTextBytes) {
     Forwarding forwarding(*this, std::move(body));
     auto& pending = forwarding.pending;
     while (!pending.done && reactor_.now() < until) {
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -187,7 +187,7 @@
   peer::ForwardedResponse answer{id, static_cast<std::uint16_t>(response.status),
                                  leader_lease_.fencing_token(), 0, response.body};
   Machine* m = cluster_.machine(heartbeat.machine);
-  if (response.status != 200 || m == nullptr || response.body.size() > peer::kMaxText) {
+  if (response.status != 200 || m == nullptr || response.body.size() > peer::kMaxTextBytes) {
     if (response.status == 200) answer.status = 503;
     return answer;
   }
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -139,7 +139,7 @@
 
 void Node::on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
   const double now = services_.reactor.now();
-  roster_.heard(peer_heartbeat, now);
+  roster_.on_peer_heartbeat(peer_heartbeat, now);
   forwarder_.on_peer_heartbeat(peer_heartbeat);
   if (term_ != nullptr) term_->on_peer_heartbeat(peer_heartbeat);
   // A leader that lost only the state service learns here that it has a successor, long before it
@@ -161,7 +161,7 @@
   // Nobody hears any: there are none, or they are cut off from all. But a node that hears neither
   // workers nor peers has itself lost the network.
   return roster_.any_hears_workers(now) ||
-         (!roster_.any_heard(now) && !term_->cluster().machines().empty());
+         (!roster_.any_alive(now) && !term_->cluster().machines().empty());
 }
 
 // For nodes that start while the cloud is down. True when there is nothing more to do.
--- a/src/peer/frames.cpp
+++ b/src/peer/frames.cpp
@@ -1,6 +1,8 @@
 #include "peer/frames.hpp"
 
-#include "peer/packing.hpp"
+#include <optional>
+#include <string_view>
+#include <utility>
 
 namespace cranklock::peer {
 namespace {
@@ -11,83 +13,99 @@
   forwarded_response = 3
 };
 
-std::string pack_one(const PeerHeartbeat& peer_heartbeat) {
-  Packer p;
-  p.text(peer_heartbeat.name).number(peer_heartbeat.fencing_token);
-  p.number(static_cast<std::uint8_t>(peer_heartbeat.reaches_state ? 1 : 0));
-  p.number(static_cast<std::uint8_t>(peer_heartbeat.hears_workers ? 1 : 0));
-  p.number(peer_heartbeat.incarnation)
-      .number(peer_heartbeat.sent_clock_ms)
-      .number(peer_heartbeat.echoed_fencing_token)
-      .number(peer_heartbeat.echoed_clock_ms);
-  p.number(peer_heartbeat.delegate_responded_ms);
-  return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::peer_heartbeat));
+std::string finish(Packer&& packer, Kind kind) {
+  return std::move(packer).frame(kFrameVersion, static_cast<std::uint8_t>(kind));
+}
+
+std::string pack_one(const PeerHeartbeat& heartbeat) {
+  Packer packer;
+  packer.text(heartbeat.name)
+      .number(heartbeat.fencing_token)
+      .flag(heartbeat.reaches_state)
+      .flag(heartbeat.hears_workers)
+      .number(heartbeat.incarnation)
+      .number(heartbeat.sent_clock_ms)
+      .number(heartbeat.echoed_fencing_token)
+      .number(heartbeat.echoed_clock_ms)
+      .number(heartbeat.delegate_responded_ms);
+  return finish(std::move(packer), Kind::peer_heartbeat);
 }
 
 std::string pack_one(const ForwardedHeartbeat& forwarded) {
-  Packer p;
-  p.number(forwarded.id).long_text(forwarded.heartbeat);
-  return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::forwarded_heartbeat));
+  Packer packer;
+  packer.number(forwarded.id).long_text(forwarded.heartbeat);
+  return finish(std::move(packer), Kind::forwarded_heartbeat);
 }
 
-std::string pack_one(const ForwardedResponse& answer) {
-  Packer p;
-  p.number(answer.id)
-      .number(answer.status)
-      .number(answer.fencing_token)
-      .number(answer.delegation_ms);
-  p.long_text(answer.body);
-  return std::move(p).frame(kVersion, static_cast<std::uint8_t>(Kind::forwarded_response));
+std::string pack_one(const ForwardedResponse& response) {
+  Packer packer;
+  packer.number(response.id)
+      .number(response.status)
+      .number(response.fencing_token)
+      .number(response.delegation_ms)
+      .long_text(response.body);
+  return finish(std::move(packer), Kind::forwarded_response);
 }
 
-// The members of a braced list are read from left to right.
-PeerHeartbeat read_heartbeat(Unpacker& in) {
-  return {in.text(),
-          in.number<std::uint64_t>(),
-          in.flag(),
-          in.flag(),
-          in.number<std::uint64_t>(),
-          in.number<std::uint64_t>(),
-          in.number<std::uint64_t>(),
-          in.number<std::uint64_t>(),
-          in.number<std::uint32_t>()};
+// The members of a braced list are evaluated from left to right, so in the order of the fields.
+PeerHeartbeat unpack_peer_heartbeat(Unpacker& unpacker) {
+  return {unpacker.text(),
+          unpacker.number<std::uint64_t>(),
+          unpacker.flag(),
+          unpacker.flag(),
+          unpacker.number<std::uint64_t>(),
+          unpacker.number<std::uint64_t>(),
+          unpacker.number<std::uint64_t>(),
+          unpacker.number<std::uint64_t>(),
+          unpacker.number<std::uint32_t>()};
 }
 
-}  // namespace
+ForwardedHeartbeat unpack_forwarded_heartbeat(Unpacker& unpacker) {
+  return {unpacker.number<std::uint64_t>(), unpacker.long_text()};
+}
 
-std::string pack(const Frame& frame) {
-  return std::visit([](const auto& one) { return pack_one(one); }, frame);
+ForwardedResponse unpack_forwarded_response(Unpacker& unpacker) {
+  return {unpacker.number<std::uint64_t>(), unpacker.number<std::uint16_t>(),
+          unpacker.number<std::uint64_t>(), unpacker.number<std::uint32_t>(), unpacker.long_text()};
 }
 
-Unpacked unpack(std::string& buffer, Frame& out) {
-  if (buffer.size() < kHeader) return Unpacked::more;
-  Unpacker head(std::string_view(buffer).substr(0, kHeader));
-  const auto length = head.number<std::uint16_t>();
-  const auto version = head.number<std::uint8_t>();
-  const auto kind = head.number<std::uint8_t>();
-  const bool known = kind >= static_cast<std::uint8_t>(Kind::peer_heartbeat) &&
-                     kind <= static_cast<std::uint8_t>(Kind::forwarded_response);
-  if (version != kVersion || !known) return Unpacked::broken;
-  if (buffer.size() < kHeader + length) return Unpacked::more;
-  Unpacker in(std::string_view(buffer).substr(kHeader, length));
-  Frame frame;
+/// None for a kind that does not exist.
+std::optional<Frame> unpack_body(std::uint8_t kind, Unpacker& unpacker) {
   switch (static_cast<Kind>(kind)) {
     case Kind::peer_heartbeat:
-      frame = read_heartbeat(in);
-      break;
+      return unpack_peer_heartbeat(unpacker);
     case Kind::forwarded_heartbeat:
-      frame = ForwardedHeartbeat{in.number<std::uint64_t>(), in.long_text()};
-      break;
+      return unpack_forwarded_heartbeat(unpacker);
     case Kind::forwarded_response:
-      frame =
-          ForwardedResponse{in.number<std::uint64_t>(), in.number<std::uint16_t>(),
-                            in.number<std::uint64_t>(), in.number<std::uint32_t>(), in.long_text()};
-      break;
+      return unpack_forwarded_response(unpacker);
+  }
+  return std::nullopt;
+}
+
+bool is_known(std::uint8_t kind) {
+  return kind >= static_cast<std::uint8_t>(Kind::peer_heartbeat) &&
+         kind <= static_cast<std::uint8_t>(Kind::forwarded_response);
+}
+
+}  // namespace
+
+std::string pack(const Frame& frame) {
+  return std::visit([](const auto& one) { return pack_one(one); }, frame);
+}
+
+base::Result<Frame, UnpackError> unpack(std::string& buffer) {
+  const auto header = read_header(buffer);
+  if (!header) return base::Failure(UnpackError::incomplete);
+  if (header->version != kFrameVersion || !is_known(header->kind)) {
+    return base::Failure(UnpackError::malformed);
   }
-  if (!in.whole()) return Unpacked::broken;
-  buffer.erase(0, kHeader + length);
-  out = std::move(frame);
-  return Unpacked::frame;
+  const std::size_t frame_bytes = kHeaderBytes + header->body_bytes;
+  if (buffer.size() < frame_bytes) return base::Failure(UnpackError::incomplete);
+  Unpacker unpacker(std::string_view(buffer).substr(kHeaderBytes, header->body_bytes));
+  auto frame = unpack_body(header->kind, unpacker);
+  if (!frame || !unpacker.complete()) return base::Failure(UnpackError::malformed);
+  buffer.erase(0, frame_bytes);
+  return std::move(*frame);
 }
 
 }  // namespace cranklock::peer
--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -1,48 +1,52 @@
-// What controllers tell each other: packed structs, each led by its length, the version and its
-// kind; all numbers big-endian.
+// The frames that the controllers of a region send one another, and their binary form
+// (peer/packing.hpp). Two versions of the software exchange them during an upgrade, so a field or
+// kind is never changed under the same version number (invariant 15).
 #pragma once
 
 #include <cstdint>
 #include <string>
-#include <string_view>
 #include <variant>
 
+#include "base/result.hpp"
 #include "peer/packing.hpp"
 
 namespace cranklock::peer {
 
-inline constexpr std::uint8_t kVersion = 2;
+inline constexpr std::uint8_t kFrameVersion = 2;
+/// For a time since something that has not happened yet.
 inline constexpr std::uint32_t kNever = 0xffffffff;
 
-/// Who is there, and what it reaches.
+/// Periodic message of a controller: who it is, whether it leads and what it reaches.
 struct PeerHeartbeat {
   std::string name;
   std::uint64_t fencing_token = 0;  ///< of its leadership; 0: it doesn't lead
-  bool reaches_state = false;       ///< the state service answered it lately
-  bool hears_workers = false;       ///< workers have reported to it lately, be it in vain
-  std::uint64_t incarnation = 0;    ///< another one each time the process starts
-  std::uint64_t sent_clock_ms = 0;  ///< its steady clock, for others to echo
-  /// The newest peer heartbeat that it heard from a leader: whose fencing token, and that leader's
-  /// clock.
+  bool reaches_state = false;       ///< the key-value store has answered it lately
+  /// Workers have sent it heartbeats lately, even if it could not answer them.
+  bool hears_workers = false;
+  std::uint64_t incarnation = 0;    ///< differs each time the process starts
+  std::uint64_t sent_clock_ms = 0;  ///< sender's steady clock, for others to echo
+  /// Fencing token in the newest peer heartbeat that the sender received from a leader, and that
+  /// leader's clock in it.
   std::uint64_t echoed_fencing_token = 0, echoed_clock_ms = 0;
-  /// How long ago it last answered a worker in a leader's stead.
+  /// Milliseconds since the sender last answered a worker under a lease delegation.
   std::uint32_t delegate_responded_ms = kNever;
   bool operator==(const PeerHeartbeat&) const = default;
 };
 
-/// A worker's heartbeat, forwarded to the leader by the node that it reports to.
+/// A worker's heartbeat, which a heartbeat forwarder sends to the leader.
 struct ForwardedHeartbeat {
-  std::uint64_t id = 0;  ///< never used again, not even by another run of the node
-  std::string heartbeat;
+  std::uint64_t id = 0;   ///< never used again, not even by a later incarnation of the forwarder
+  std::string heartbeat;  ///< as the worker sent it: the JSON body of its request
   bool operator==(const ForwardedHeartbeat&) const = default;
 };
 
-/// What the leader has the worker answered.
+/// The leader's answer to a forwarded heartbeat, which the forwarder passes on to the worker.
 struct ForwardedResponse {
-  std::uint64_t id = 0;
-  std::uint16_t status = 0;
+  std::uint64_t id = 0;      ///< of the ForwardedHeartbeat
+  std::uint16_t status = 0;  ///< HTTP status for the worker
   std::uint64_t fencing_token = 0;
-  /// For so long from the sending of what it answers, its forwarder may answer this worker alone.
+  /// Lease delegation: for so long, from the sending of the forwarded heartbeat, the forwarder may
+  /// answer this worker without the leader.
   std::uint32_t delegation_ms = 0;
   std::string body;
   bool operator==(const ForwardedResponse&) const = default;
@@ -50,10 +54,14 @@
 
 using Frame = std::variant<PeerHeartbeat, ForwardedHeartbeat, ForwardedResponse>;
 
+/// The frame's bytes, header included.
 std::string pack(const Frame& frame);
 
-enum class Unpacked { frame, more, broken };
-/// Takes one frame off the front of the buffer.
-Unpacked unpack(std::string& buffer, Frame& out);
+enum class UnpackError {
+  incomplete,  ///< more bytes are needed
+  malformed,   ///< not a frame of this version; the connection is of no further use
+};
+/// Takes one frame off the front of the buffer; after an error the buffer is as it was.
+base::Result<Frame, UnpackError> unpack(std::string& buffer);
 
 }  // namespace cranklock::peer
--- a/src/peer/links.cpp
+++ b/src/peer/links.cpp
@@ -1,114 +1,152 @@
 #include "peer/links.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
+#include <utility>
+
+#include "base/event_log.hpp"
 
 namespace cranklock::peer {
 
 using net::Fd;
 using net::Task;
 
+Links::Links(net::EvReactor& reactor, const base::Settings& settings, double heartbeat_interval_s,
+             std::function<PeerHeartbeat()> make_heartbeat, FrameHandler on_frame)
+    : reactor_(reactor),
+      settings_(settings),
+      heartbeat_interval_s_(heartbeat_interval_s),
+      make_heartbeat_(std::move(make_heartbeat)),
+      on_frame_(std::move(on_frame)) {
+  for (const auto& other : settings.others) {
+    outboxes_[other.name] = std::make_unique<Outbox>(reactor, write_interval(settings));
+  }
+}
+
+void Links::Outbox::clear() {
+  frames.clear();
+  bytes = 0;
+}
+
+double Links::io_deadline() const {
+  constexpr double kTimeoutInIntervals = 2;
+  return reactor_.now() + kTimeoutInIntervals * heartbeat_interval_s_;
+}
+
+// ---- receiving ----
+
 bool Links::listen() {
   listener_ = net::listen_on(settings_.peer_listen);
   return listener_.valid();
 }
 
-Task<void> Links::accept() {
+Task<void> Links::accept_connections() {
+  constexpr double kWaitS = 3600.0;  // then it waits again
   // A peer that restarts leaves its old connection behind until that goes quiet.
   const std::size_t max_readers = 4 * (settings_.others.size() + 1);
   for (;;) {
-    net::Ready ready(reactor_, listener_.get(), false, 3600.0);
+    net::Ready ready(reactor_, listener_.get(), false, kWaitS);
     if (!co_await ready) continue;
-    for (Fd fd = net::accept_from(listener_.get()); fd.valid();
-         fd = net::accept_from(listener_.get())) {
-      if (readers_.size() < max_readers) readers_.spawn(read(std::move(fd)));
+    for (Fd connection = net::accept_from(listener_.get()); connection.valid();
+         connection = net::accept_from(listener_.get())) {
+      if (readers_.size() < max_readers) readers_.spawn(read_frames(std::move(connection)));
     }
   }
 }
 
-Task<void> Links::read(Fd fd) {
-  std::string buffer, from;  // whose connection it is, as its first peer heartbeat says
-  char bytes[4096];
+Task<void> Links::read_frames(Fd connection) {
+  constexpr double kIdleTimeoutInIntervals = 20;
+  constexpr std::size_t kReadBytes = 4096;
+  std::string buffer;
+  std::string from;
+  char bytes[kReadBytes];
+  for (;;) {
+    auto reading = net::read_some(reactor_, connection.get(), bytes, sizeof bytes,
+                                  reactor_.now() + kIdleTimeoutInIntervals * heartbeat_interval_s_);
+    const auto received = co_await reading;
+    if (received <= 0) co_return;
+    buffer.append(bytes, static_cast<std::size_t>(received));
+    if (!deliver_frames(buffer, from)) co_return;
+  }
+}
+
+bool Links::deliver_frames(std::string& buffer, std::string& from) {
   for (;;) {
-    auto reading =
-        net::read_some(reactor_, fd.get(), bytes, sizeof bytes, reactor_.now() + 20 * every_s_);
-    const auto n = co_await reading;
-    if (n <= 0) co_return;
-    buffer.append(bytes, static_cast<std::size_t>(n));
-    for (;;) {
-      Frame frame;
-      const auto result = unpack(buffer, frame);
-      if (result == Unpacked::more) break;
-      const auto* peer_heartbeat =
-          result == Unpacked::frame ? std::get_if<PeerHeartbeat>(&frame) : nullptr;
-      if (peer_heartbeat != nullptr && outboxes_.contains(peer_heartbeat->name))
-        from = peer_heartbeat->name;
-      const bool known = result == Unpacked::frame && !from.empty() &&
-                         (peer_heartbeat == nullptr || peer_heartbeat->name == from);
-      if (!known) {
-        spdlog::error("a malformed peer frame was refused");
-        co_return;
-      }
-      heard_(from, std::move(frame));
+    auto frame = unpack(buffer);
+    if (!frame && frame.error() == UnpackError::incomplete) return true;
+    if (!frame || !identify_sender(*frame, from)) {
+      base::log_error("peer frame malformed", base::field("peer", from));
+      return false;
     }
+    on_frame_(from, std::move(*frame));
   }
 }
 
+bool Links::identify_sender(const Frame& frame, std::string& from) const {
+  const auto* heartbeat = std::get_if<PeerHeartbeat>(&frame);
+  if (heartbeat == nullptr) return !from.empty();
+  if (outboxes_.contains(heartbeat->name)) from = heartbeat->name;
+  return !from.empty() && heartbeat->name == from;
+}
+
+// ---- sending ----
+
 void Links::send(const std::string& to, const Frame& frame) {
-  // A zone's workers may all report at once, each on a connection of its own.
-  const auto max_waiting = static_cast<std::size_t>(settings_.fd_limit);
-  constexpr double kPartOfMemory = 1.0 / 32;  // for each of the other nodes
-  const auto max_bytes = static_cast<std::size_t>(settings_.ram_mb * 1024 * 1024 * kPartOfMemory);
-  const auto it = outboxes_.find(to);
-  if (it == outboxes_.end()) return;
-  Outbox& box = *it->second;
-  if (!box.connected || box.frames.size() >= max_waiting || box.bytes >= max_bytes) return;
-  box.frames.push_back(pack(frame));
-  box.bytes += box.frames.back().size();
-  if (box.frames.size() == 1) box.filled.set();
+  // A zone's workers may all send heartbeats at once, each on a connection of its own.
+  const auto max_frames = static_cast<std::size_t>(settings_.fd_limit);
+  constexpr double kShareOfMemory = 1.0 / 32;  // for each of the other controllers
+  constexpr double kBytesPerMb = 1024 * 1024;
+  const auto max_bytes = static_cast<std::size_t>(settings_.ram_mb * kBytesPerMb * kShareOfMemory);
+  const auto found = outboxes_.find(to);
+  if (found == outboxes_.end()) return;
+  Outbox& outbox = *found->second;
+  if (!outbox.connected) return;
+  if (outbox.frames.size() >= max_frames || outbox.bytes >= max_bytes) return;
+  outbox.frames.push_back(pack(frame));
+  outbox.bytes += outbox.frames.back().size();
+  if (outbox.frames.size() == 1) outbox.filled.set();
 }
 
-std::string Links::take_due(Outbox& box) {
+std::string Links::take_due(Outbox& outbox) {
   const double now = reactor_.now();
-  std::string out;
-  if (now >= box.next_heartbeat) {
-    out = pack(mine_());
-    box.next_heartbeat = now + every_s_;
-  } else if (now < box.pacing.due()) {
-    return out;
+  std::string bytes;
+  if (now >= outbox.next_heartbeat_at) {
+    bytes = pack(make_heartbeat_());
+    outbox.next_heartbeat_at = now + heartbeat_interval_s_;
+  } else if (now < outbox.pacing.next_write_at()) {
+    return bytes;
   }
-  for (; !box.frames.empty(); box.frames.pop_front()) out += box.frames.front();
-  box.bytes = 0;
-  if (!out.empty()) box.pacing.wrote(now);
-  return out;
+  for (const auto& frame : outbox.frames) bytes += frame;
+  outbox.clear();
+  if (!bytes.empty()) outbox.pacing.on_write(now);
+  return bytes;
 }
 
-double Links::next_write(const Outbox& box) {
-  return box.frames.empty() ? box.next_heartbeat : std::min(box.next_heartbeat, box.pacing.due());
+double Links::next_write_at(const Outbox& outbox) {
+  if (outbox.frames.empty()) return outbox.next_heartbeat_at;
+  return std::min(outbox.next_heartbeat_at, outbox.pacing.next_write_at());
 }
 
-Task<void> Links::keep_link(base::Peer other) {
-  constexpr double kMinWait = 0.001;  // the resolution of timers
-  Outbox& box = *outboxes_.at(other.name);
-  Fd fd;
+Task<void> Links::maintain_link(base::Peer other) {
+  constexpr double kMinWaitS = 0.001;  // the resolution of timers
+  Outbox& outbox = *outboxes_.at(other.name);
+  Fd connection;
   for (;;) {
-    if (!fd.valid()) {
-      box.connected = false;
-      box.frames.clear();
-      box.bytes = 0;
-      auto connecting = net::connect_to(reactor_, other.address, reactor_.now() + 2 * every_s_);
-      fd = co_await connecting;
-      box.connected = fd.valid();
-      box.next_heartbeat = 0;
+    if (!connection.valid()) {
+      outbox.connected = false;
+      outbox.clear();
+      auto connecting = net::connect_to(reactor_, other.address, io_deadline());
+      connection = co_await connecting;
+      outbox.connected = connection.valid();
+      outbox.next_heartbeat_at = 0;
     }
-    if (fd.valid()) {
-      const std::string out = take_due(box);
-      auto writing = net::write_all(reactor_, fd.get(), out, reactor_.now() + 2 * every_s_);
-      if (!co_await writing) fd = Fd();
+    if (connection.valid()) {
+      const std::string bytes = take_due(outbox);
+      auto writing = net::write_all(reactor_, connection.get(), bytes, io_deadline());
+      if (!co_await writing) connection = Fd();
     }
-    const double pause = fd.valid() ? next_write(box) - reactor_.now() : every_s_;
-    net::Signal::Wait wait(box.filled, std::max(pause, kMinWait));
+    const double pause =
+        connection.valid() ? next_write_at(outbox) - reactor_.now() : heartbeat_interval_s_;
+    net::Signal::Wait wait(outbox.filled, std::max(pause, kMinWaitS));
     co_await wait;
   }
 }
--- a/src/peer/packing.hpp
+++ b/src/peer/packing.hpp
@@ -1,86 +1,118 @@
-// How packed structs between our processes are written and read: all numbers big-endian, texts led
-// by their length, each frame led by its own length, a version and a kind.
+// The binary form of frames between our processes: all numbers big-endian, texts led by their
+// length, each frame led by a header.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 
 namespace cranklock::peer {
 
-inline constexpr std::size_t kHeader = 4;  ///< u16 length of what follows it, u8 version, u8 kind
-inline constexpr std::size_t kMaxName = 64;
-inline constexpr std::size_t kMaxText = 60'000;
+inline constexpr std::size_t kHeaderBytes = 4;
+/// Longest text that Packer::text writes and Unpacker::text accepts.
+inline constexpr std::size_t kMaxNameBytes = 64;
+/// Likewise for long_text; a frame with one still fits into the header's 16-bit length.
+inline constexpr std::size_t kMaxTextBytes = 60'000;
+
+/// What leads each frame: u16 length of the body, u8 version, u8 kind.
+struct FrameHeader {
+  std::uint16_t body_bytes = 0;
+  std::uint8_t version = 0;
+  std::uint8_t kind = 0;
+};
 
 /// Writes fields one after the other. A text that is too long is cut.
 class Packer {
  public:
-  template <typename N>
-  Packer& number(N v) {
-    for (int shift = static_cast<int>(sizeof(N)) * 8 - 8; shift >= 0; shift -= 8) {
-      bytes_.push_back(static_cast<char>(static_cast<std::uint64_t>(v) >> shift & 0xff));
+  template <typename Number>
+  Packer& number(Number value) {
+    constexpr int kBitsInByte = 8;
+    constexpr int kBits = static_cast<int>(sizeof(Number)) * kBitsInByte;
+    for (int shift = kBits - kBitsInByte; shift >= 0; shift -= kBitsInByte) {
+      bytes_.push_back(static_cast<char>(static_cast<std::uint64_t>(value) >> shift & 0xff));
     }
     return *this;
   }
-  Packer& text(std::string_view v) {
-    v = v.substr(0, kMaxName);
-    number(static_cast<std::uint8_t>(v.size()));
-    bytes_.append(v);
+  Packer& flag(bool value) { return number(static_cast<std::uint8_t>(value ? 1 : 0)); }
+  Packer& text(std::string_view value) {
+    value = value.substr(0, kMaxNameBytes);
+    number(static_cast<std::uint8_t>(value.size()));
+    bytes_.append(value);
     return *this;
   }
-  Packer& long_text(std::string_view v) {
-    v = v.substr(0, kMaxText);
-    number(static_cast<std::uint16_t>(v.size()));
-    bytes_.append(v);
+  Packer& long_text(std::string_view value) {
+    value = value.substr(0, kMaxTextBytes);
+    number(static_cast<std::uint16_t>(value.size()));
+    bytes_.append(value);
     return *this;
   }
-  /// The frame whole: its header, then what was packed.
+  /// The complete frame: its header, then what was packed.
   std::string frame(std::uint8_t version, std::uint8_t kind) && {
-    Packer head;
-    head.number(static_cast<std::uint16_t>(bytes_.size()));
-    head.number(version).number(kind);
-    return head.bytes_ + bytes_;
+    Packer header;
+    header.number(static_cast<std::uint16_t>(bytes_.size())).number(version).number(kind);
+    return header.bytes_ + bytes_;
   }
 
  private:
   std::string bytes_;
 };
 
-/// Reads fields in the order in which they were written; a malformed one makes `whole` false.
+/// Reads fields in the order in which they were written. After a malformed field every further one
+/// reads as empty, and `complete` is false.
 class Unpacker {
  public:
   explicit Unpacker(std::string_view bytes) : bytes_(bytes) {}
-  template <typename N>
-  N number() {
-    std::uint64_t v = 0;
-    for (std::size_t i = 0; i < sizeof(N); ++i) {
-      if (bytes_.empty()) return ok_ = false, N{};
-      v = v << 8 | static_cast<std::uint8_t>(bytes_.front());
+
+  template <typename Number>
+  Number number() {
+    std::uint64_t value = 0;
+    for (std::size_t i = 0; i < sizeof(Number); ++i) {
+      if (bytes_.empty()) {
+        well_formed_ = false;
+        return Number{};
+      }
+      value = value << 8 | static_cast<std::uint8_t>(bytes_.front());
       bytes_.remove_prefix(1);
     }
-    return static_cast<N>(v);
+    return static_cast<Number>(value);
   }
-  std::string text() { return take(number<std::uint8_t>(), kMaxName); }
-  std::string long_text() { return take(number<std::uint16_t>(), kMaxText); }
+  std::string text() { return take(number<std::uint8_t>(), kMaxNameBytes); }
+  std::string long_text() { return take(number<std::uint16_t>(), kMaxTextBytes); }
+  /// Malformed unless 0 or 1.
   bool flag() {
-    const auto v = number<std::uint8_t>();
-    ok_ = ok_ && v <= 1;
-    return v == 1;
+    const auto value = number<std::uint8_t>();
+    well_formed_ = well_formed_ && value <= 1;
+    return value == 1;
   }
-  /// Read whole, with nothing left over.
-  bool whole() const { return ok_ && bytes_.empty(); }
+  /// True if every field was well formed and no byte is left over.
+  bool complete() const { return well_formed_ && bytes_.empty(); }
 
  private:
-  std::string take(std::size_t size, std::size_t max_bytes) {
-    if (size > max_bytes || size > bytes_.size()) return ok_ = false, std::string();
-    std::string out(bytes_.substr(0, size));
+  std::string take(std::size_t size, std::size_t max_size) {
+    if (size > max_size || size > bytes_.size()) {
+      well_formed_ = false;
+      return {};
+    }
+    std::string text(bytes_.substr(0, size));
     bytes_.remove_prefix(size);
-    return out;
+    return text;
   }
 
   std::string_view bytes_;
-  bool ok_ = true;
+  bool well_formed_ = true;
 };
 
+/// The header of the frame at the front; none while it has not arrived in full.
+inline std::optional<FrameHeader> read_header(std::string_view buffer) {
+  if (buffer.size() < kHeaderBytes) return std::nullopt;
+  Unpacker unpacker(buffer.substr(0, kHeaderBytes));
+  FrameHeader header;
+  header.body_bytes = unpacker.number<std::uint16_t>();
+  header.version = unpacker.number<std::uint8_t>();
+  header.kind = unpacker.number<std::uint8_t>();
+  return header;
+}
+
 }  // namespace cranklock::peer
--- a/src/peer/roster.cpp
+++ b/src/peer/roster.cpp
@@ -4,30 +4,32 @@
 
 namespace cranklock::peer {
 
-template <typename F>
-bool Roster::any(double now, F&& holds) const {
-  return std::any_of(said_.begin(), said_.end(), [&](const auto& entry) {
-    return now - entry.second.at < fresh_s_ && holds(entry.second.peer_heartbeat);
+template <typename Predicate>
+bool Roster::any(double now, Predicate&& holds) const {
+  return std::any_of(received_.begin(), received_.end(), [&](const auto& entry) {
+    return is_fresh(entry.second, now) && holds(entry.second.heartbeat);
   });
 }
 
-bool Roster::any_heard(double now) const {
+bool Roster::any_alive(double now) const {
   return any(now, [](const PeerHeartbeat&) { return true; });
 }
+
 bool Roster::any_reaches_state(double now) const {
-  return any(now, [](const PeerHeartbeat& h) { return h.reaches_state; });
+  return any(now, [](const PeerHeartbeat& heartbeat) { return heartbeat.reaches_state; });
 }
+
 bool Roster::any_hears_workers(double now) const {
-  return any(now, [](const PeerHeartbeat& h) { return h.hears_workers; });
+  return any(now, [](const PeerHeartbeat& heartbeat) { return heartbeat.hears_workers; });
 }
 
 PeerHeartbeat Roster::leader(double now) const {
-  PeerHeartbeat best;
-  for (const auto& [name, said] : said_) {
-    if (now - said.at < fresh_s_ && said.peer_heartbeat.fencing_token > best.fencing_token)
-      best = said.peer_heartbeat;
+  PeerHeartbeat leader;
+  for (const auto& [name, received] : received_) {
+    if (!is_fresh(received, now)) continue;
+    if (received.heartbeat.fencing_token > leader.fencing_token) leader = received.heartbeat;
   }
-  return best;
+  return leader;
 }
 
 }  // namespace cranklock::peer
--- a/src/peer/roster.hpp
+++ b/src/peer/roster.hpp
@@ -1,4 +1,4 @@
-// What the other controllers last said of themselves. A hint only: no rule rests on it.
+// The last heartbeat of each other controller.
 #pragma once
 
 #include <map>
@@ -8,30 +8,35 @@
 
 namespace cranklock::peer {
 
+/// Keeps the last heartbeat of each other controller of the region. What it says is a hint: peer
+/// heartbeats are lost and late, and no invariant rests on them.
 class Roster {
  public:
-  /// What was said longer ago than this counts as not said.
+  /// Heartbeats that were received longer ago than `fresh_s` seconds count as not received.
   explicit Roster(double fresh_s) : fresh_s_(fresh_s) {}
 
-  void heard(const PeerHeartbeat& peer_heartbeat, double now) {
-    said_[peer_heartbeat.name] = {peer_heartbeat, now};
+  /// `now`: seconds on the steady clock, here and below.
+  void on_peer_heartbeat(const PeerHeartbeat& heartbeat, double now) {
+    received_[heartbeat.name] = {heartbeat, now};
   }
-  bool any_heard(double now) const;
+  bool any_alive(double now) const;
   bool any_reaches_state(double now) const;
   bool any_hears_workers(double now) const;
-  /// Who leads with the highest fencing token; an empty name when nobody says so.
+  /// Heartbeat of the controller that leads with the highest fencing token; its name is empty when
+  /// none leads.
   PeerHeartbeat leader(double now) const;
 
  private:
-  struct Said {
-    PeerHeartbeat peer_heartbeat;
-    double at = 0;
+  struct Received {
+    PeerHeartbeat heartbeat;
+    double at = 0;  ///< steady clock
   };
-  template <typename F>
-  bool any(double now, F&& holds) const;
+  bool is_fresh(const Received& received, double now) const { return now - received.at < fresh_s_; }
+  template <typename Predicate>
+  bool any(double now, Predicate&& holds) const;
 
   double fresh_s_;
-  std::map<std::string, Said> said_;
+  std::map<std::string, Received> received_;  ///< by the sender's name
 };
 
 }  // namespace cranklock::peer
--- a/src/regions/frames.cpp
+++ b/src/regions/frames.cpp
@@ -109,22 +109,20 @@
 }
 
 FrameResult unpack(std::string& buffer, RegionFrame& out) {
-  if (buffer.size() < peer::kHeader) return FrameResult::more;
-  Unpacker head(std::string_view(buffer).substr(0, peer::kHeader));
-  const auto length = head.number<std::uint16_t>();
-  const auto version = head.number<std::uint8_t>();
-  const auto kind = head.number<std::uint8_t>();
-  if (version != kFrameVersion) return FrameResult::other_version;
-  if (kind < static_cast<std::uint8_t>(Kind::heartbeat) ||
-      kind > static_cast<std::uint8_t>(Kind::receipt)) {
+  const auto header = peer::read_header(buffer);
+  if (!header) return FrameResult::more;
+  if (header->version != kFrameVersion) return FrameResult::other_version;
+  if (header->kind < static_cast<std::uint8_t>(Kind::heartbeat) ||
+      header->kind > static_cast<std::uint8_t>(Kind::receipt)) {
     return FrameResult::unknown_kind;
   }
-  if (length > kMaxFrame) return FrameResult::too_long;
-  if (buffer.size() < peer::kHeader + length) return FrameResult::more;
-  Unpacker in(std::string_view(buffer).substr(peer::kHeader, length));
-  RegionFrame frame = unpack_fields(static_cast<Kind>(kind), in);
-  if (!in.whole() || !sensible(frame)) return FrameResult::malformed_fields;
-  buffer.erase(0, peer::kHeader + length);
+  if (header->body_bytes > kMaxFrame) return FrameResult::too_long;
+  const std::size_t frame_bytes = peer::kHeaderBytes + header->body_bytes;
+  if (buffer.size() < frame_bytes) return FrameResult::more;
+  Unpacker in(std::string_view(buffer).substr(peer::kHeaderBytes, header->body_bytes));
+  RegionFrame frame = unpack_fields(static_cast<Kind>(header->kind), in);
+  if (!in.complete() || !sensible(frame)) return FrameResult::malformed_fields;
+  buffer.erase(0, frame_bytes);
   out = std::move(frame);
   return FrameResult::frame;
 }
--- a/tests/frame_compatibility_test.cpp
+++ b/tests/frame_compatibility_test.cpp
@@ -50,10 +50,10 @@
 
 /// The frame that the bytes are, whole and with nothing left over.
 peer::Frame unpacked(std::string buffer) {
-  peer::Frame frame;
-  EXPECT_EQ(peer::unpack(buffer, frame), peer::Unpacked::frame);
+  auto frame = peer::unpack(buffer);
+  EXPECT_TRUE(frame.has_value());
   EXPECT_TRUE(buffer.empty());
-  return frame;
+  return frame ? std::move(*frame) : peer::Frame();
 }
 
 TEST(ControllerFrames, AHelloWithEveryFieldIsPackedAndUnpacked) {
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -1,3 +1,4 @@
+// Frames, roster and write pacing of the controllers of a region.
 #include <gtest/gtest.h>
 
 #include "peer/frames.hpp"
@@ -15,34 +16,37 @@
                                "\0\0\0\0\0\0\0\x05\0\0\0\0\0\0\0\x06\0\0\0\x07",
                                53));
   std::string buffer;
-  Frame out;
   for (std::size_t i = 0; i + 1 < bytes.size(); ++i) {
     buffer += bytes[i];
-    ASSERT_EQ(unpack(buffer, out), Unpacked::more);
+    const auto early = unpack(buffer);
+    ASSERT_FALSE(early.has_value());
+    ASSERT_EQ(early.error(), UnpackError::incomplete);
+    ASSERT_EQ(buffer.size(), i + 1);
   }
   const Frame forwarded = ForwardedHeartbeat{9, "{}"},
               answer = ForwardedResponse{9, 200, 41, 1500, "{\"a\":1}"};
   buffer += bytes.back() + pack(forwarded) + pack(answer);
   for (const Frame& expected : {Frame(peer_heartbeat), forwarded, answer}) {
-    ASSERT_EQ(unpack(buffer, out), Unpacked::frame);
-    EXPECT_EQ(out, expected);
+    const auto frame = unpack(buffer);
+    ASSERT_TRUE(frame.has_value());
+    EXPECT_EQ(*frame, expected);
   }
   EXPECT_TRUE(buffer.empty());
 }
 
-TEST(Peer, MalformedFramesAreBroken) {
-  const auto result = [](std::string bytes) {
-    Frame out;
-    return unpack(bytes, out);
+TEST(Peer, MalformedFramesAreRefused) {
+  const auto is_malformed = [](std::string bytes) {
+    const auto frame = unpack(bytes);
+    return !frame && frame.error() == UnpackError::malformed;
   };
   const std::string bytes = pack(PeerHeartbeat{"n1", 1, true, true});
   // Version, kind, the name's length, a flag that is neither 0 nor 1.
   for (const auto& [at, value] : {std::pair<std::size_t, char>{2, 9}, {3, 7}, {4, 60}, {15, 2}}) {
     std::string bad = bytes;
     bad[at] = value;
-    EXPECT_EQ(result(bad), Unpacked::broken) << at;
+    EXPECT_TRUE(is_malformed(bad)) << at;
   }
-  EXPECT_EQ(result(std::string("\x00\x05\x02\x02\0\0\0\x01\xff", 9)), Unpacked::broken);
+  EXPECT_TRUE(is_malformed(std::string("\x00\x05\x02\x02\0\0\0\x01\xff", 9)));
 }
 
 /// Writes that a link makes in `seconds` when a frame comes every `gap` seconds.
@@ -53,8 +57,8 @@
   double next_frame = 0;
   for (double now = 0; now < seconds; now += kStep) {
     if (now >= next_frame) waiting = true, next_frame += gap;
-    if (!waiting || now < pacing.due()) continue;
-    pacing.wrote(now);
+    if (!waiting || now < pacing.next_write_at()) continue;
+    pacing.on_write(now);
     waiting = false;
     ++writes;
   }
@@ -67,7 +71,7 @@
   EXPECT_LE(writes_of(WritePacing(0.1), 0.01, 10), 101);
   EXPECT_EQ(writes_of(WritePacing(0.1), 1, 10), 10);  // each by itself
   const WritePacing pacing(0.1);
-  EXPECT_LT(pacing.due(), 0);  // the first leaves at once
+  EXPECT_LT(pacing.next_write_at(), 0);  // the first leaves at once
 }
 
 TEST(Peer, TheSmallerTheShareTheFewerWritesAndNeverTooLateForAReport) {
@@ -83,10 +87,41 @@
 
 TEST(Peer, WhatWasSaidLongAgoDoesNotCount) {
   Roster roster(4);
-  roster.heard({"n1", 0, true, false}, 10);
+  roster.on_peer_heartbeat({"n1", 0, true, false}, 10);
   EXPECT_TRUE(roster.any_reaches_state(12));
   EXPECT_FALSE(roster.any_hears_workers(12));
-  EXPECT_FALSE(roster.any_heard(15));
+  EXPECT_FALSE(roster.any_alive(15));
+}
+
+TEST(Peer, TheLeaderIsWhoShowsTheHighestFencingTokenOfTheFreshHeartbeats) {
+  Roster roster(4);
+  EXPECT_EQ(roster.leader(10).name, "");
+  roster.on_peer_heartbeat({"n1", 0, true, true}, 10);
+  EXPECT_EQ(roster.leader(10).name, "");
+  roster.on_peer_heartbeat({"n2", 7, true, true}, 10);
+  roster.on_peer_heartbeat({"n3", 8, true, true}, 8);
+  EXPECT_EQ(roster.leader(11).name, "n3");
+  EXPECT_EQ(roster.leader(13).name, "n2");
+}
+
+TEST(Peer, AFieldThatIsCutOffMakesTheRestMalformed) {
+  Unpacker unpacker(std::string_view("\x00\x05\x02", 3));
+  EXPECT_EQ(unpacker.number<std::uint16_t>(), 5);
+  EXPECT_FALSE(unpacker.complete()) << "a byte is left over";
+  EXPECT_EQ(unpacker.text(), "") << "it says two bytes, and none follow";
+  EXPECT_FALSE(unpacker.complete());
+}
+
+TEST(Peer, TextsAreCutToWhatTheReaderAccepts) {
+  const std::string name(kMaxNameBytes + 1, 'n');
+  const std::string text(kMaxTextBytes + 1, 't');
+  Packer packer;
+  packer.text(name).long_text(text);
+  const std::string frame = std::move(packer).frame(1, 2);
+  Unpacker unpacker(std::string_view(frame).substr(kHeaderBytes));
+  EXPECT_EQ(unpacker.text(), name.substr(1));
+  EXPECT_EQ(unpacker.long_text(), text.substr(1));
+  EXPECT_TRUE(unpacker.complete());
 }
 
 }  // namespace
