--- a/lab/settings.hpp
+++ b/lab/settings.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/messages.hpp"
+#include "wire/client_api.hpp"
 
 namespace cranklock::lab {
 
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -1,73 +1,83 @@
 #include "cloud/client.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace cranklock::cloud {
 namespace {
-constexpr double kTimeout = 5.0;
+constexpr double kTimeoutS = 5.0;
 }  // namespace
 
 Client::Client(net::Reactor& reactor, net::Transport& transport, const base::Settings& settings)
     : reactor_(reactor),
       transport_(transport),
       settings_(settings),
-      scale_out_budget_(reactor, settings.cloud_rps / 2),
-      other_budget_(reactor, settings.cloud_rps / 2) {}
+      scale_out_limit_(reactor, settings.cloud_rps / 2),
+      other_limit_(reactor, settings.cloud_rps / 2) {}
 
-net::Task<net::Reply> Client::send(net::Request request, net::TokenBucket& budget) {
-  for (double wait = 0; (wait = budget.take(1)) > 0;) {
+net::Task<net::Reply> Client::send(net::Request request, net::TokenBucket& limit) {
+  for (double wait = 0; (wait = limit.take(1)) > 0;) {
     net::Sleep pause(reactor_, wait);
     co_await pause;
   }
-  auto calling = transport_.call(settings_.cloud, std::move(request), kTimeout);
+  auto calling = transport_.call(settings_.cloud, std::move(request), kTimeoutS);
   auto reply = co_await calling;
   co_return reply;
 }
 
 net::Task<std::optional<std::vector<wire::MachineType>>> Client::types() {
   net::Request request{"GET", "/machine_types", "", "", true};
-  auto sending = send(std::move(request), other_budget_);
+  auto sending = send(std::move(request), other_limit_);
   const auto reply = co_await sending;
   if (reply.status() != 200) co_return std::nullopt;
   co_return wire::parse_machine_types(reply.response.body);
 }
 
-net::Task<ScaleOutResult> Client::scale_out(wire::ScaleOutRequest scale_out_request) {
-  net::Request request{"POST", "/rentals", "", wire::write_scale_out_request(scale_out_request),
-                       true};
-  auto sending = send(std::move(request), scale_out_budget_);
-  const auto reply = co_await sending;
-  ScaleOutResult result;
-  if (reply.kind == net::Reply::Kind::not_sent || reply.status() == 429) {
-    result.kind = ScaleOutResult::Kind::refused;
-  } else if (reply.status() == 200) {
-    if (auto machines = wire::parse_scale_out_response(reply.response.body)) {
-      result.kind = ScaleOutResult::Kind::rented;
-      result.machines = std::move(*machines);
+namespace {
+ScaleOutResult scale_out_result(const net::Reply& reply) {
+  using Kind = ScaleOutResult::Kind;
+  if (reply.kind == net::Reply::Kind::not_sent) return {Kind::rejected, {}};
+  switch (reply.status()) {
+    case 200: {
+      auto machines = wire::parse_scale_out_response(reply.response.body);
+      if (!machines) return {Kind::indeterminate, {}};
+      return {Kind::granted, std::move(*machines)};
     }
-  } else if (reply.status() == 503) {
-    const bool trouble = reply.response.body.find("trouble") != std::string::npos;
-    result.kind = trouble ? ScaleOutResult::Kind::refused : ScaleOutResult::Kind::no_capacity;
-  } else if (reply.status() == 400) {
-    result.kind = ScaleOutResult::Kind::no_capacity;
+    case 400:
+      return {Kind::no_capacity, {}};
+    case 429:
+      return {Kind::rejected, {}};
+    case 503: {
+      const bool trouble = reply.response.body.find("trouble") != std::string::npos;
+      return {trouble ? Kind::rejected : Kind::no_capacity, {}};
+    }
+    default:
+      return {Kind::indeterminate, {}};
   }
-  co_return result;
+}
+}  // namespace
+
+net::Task<ScaleOutResult> Client::scale_out(wire::ScaleOutRequest request) {
+  net::Request http_request{"POST", "/rentals", "", wire::scale_out_request(request), true};
+  auto sending = send(std::move(http_request), scale_out_limit_);
+  const auto reply = co_await sending;
+  co_return scale_out_result(reply);
 }
 
 net::Task<DeletionResult> Client::remove(std::vector<std::string> machines) {
-  net::Request request{"POST", "/rentals/delete", "", wire::delete_request(machines), true};
-  auto sending = send(std::move(request), other_budget_);
+  net::Request request{"POST", "/rentals/delete", "", wire::deletion_request(machines), true};
+  auto sending = send(std::move(request), other_limit_);
   const auto reply = co_await sending;
-  if (reply.status() == 200) co_return DeletionResult::done;
-  co_return reply.status() == 400 ? DeletionResult::refused : DeletionResult::unavailable;
+  if (reply.status() == 200) co_return DeletionResult::deleted;
+  co_return reply.status() == 400 ? DeletionResult::rejected : DeletionResult::indeterminate;
 }
 
 double Client::list_interval(const base::Settings& settings, std::size_t machines) {
-  constexpr double kMin = 1.0;
+  constexpr double kMinS = 1.0;
   constexpr double kListShare = 0.5;  // of the calls for other things than scale-out requests
   const double calls_per_s = settings.cloud_rps / 2 * kListShare;
   const std::size_t pages = 1 + machines / kMaxListed;
-  return std::max({settings.list_lag_s / 4, kMin, static_cast<double>(pages) / calls_per_s});
+  return std::max({settings.list_lag_s / 4, kMinS, static_cast<double>(pages) / calls_per_s});
 }
 
 net::Task<std::optional<std::vector<wire::ListedMachine>>> Client::list() {
@@ -76,13 +86,13 @@
     net::Request request{"GET", "/rentals",
                          wire::machine_page_query(all.empty() ? "" : all.back().id, kMaxListed), "",
                          true};
-    auto sending = send(std::move(request), other_budget_);
+    auto sending = send(std::move(request), other_limit_);
     const auto reply = co_await sending;
     if (reply.status() != 200) co_return std::nullopt;
     auto page = wire::parse_machine_page(reply.response.body);
     if (!page) co_return std::nullopt;
     const bool more = page->more && !page->machines.empty();
-    for (auto& m : page->machines) all.push_back(std::move(m));
+    for (auto& machine : page->machines) all.push_back(std::move(machine));
     if (!more) co_return all;
   }
 }
--- a/src/control/api_responses.cpp
+++ b/src/control/api_responses.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "wire/messages.hpp"
+#include "wire/client_api.hpp"
 
 namespace cranklock::control {
 
--- a/src/control/feasibility.hpp
+++ b/src/control/feasibility.hpp
@@ -6,7 +6,8 @@
 #include <vector>
 
 #include "base/settings.hpp"
-#include "wire/messages.hpp"
+#include "wire/client_api.hpp"
+#include "wire/cloud_api.hpp"
 
 namespace cranklock::control {
 
--- a/src/control/heartbeat_forwarder.hpp
+++ b/src/control/heartbeat_forwarder.hpp
@@ -19,7 +19,7 @@
 #include "net/reactor.hpp"
 #include "net/task.hpp"
 #include "peer/frames.hpp"
-#include "wire/messages.hpp"
+#include "wire/agent_protocol.hpp"
 
 namespace cranklock::control {
 
--- a/src/control/job_record.cpp
+++ b/src/control/job_record.cpp
@@ -4,10 +4,9 @@
 #include <optional>
 #include <string_view>
 #include <utility>
-#include <variant>
 
+#include "wire/client_api.hpp"
 #include "wire/json.hpp"
-#include "wire/messages.hpp"
 
 namespace cranklock::control {
 
@@ -174,10 +173,10 @@
   const auto part_count = wire::read_count(value, kPartCountField);
   if (!part_count || *part_count > kMaxParts) return malformed_field(kPartCountField);
   auto parsed = wire::parse_job(*spec);
-  if (!std::holds_alternative<wire::JobSpec>(parsed)) return malformed_field(kSpecField);
+  if (!parsed) return malformed_field(kSpecField);
 
   sched::Job job;
-  job.spec = std::move(std::get<wire::JobSpec>(parsed));
+  job.spec = std::move(*parsed);
   job.created_ms = static_cast<std::int64_t>(*created_ms);
   job.cancelled_at_ms = static_cast<std::int64_t>(*cancelled_at_ms);
   job.last_attempt = *last_attempt;
--- a/src/control/job_submission.cpp
+++ b/src/control/job_submission.cpp
@@ -1,7 +1,8 @@
 #include "control/job_submission.hpp"
 
 #include <utility>
-#include <variant>
+
+#include "wire/json.hpp"
 
 namespace cranklock::control {
 
@@ -23,10 +24,11 @@
     return base::Failure(SubmissionError{std::nullopt, "expected a JSON object"});
   }
   auto parsed = wire::parse_job(document.root());
-  if (auto* reason = std::get_if<std::string>(&parsed)) {
-    return base::Failure(SubmissionError{read_valid_id(document.root()), std::move(*reason)});
+  if (!parsed) {
+    return base::Failure(
+        SubmissionError{read_valid_id(document.root()), wire::to_string(parsed.error())});
   }
-  return std::move(std::get<wire::JobSpec>(parsed));
+  return std::move(*parsed);
 }
 
 }  // namespace cranklock::control
--- a/src/control/job_submission.hpp
+++ b/src/control/job_submission.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "base/result.hpp"
-#include "wire/messages.hpp"
+#include "wire/client_api.hpp"
 
 namespace cranklock::control {
 
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -120,9 +120,9 @@
 // same request: half as many are named next, and others, until it stands alone.
 void MachineLifecycle::record_deletion_result(const std::vector<std::string>& names,
                                               cloud::DeletionResult deletion_result) {
-  if (deletion_result == cloud::DeletionResult::unavailable) return;
+  if (deletion_result == cloud::DeletionResult::indeterminate) return;
   deletions_after_ = names.back();
-  if (deletion_result == cloud::DeletionResult::refused) {
+  if (deletion_result == cloud::DeletionResult::rejected) {
     spdlog::error("the cloud refuses to delete {} machines, {} among them", names.size(),
                   names.front());
     max_deletions_ = std::max<std::size_t>(names.size() / 2, 1);
@@ -144,7 +144,7 @@
     auto terminating = services_.cloud.remove(names);
     const auto deletion_result = co_await terminating;
     record_deletion_result(names, deletion_result);
-    if (deletion_result == cloud::DeletionResult::done) {
+    if (deletion_result == cloud::DeletionResult::deleted) {
       if (may_be_more) deletions_.set();
       continue;
     }
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -6,6 +6,7 @@
 #include <functional>
 
 #include "control/record_keys.hpp"
+#include "wire/json.hpp"
 
 namespace cranklock::control {
 
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -9,6 +9,7 @@
 #include "control/record_keys.hpp"
 #include "control/small_records.hpp"
 #include "sched/availability.hpp"
+#include "wire/json.hpp"
 
 namespace cranklock::control {
 
@@ -142,7 +143,7 @@
     auto requesting = services_.cloud.scale_out({name, kind.type, kind.zone, kind.spot, count});
     const auto result = co_await requesting;
     using Kind = cloud::ScaleOutResult::Kind;
-    if (result.kind == Kind::rented) {
+    if (result.kind == Kind::granted) {
       for (const auto& id : result.machines) {
         if (!callbacks_.is_deleted(id))
           cluster_.upsert_machine(id, kind, now()).provisioned_here = true;
@@ -160,7 +161,7 @@
       cluster_.mark_changed();
       co_return;
     }
-    if (result.kind == Kind::refused) co_return;  // the next cooldown brings the next try
+    if (result.kind == Kind::rejected) co_return;  // the next cooldown brings the next try
     // No answer: it may have rented. The same name asks again without renting twice.
     Sleep pause(services_.reactor, services_.settings.heartbeat_interval_s);
     co_await pause;
--- a/src/control/record_batch.hpp
+++ b/src/control/record_batch.hpp
@@ -10,7 +10,7 @@
 
 #include "control/small_records.hpp"
 #include "sched/job.hpp"
-#include "wire/messages.hpp"
+#include "wire/store_api.hpp"
 
 namespace cranklock::control {
 
--- a/src/control/record_keys.hpp
+++ b/src/control/record_keys.hpp
@@ -10,7 +10,7 @@
 //   leader          the leader, under the lease of the leadership; the revision small_records.hpp
 //                   of this key is the fencing token
 //   pools/<name>    machine count and time of the last scaling of a pool small_records.hpp types
-//   the machine types that the cloud listed last                   wire/messages.hpp moves/... the
+//   the machine types that the cloud listed last                   wire/cloud_api.hpp moves/... the
 //   plan of moves, and the switch that disables moves          move_service.hpp regions/... quota
 //   shares of this region and transfers between regions      regions/records.hpp
 //
--- a/src/control/small_records.hpp
+++ b/src/control/small_records.hpp
@@ -6,7 +6,7 @@
 
 #include "control/record_error.hpp"
 #include "sched/scaler.hpp"
-#include "wire/messages.hpp"
+#include "wire/client_api.hpp"
 
 namespace cranklock::control {
 
--- a/src/defrag/drain.cpp
+++ b/src/defrag/drain.cpp
@@ -3,6 +3,8 @@
 #include <array>
 #include <utility>
 
+#include "wire/json.hpp"
+
 namespace cranklock::defrag {
 
 using wire::JsonDocument;
--- a/src/defrag/drain.hpp
+++ b/src/defrag/drain.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "wire/messages.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::defrag {
 
--- a/src/defrag/move_plan.cpp
+++ b/src/defrag/move_plan.cpp
@@ -3,6 +3,9 @@
 #include <array>
 #include <utility>
 
+#include "wire/client_api.hpp"
+#include "wire/json.hpp"
+
 namespace cranklock::defrag {
 
 using wire::Json;
--- a/src/defrag/move_plan.hpp
+++ b/src/defrag/move_plan.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/messages.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::defrag {
 
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "sched/availability.hpp"
+#include "wire/client_api.hpp"
 
 namespace cranklock::defrag {
 namespace {
--- a/src/defrag/planner.hpp
+++ b/src/defrag/planner.hpp
@@ -8,7 +8,8 @@
 #include <vector>
 
 #include "sched/cluster_state.hpp"
-#include "wire/messages.hpp"
+#include "wire/client_api.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::defrag {
 
--- a/src/regions/amounts.hpp
+++ b/src/regions/amounts.hpp
@@ -9,7 +9,7 @@
 #include <cstdint>
 
 #include "base/settings.hpp"
-#include "wire/messages.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::regions {
 
--- a/src/regions/share_book.hpp
+++ b/src/regions/share_book.hpp
@@ -14,7 +14,8 @@
 #include "regions/sharing_rule.hpp"
 #include "sched/team_shares.hpp"
 #include "store/client.hpp"
-#include "wire/messages.hpp"
+#include "wire/store_api.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::regions {
 
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -16,7 +16,10 @@
 #include "sched/job.hpp"
 #include "sched/reservations.hpp"
 #include "sched/team_shares.hpp"
-#include "wire/messages.hpp"
+#include "wire/agent_protocol.hpp"
+#include "wire/client_api.hpp"
+#include "wire/cloud_api.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::sched {
 
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -8,7 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "wire/messages.hpp"
+#include "wire/agent_protocol.hpp"
+#include "wire/client_api.hpp"
 
 namespace cranklock::sched {
 
--- a/src/sched/reservations.hpp
+++ b/src/sched/reservations.hpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "wire/messages.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::sched {
 
--- a/src/sched/team_shares.hpp
+++ b/src/sched/team_shares.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/settings.hpp"
-#include "wire/messages.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::sched {
 
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -134,7 +134,7 @@
   ReadResult result;
   result.status = status_of_reply(reply, Status::not_found);
   if (result.status == Status::ok) {
-    auto value = wire::parse_stored(reply.response.body);
+    auto value = wire::parse_stored_value(reply.response.body);
     if (!value || value->key != key) {
       result.status = Status::indeterminate;
     } else {
@@ -154,7 +154,7 @@
   RangeResult result;
   result.status = status_of_reply(reply, Status::not_found);
   if (result.status != Status::ok) co_return result;
-  auto page = wire::parse_range(reply.response.body);
+  auto page = wire::parse_range_response(reply.response.body);
   if (page) {
     result.page = std::move(*page);
   } else {
@@ -183,7 +183,7 @@
   RangeResult result;
   result.status = status_of_reply(reply, Status::compacted);
   if (result.status != Status::ok) return result;
-  auto page = wire::parse_watch(reply.response.body);
+  auto page = wire::parse_watch_response(reply.response.body);
   if (page) {
     result.page = std::move(*page);
   } else {
@@ -216,7 +216,7 @@
   auto sending = send(std::move(request), timeout_s, {0, 0, true});
   const auto reply = co_await sending;
   if (reply.status() != 200) co_return std::nullopt;
-  co_return wire::parse_lease(reply.response.body);
+  co_return wire::parse_lease_id(reply.response.body);
 }
 
 net::Task<Status> Client::renew_lease(std::uint64_t lease, double timeout_s) {
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -9,7 +9,7 @@
 #include "base/settings.hpp"
 #include "net/client.hpp"
 #include "net/token_bucket.hpp"
-#include "wire/messages.hpp"
+#include "wire/store_api.hpp"
 
 namespace cranklock::store {
 
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -4,34 +4,43 @@
 
 namespace cranklock::wire {
 
-const Json* find(const Json& object, const char* name) {
+const Json* find(const Json& object, const char* field) {
   if (!object.IsObject()) return nullptr;
-  const auto it = object.FindMember(name);
-  return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
+  const auto member = object.FindMember(field);
+  if (member == object.MemberEnd() || member->value.IsNull()) return nullptr;
+  return &member->value;
 }
 
-std::optional<std::string> read_text(const Json& object, const char* name) {
-  const Json* v = find(object, name);
-  if (v == nullptr || !v->IsString()) return std::nullopt;
-  return std::string(v->GetString(), v->GetStringLength());
+std::optional<std::string> read_text(const Json& object, const char* field) {
+  const Json* value = find(object, field);
+  if (value == nullptr || !value->IsString()) return std::nullopt;
+  return std::string(value->GetString(), value->GetStringLength());
 }
 
-std::optional<double> read_amount(const Json& object, const char* name) {
-  const Json* v = find(object, name);
-  if (v == nullptr || !v->IsNumber() || !std::isfinite(v->GetDouble())) return std::nullopt;
-  return v->GetDouble();
+std::optional<double> read_amount(const Json& object, const char* field) {
+  const Json* value = find(object, field);
+  if (value == nullptr || !value->IsNumber() || !std::isfinite(value->GetDouble()))
+    return std::nullopt;
+  return value->GetDouble();
 }
 
-std::optional<std::uint64_t> read_count(const Json& object, const char* name) {
-  const Json* v = find(object, name);
-  if (v == nullptr || !v->IsUint64()) return std::nullopt;
-  return v->GetUint64();
+std::optional<std::uint64_t> read_count(const Json& object, const char* field) {
+  const Json* value = find(object, field);
+  if (value == nullptr || !value->IsUint64()) return std::nullopt;
+  return value->GetUint64();
 }
 
-std::optional<bool> read_flag(const Json& object, const char* name) {
-  const Json* v = find(object, name);
-  if (v == nullptr || !v->IsBool()) return std::nullopt;
-  return v->GetBool();
+std::optional<bool> read_flag(const Json& object, const char* field) {
+  const Json* value = find(object, field);
+  if (value == nullptr || !value->IsBool()) return std::nullopt;
+  return value->GetBool();
+}
+
+std::optional<std::vector<std::string>> read_texts(const Json& object, const char* field) {
+  return read_list<std::string>(object, field, [](const Json& item) -> std::optional<std::string> {
+    if (!item.IsString()) return std::nullopt;
+    return std::string(item.GetString(), item.GetStringLength());
+  });
 }
 
 std::string to_text(const Json& value) {
--- a/tests/complete_job.hpp
+++ b/tests/complete_job.hpp
@@ -5,7 +5,8 @@
 
 #include <string>
 
-#include "wire/messages.hpp"
+#include "wire/client_api.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::testing {
 
--- a/tests/router_stand_in.hpp
+++ b/tests/router_stand_in.hpp
@@ -11,7 +11,7 @@
 
 #include "defrag/drain.hpp"
 #include "net/http.hpp"
-#include "wire/messages.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::testing {
 
--- a/tests/rule_checker.cpp
+++ b/tests/rule_checker.cpp
@@ -83,8 +83,8 @@
     Job& job = jobs_[q.job];
     job.submitted = true;
     auto parsed = wire::parse_job(document.root());
-    if (!job.described && std::holds_alternative<wire::JobSpec>(parsed)) {
-      job.spec = std::get<wire::JobSpec>(parsed);
+    if (!job.described && parsed) {
+      job.spec = *parsed;
       job.described = true;
     }
   } else if (path.starts_with(jobs + "/")) {
--- a/tests/rule_checker.hpp
+++ b/tests/rule_checker.hpp
@@ -9,7 +9,7 @@
 
 #include "base/settings.hpp"
 #include "sched/cluster_state.hpp"
-#include "wire/messages.hpp"
+#include "wire/client_api.hpp"
 
 namespace cranklock::testing {
 
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -9,7 +9,12 @@
 #include "complete_job.hpp"
 #include "store/client.hpp"
 #include "test_cluster.hpp"
-#include "wire/messages.hpp"
+#include "wire/agent_protocol.hpp"
+#include "wire/client_api.hpp"
+#include "wire/cloud_api.hpp"
+#include "wire/json.hpp"
+#include "wire/store_api.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::testing {
 namespace {
@@ -22,7 +27,7 @@
   return writer.take();
 }
 
-std::variant<wire::JobSpec, std::string> parsed(const std::string& text) {
+base::Result<wire::JobSpec, wire::FieldError> parsed(const std::string& text) {
   const wire::JsonDocument document(text);
   return wire::parse_job(document.root());
 }
@@ -37,8 +42,8 @@
 
 TEST(UserProtocol, EveryFieldOfASubmittedJobIsRead) {
   const auto job = parsed(kCompleteJob);
-  ASSERT_TRUE(std::holds_alternative<wire::JobSpec>(job)) << std::get<std::string>(job);
-  expect_complete_job(std::get<wire::JobSpec>(job));
+  ASSERT_TRUE(job.has_value()) << wire::to_string(job.error());
+  expect_complete_job(*job);
 }
 
 TEST(UserProtocol, EveryFieldOfAJobIsWritten) {
@@ -56,7 +61,7 @@
       R"("Teeth":16,"Cpus":8.5,"Accelerators":2.0,"MemGb":64.25,"Cast":"img-07","SizeGb":6.2,)"
       R"("OneZone":true,"Apart":false,"Loaners":true,"ExpectS":240.0,"NotchS":30.5,"StowS":4.0})";
   EXPECT_EQ(written(job), expected);
-  const auto read = std::get<wire::JobSpec>(parsed(expected));
+  const auto read = parsed(expected).value();
   EXPECT_TRUE(read.types.empty());
   EXPECT_EQ(read.zone, "");
   EXPECT_FALSE(read.due_s);
@@ -67,7 +72,7 @@
   const std::string none = R"("OneZone":false,"Apart":false,"Loaners":false)";
   const auto with_flags = [&](const std::string& flags) {
     const std::string all = R"("OneZone":true,"Apart":false,"Loaners":true)";
-    return std::get<wire::JobSpec>(parsed(replaced(kCompleteJob, all, flags)));
+    return parsed(replaced(kCompleteJob, all, flags)).value();
   };
   EXPECT_FALSE(with_flags(none).one_zone || with_flags(none).spread || with_flags(none).spot);
   EXPECT_TRUE(with_flags(R"("OneZone":true,"Apart":false,"Loaners":false)").one_zone);
@@ -88,7 +93,7 @@
     job.kind = kind;
     const auto text = replaced(kCompleteJob, R"("ensemble")", '"' + std::string(name) + '"');
     EXPECT_EQ(written(job), text);
-    EXPECT_EQ(std::get<wire::JobSpec>(parsed(text)).kind, kind);
+    EXPECT_EQ(parsed(text).value().kind, kind);
   }
   for (const auto& [priority, name] :
        {std::pair{wire::Priority::production, "production"},
@@ -98,7 +103,7 @@
     job.priority = priority;
     const auto text = replaced(kCompleteJob, R"("high")", '"' + std::string(name) + '"');
     EXPECT_EQ(written(job), text);
-    EXPECT_EQ(std::get<wire::JobSpec>(parsed(text)).priority, priority);
+    EXPECT_EQ(parsed(text).value().priority, priority);
   }
 }
 
@@ -131,8 +136,8 @@
            Case{R"(["j-1","j-22"])", "1", "WaitsOn: expected a list of at most 256 job ids"},
        }) {
     const auto result = parsed(replaced(kCompleteJob, from, to));
-    ASSERT_TRUE(std::holds_alternative<std::string>(result)) << message;
-    EXPECT_EQ(std::get<std::string>(result), message);
+    ASSERT_FALSE(result.has_value()) << message;
+    EXPECT_EQ(wire::to_string(result.error()), message);
   }
 }
 
@@ -282,13 +287,13 @@
 }
 
 TEST(CloudProtocol, MachinesAreRentedWithEveryField) {
-  EXPECT_EQ(wire::write_scale_out_request({"r-7", "g8", "b", true, 3}),
+  EXPECT_EQ(wire::scale_out_request({"r-7", "g8", "b", true, 3}),
             R"({"Charter":"r-7","Frame":"g8","Yard":"b","Loaners":true,"Count":3})");
   EXPECT_EQ(wire::parse_scale_out_response(R"({"Rigs":["n-1","n-2"]})"), (Texts{"n-1", "n-2"}));
 }
 
 TEST(CloudProtocol, MachinesAreGivenBackByTheirNames) {
-  EXPECT_EQ(wire::delete_request({"n-1", "n-2"}), R"({"Rigs":["n-1","n-2"]})");
+  EXPECT_EQ(wire::deletion_request({"n-1", "n-2"}), R"({"Rigs":["n-1","n-2"]})");
 }
 
 TEST(CloudProtocol, EveryFieldAndStateOfListedMachinesIsRead) {
@@ -347,7 +352,7 @@
 }
 
 TEST(StateProtocol, AStoredValueAndARevisionAreRead) {
-  const auto value = wire::parse_stored(R"({"K":"leader","Mark":17,"Data":{"node":"n0"}})");
+  const auto value = wire::parse_stored_value(R"({"K":"leader","Mark":17,"Data":{"node":"n0"}})");
   ASSERT_TRUE(value);
   EXPECT_EQ(value->key, "leader");
   EXPECT_EQ(value->data, R"({"node":"n0"})");
@@ -356,7 +361,7 @@
 }
 
 TEST(StateProtocol, APageOfStoredValuesIsRead) {
-  const auto page = wire::parse_range(
+  const auto page = wire::parse_range_response(
       R"({"Rows":[{"K":"jobs/j-1","Mark":17,"Data":{"n":1}},{"K":"jobs/j-2","Mark":16,)"
       R"("Data":{"n":2}}],"HasNext":true,"LedgerTurn":18})");
   ASSERT_TRUE(page);
@@ -371,9 +376,9 @@
 }
 
 TEST(StateProtocol, ChangesOfAWatchAreRead) {
-  const auto page =
-      wire::parse_watch(R"({"LedgerTurn":20,"News":[{"Write":"jobs/j-1","Mark":19,"Data":{"n":1}},)"
-                        R"({"Remove":"jobs/j-2","Mark":20}]})");
+  const auto page = wire::parse_watch_response(
+      R"({"LedgerTurn":20,"News":[{"Write":"jobs/j-1","Mark":19,"Data":{"n":1}},)"
+      R"({"Remove":"jobs/j-2","Mark":20}]})");
   ASSERT_TRUE(page);
   EXPECT_EQ(page->revision, 20U);
   ASSERT_EQ(page->items.size(), 2U);
@@ -393,7 +398,7 @@
 
 TEST(StateProtocol, ALeaseIsRequestedWithItsLifeAndItsNumberIsRead) {
   EXPECT_EQ(wire::lease_request(9500), R"({"LifeMs":9500})");
-  EXPECT_EQ(wire::parse_lease(R"({"Hold":77})"), 77U);
+  EXPECT_EQ(wire::parse_lease_id(R"({"Hold":77})"), 77U);
 }
 
 // Methods and paths of the requests that the clients send.
@@ -475,7 +480,7 @@
     c.reactor.run_until(c.reactor.now() + 10);
     return renting.take().kind;
   };
-  EXPECT_EQ(kind_for(R"({"error":"trouble"})"), cloud::ScaleOutResult::Kind::refused);
+  EXPECT_EQ(kind_for(R"({"error":"trouble"})"), cloud::ScaleOutResult::Kind::rejected);
   EXPECT_EQ(kind_for(R"({"error":"no capacity"})"), cloud::ScaleOutResult::Kind::no_capacity);
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,7 +2,11 @@
 
 #include "control/job_record.hpp"
 #include "fixtures.hpp"
-#include "wire/messages.hpp"
+#include "wire/agent_protocol.hpp"
+#include "wire/client_api.hpp"
+#include "wire/cloud_api.hpp"
+#include "wire/json.hpp"
+#include "wire/store_api.hpp"
 
 namespace cranklock::wire {
 namespace {
@@ -20,15 +24,14 @@
   const JsonDocument document(text);
   if (!document.is_object()) return "not an object";
   const auto parsed = parse_job(document.root());
-  const auto* why = std::get_if<std::string>(&parsed);
-  return why != nullptr ? *why : "";
+  return parsed ? "" : to_string(parsed.error());
 }
 
 TEST(Wire, NeededJobsAreReadOnceEachAndCheckedForForm) {
   std::string text = kJob;
   text.replace(text.find("\"Later\":1"), 9, R"("WaitsOn":["j-2","j-1","j-2"])");
   const JsonDocument document(text);
-  const auto job = std::get<JobSpec>(parse_job(document.root()));
+  const auto job = parse_job(document.root()).value();
   EXPECT_EQ(job.dependencies, (std::vector<std::string>{"j-2", "j-1"}));
   for (const char* bad : {R"("j-1")", R"([1])", R"(["x"])", R"({})", "7"}) {
     EXPECT_NE(reason(kJob, "\"Later\":1", std::string("\"WaitsOn\":") + bad).find("WaitsOn"),
@@ -45,7 +48,7 @@
 TEST(Wire, AJobSurvivesTheWayThroughTheStateService) {
   const JsonDocument document(kJob);
   sched::Job job;
-  job.spec = std::get<JobSpec>(parse_job(document.root()));
+  job.spec = parse_job(document.root()).value();
   EXPECT_EQ(job.spec.types, std::vector<std::string>{"g8"});
   EXPECT_EQ(job.spec.zone, "");
   job.created_ms = 123456789012;
@@ -138,7 +141,7 @@
       R"({"Rig":"n-1","Address":"a","Frame":"g","Yard":"a","Loaners":true,"Shift":1,"Tick":1,
           "KeyTurn":0,"Teeth":[{"Tooth":"j-1","Crank":1,"Stance":"running"}]})"));
   EXPECT_FALSE(parse_compare_and_swap_response("{}"));
-  EXPECT_FALSE(parse_watch(R"({"LedgerTurn":1,"News":[{"Write":"a","Mark":1}]})"));
+  EXPECT_FALSE(parse_watch_response(R"({"LedgerTurn":1,"News":[{"Write":"a","Mark":1}]})"));
   EXPECT_FALSE(parse_machine_page(R"({"Rigs":[{"Id":"n-1"}]})"));
   EXPECT_FALSE(parse_scale_out_response(R"({"Rigs":[1]})"));
 }
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -9,7 +9,9 @@
 
 #include "net/http.hpp"
 #include "sched/cluster_state.hpp"
-#include "wire/messages.hpp"
+#include "wire/agent_protocol.hpp"
+#include "wire/json.hpp"
+#include "wire/types.hpp"
 
 namespace cranklock::testing {
 
