--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -169,7 +169,7 @@
   const auto id = job_of_key(value.key);
   const Job* known = context_.cluster.job(id);
   if (known != nullptr && value.revision <= known->revision) return;
-  if (value.data.empty()) {
+  if (value.is_removed()) {
     if (known != nullptr) context_.cluster.remove_job(id);
     return;
   }
--- a/src/wire/store_api.cpp
+++ b/src/wire/store_api.cpp
@@ -29,7 +29,7 @@
 
 void write_mutation(JsonWriter& writer, const Mutation& mutation) {
   writer.begin();
-  if (mutation.data.empty()) {
+  if (mutation.is_removal()) {
     writer.key("Remove").text(mutation.key);
   } else {
     writer.key("Write").text(mutation.key);
--- a/src/wire/store_api.hpp
+++ b/src/wire/store_api.hpp
@@ -15,6 +15,8 @@
   std::string key;
   std::string data;  ///< JSON; empty: the key was removed
   std::uint64_t revision = 0;
+
+  bool is_removed() const { return data.empty(); }
 };
 
 /// Condition of a compare-and-swap: the key is at this revision; 0: it does not exist.
@@ -26,6 +28,8 @@
   std::string key;
   std::string data;         ///< JSON; empty: the key is removed
   std::uint64_t lease = 0;  ///< with which the key ends; 0: none
+
+  bool is_removal() const { return data.empty(); }
 };
 std::string compare_and_swap_request(const std::vector<Compare>& compares,
                                      const std::vector<Mutation>& mutations);
--- a/tests/share_simulation.cpp
+++ b/tests/share_simulation.cpp
@@ -24,7 +24,7 @@
   if (!result.failed_keys.empty()) return result;
   result.revision = ++revision_;
   for (const auto& change : transaction.mutations) {
-    if (change.data.empty()) {
+    if (change.is_removal()) {
       values_.erase(change.key);
     } else {
       values_[change.key] = {change.data, revision_};
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -1,6 +1,7 @@
 // What the key-value store's answers mean for each request.
 #include <gtest/gtest.h>
 
+#include "fixed_reply.hpp"
 #include "store/client.hpp"
 #include "test_cluster.hpp"
 
@@ -10,15 +11,9 @@
 using net::Reply;
 using testing::FakeReactor;
 
-/// Gives every call the same reply.
-struct FixedReply : net::Transport {
-  Reply reply;
-  net::Task<Reply> call(std::string, net::Request, double) override { co_return reply; }
-};
-
 struct StoreClientTest : ::testing::Test {
   FakeReactor reactor;
-  FixedReply transport;
+  testing::FixedReply transport;
   base::Settings settings = testing::small_settings();
   Client client{reactor, transport, settings};
 
@@ -32,9 +27,7 @@
     return operation.take();
   }
   void answer(int status, std::string body = R"({"LedgerTurn":7})") {
-    transport.reply.kind = Reply::Kind::answered;
-    transport.reply.response.status = status;
-    transport.reply.response.body = std::move(body);
+    transport.answer(status, std::move(body));
   }
   Status compare_and_swap(std::vector<wire::Mutation> mutations = {{"key", "1", 0}}) {
     return result_of(client.compare_and_swap({{"key", 1}}, std::move(mutations), 5)).status;
@@ -71,14 +64,14 @@
 }
 
 TEST_F(StoreClientTest, WhatWasNotSentIsRejected) {
-  transport.reply.kind = Reply::Kind::not_sent;
+  transport.fail(Reply::Kind::not_sent);
   EXPECT_EQ(compare_and_swap(), Status::rejected);
   EXPECT_EQ(read(), Status::rejected);
   EXPECT_EQ(renew_lease(), Status::rejected);
 }
 
 TEST_F(StoreClientTest, WithoutAnAnswerOrWithAnUnexpectedOneTheResultIsIndeterminate) {
-  transport.reply.kind = Reply::Kind::unknown;
+  transport.fail(Reply::Kind::unknown);
   EXPECT_EQ(compare_and_swap(), Status::indeterminate);
   EXPECT_EQ(read(), Status::indeterminate);
   EXPECT_EQ(renew_lease(), Status::indeterminate);
@@ -127,5 +120,35 @@
   EXPECT_EQ(client.max_value_bytes(), max_value_bytes);
 }
 
+TEST_F(StoreClientTest, ARequestThatWouldWaitBeyondItsTimeLimitIsRejectedUnsent) {
+  answer(429);
+  read();  // empties the rate limits
+  answer(200);
+  const int calls = transport.calls;
+  EXPECT_EQ(result_of(client.read("key", 0.001)).status, Status::rejected);
+  EXPECT_EQ(transport.calls, calls);
+}
+
+TEST_F(StoreClientTest, ARequestWaitsForTheRateLimitWithinItsTimeLimit) {
+  answer(429);
+  read();
+  const int calls = transport.calls;
+  auto reading = client.read("key", 5);
+  reading.start();
+  EXPECT_EQ(transport.calls, calls);
+  reactor.run_until(reactor.now() + 5);
+  EXPECT_EQ(transport.calls, calls + 1);
+}
+
+TEST_F(StoreClientTest, LeasesAndSharedChangesDoNotWaitForTheRateLimit) {
+  answer(429);
+  read();
+  const int calls = transport.calls;
+  result_of(client.renew_lease(77, 0.001));
+  result_of(client.grant_lease(10, 0.001));
+  result_of(client.changes_since("jobs/", 1, 0.001));
+  EXPECT_EQ(transport.calls, calls + 3);
+}
+
 }  // namespace
 }  // namespace cranklock::store
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -134,6 +134,39 @@
   EXPECT_NE(reason(kJob, "[\"g8\"]", "[8]").find("Frames"), std::string::npos);
 }
 
+TEST(Wire, OfSeveralMalformedFieldsTheFirstIsNamed) {
+  std::string text = kJob;
+  for (const auto* field : {"\"Crew\":\"vision\"", "\"Rank\":\"high\"", "\"OneZone\":true"}) {
+    text.replace(text.find(field), std::string(field).size(), "\"Other\":1");
+  }
+  const JsonDocument document(text);
+  const auto job = parse_job(document.root());
+  ASSERT_FALSE(job.has_value());
+  EXPECT_EQ(job.error().field, "Crew");
+  EXPECT_EQ(job.error().expectation, "a team");
+}
+
+TEST(Wire, AFieldThatIsAbsentNullOrOfAnotherTypeIsNone) {
+  const JsonDocument document(
+      R"({"text":"a","number":1.5,"negative":-1,"count":7,"flag":true,"null":null,
+          "texts":["a","b"],"mixed":["a",1]})");
+  const Json& object = document.root();
+  EXPECT_EQ(find(object, "absent"), nullptr);
+  EXPECT_EQ(find(object, "null"), nullptr);
+  EXPECT_EQ(read_text(object, "text"), "a");
+  EXPECT_FALSE(read_text(object, "number"));
+  EXPECT_EQ(read_amount(object, "number"), 1.5);
+  EXPECT_FALSE(read_amount(object, "text"));
+  EXPECT_EQ(read_count(object, "count"), 7U);
+  EXPECT_FALSE(read_count(object, "negative"));
+  EXPECT_FALSE(read_count(object, "number"));
+  EXPECT_EQ(read_flag(object, "flag"), true);
+  EXPECT_FALSE(read_flag(object, "count"));
+  EXPECT_EQ(read_texts(object, "texts"), (std::vector<std::string>{"a", "b"}));
+  EXPECT_FALSE(read_texts(object, "mixed"));
+  EXPECT_FALSE(read_texts(object, "text"));
+}
+
 TEST(Wire, MalformedReportsAndAnswersAreNothing) {
   EXPECT_FALSE(parse_heartbeat("[]"));
   EXPECT_FALSE(parse_heartbeat(R"({"Rig":"n-1"})"));
