--- /dev/null
+++ b/tests/store_client_test.cpp
@@ -0,0 +1,154 @@
+// What the key-value store's answers mean for each request.
+#include <gtest/gtest.h>
+
+#include "fixed_reply.hpp"
+#include "store/client.hpp"
+#include "test_cluster.hpp"
+
+namespace cranklock::store {
+namespace {
+
+using net::Reply;
+using testing::FakeReactor;
+
+struct StoreClientTest : ::testing::Test {
+  FakeReactor reactor;
+  testing::FixedReply transport;
+  base::Settings settings = testing::small_settings();
+  Client client{reactor, transport, settings};
+
+  StoreClientTest() { reactor.run_until(100); }
+
+  template <typename Result>
+  Result result_of(net::Task<Result> operation) {
+    operation.start();
+    reactor.run_until(reactor.now() + 10);
+    EXPECT_TRUE(operation.done());
+    return operation.take();
+  }
+  void answer(int status, std::string body = R"({"LedgerTurn":7})") {
+    transport.answer(status, std::move(body));
+  }
+  Status compare_and_swap(std::vector<wire::Mutation> mutations = {{"key", "1", 0}}) {
+    return result_of(client.compare_and_swap({{"key", 1}}, std::move(mutations), 5)).status;
+  }
+  Status read() { return result_of(client.read("key", 5)).status; }
+  Status read_page() { return result_of(client.read_page("jobs/", "", 7, 5)).status; }
+  Status changes_since() { return result_of(client.changes_since("jobs/", 1, 5)).status; }
+  Status watch() { return result_of(client.watch("jobs/", 1, 2)).status; }
+  Status renew_lease() { return result_of(client.renew_lease(77, 5)); }
+};
+
+TEST_F(StoreClientTest, ANegativeAnswerMeansWhatTheRequestAskedFor) {
+  for (const int status : {404, 409, 410}) {
+    answer(status);
+    EXPECT_EQ(compare_and_swap(), Status::precondition_failed) << status;
+    EXPECT_EQ(read(), Status::not_found) << status;
+    EXPECT_EQ(read_page(), Status::not_found) << status;
+    EXPECT_EQ(changes_since(), Status::compacted) << status;
+    EXPECT_EQ(watch(), Status::compacted) << status;
+    EXPECT_EQ(renew_lease(), Status::not_found) << status;
+  }
+}
+
+TEST_F(StoreClientTest, WhatTheStoreTurnsAwayIsRejected) {
+  for (const int status : {400, 429, 503}) {
+    answer(status);
+    EXPECT_EQ(compare_and_swap(), Status::rejected) << status;
+    EXPECT_EQ(read(), Status::rejected) << status;
+    EXPECT_EQ(read_page(), Status::rejected) << status;
+    EXPECT_EQ(changes_since(), Status::rejected) << status;
+    EXPECT_EQ(watch(), Status::rejected) << status;
+    EXPECT_EQ(renew_lease(), Status::rejected) << status;
+  }
+}
+
+TEST_F(StoreClientTest, WhatWasNotSentIsRejected) {
+  transport.fail(Reply::Kind::not_sent);
+  EXPECT_EQ(compare_and_swap(), Status::rejected);
+  EXPECT_EQ(read(), Status::rejected);
+  EXPECT_EQ(renew_lease(), Status::rejected);
+}
+
+TEST_F(StoreClientTest, WithoutAnAnswerOrWithAnUnexpectedOneTheResultIsIndeterminate) {
+  transport.fail(Reply::Kind::unknown);
+  EXPECT_EQ(compare_and_swap(), Status::indeterminate);
+  EXPECT_EQ(read(), Status::indeterminate);
+  EXPECT_EQ(renew_lease(), Status::indeterminate);
+  for (const int status : {201, 204, 301, 401, 403, 500, 502, 504}) {
+    answer(status);
+    EXPECT_EQ(compare_and_swap(), Status::indeterminate) << status;
+    EXPECT_EQ(read(), Status::indeterminate) << status;
+    EXPECT_EQ(watch(), Status::indeterminate) << status;
+    EXPECT_EQ(renew_lease(), Status::indeterminate) << status;
+  }
+}
+
+TEST_F(StoreClientTest, AMalformedAnswerTellsNothing) {
+  answer(200, "nonsense");
+  EXPECT_EQ(compare_and_swap(), Status::indeterminate);
+  EXPECT_EQ(read(), Status::indeterminate);
+  EXPECT_EQ(read_page(), Status::indeterminate);
+  EXPECT_EQ(watch(), Status::indeterminate);
+  answer(409, "nonsense");
+  EXPECT_EQ(compare_and_swap(), Status::indeterminate);
+}
+
+TEST_F(StoreClientTest, OnlyTheStoresOwn404SaysThatAKeyIsAbsent) {
+  answer(404, "no such page");
+  EXPECT_EQ(read(), Status::indeterminate);
+}
+
+TEST_F(StoreClientTest, AnAnswerAboutAnotherKeyIsNotTaken) {
+  answer(200, R"({"K":"other","Mark":3,"Data":{}})");
+  EXPECT_EQ(read(), Status::indeterminate);
+}
+
+TEST_F(StoreClientTest, ATransactionRefusedAsMalformedLowersTheLimits) {
+  const auto max_value_bytes = client.max_value_bytes();
+  const auto max_mutations = client.max_mutations();
+  answer(400);
+  compare_and_swap();
+  EXPECT_EQ(client.max_value_bytes(), max_value_bytes / 2);
+  EXPECT_EQ(client.max_mutations(), max_mutations / 2);
+}
+
+TEST_F(StoreClientTest, ATransactionWithALeaseLeavesTheLimits) {
+  const auto max_value_bytes = client.max_value_bytes();
+  answer(400);
+  compare_and_swap({{"leader", "1", 77}});
+  EXPECT_EQ(client.max_value_bytes(), max_value_bytes);
+}
+
+TEST_F(StoreClientTest, ARequestThatWouldWaitBeyondItsTimeLimitIsRejectedUnsent) {
+  answer(429);
+  read();  // empties the rate limits
+  answer(200);
+  const int calls = transport.calls;
+  EXPECT_EQ(result_of(client.read("key", 0.001)).status, Status::rejected);
+  EXPECT_EQ(transport.calls, calls);
+}
+
+TEST_F(StoreClientTest, ARequestWaitsForTheRateLimitWithinItsTimeLimit) {
+  answer(429);
+  read();
+  const int calls = transport.calls;
+  auto reading = client.read("key", 5);
+  reading.start();
+  EXPECT_EQ(transport.calls, calls);
+  reactor.run_until(reactor.now() + 5);
+  EXPECT_EQ(transport.calls, calls + 1);
+}
+
+TEST_F(StoreClientTest, LeasesAndSharedChangesDoNotWaitForTheRateLimit) {
+  answer(429);
+  read();
+  const int calls = transport.calls;
+  result_of(client.renew_lease(77, 0.001));
+  result_of(client.grant_lease(10, 0.001));
+  result_of(client.changes_since("jobs/", 1, 0.001));
+  EXPECT_EQ(transport.calls, calls + 3);
+}
+
+}  // namespace
+}  // namespace cranklock::store
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,7 +2,11 @@
 
 #include "control/job_record.hpp"
 #include "fixtures.hpp"
-#include "wire/messages.hpp"
+#include "wire/agent_protocol.hpp"
+#include "wire/client_api.hpp"
+#include "wire/cloud_api.hpp"
+#include "wire/json.hpp"
+#include "wire/store_api.hpp"
 
 namespace cranklock::wire {
 namespace {
@@ -20,15 +24,14 @@
   const JsonDocument document(text);
   if (!document.is_object()) return "not an object";
   const auto parsed = parse_job(document.root());
-  const auto* why = std::get_if<std::string>(&parsed);
-  return why != nullptr ? *why : "";
+  return parsed ? "" : to_string(parsed.error());
 }
 
 TEST(Wire, NeededJobsAreReadOnceEachAndCheckedForForm) {
   std::string text = kJob;
   text.replace(text.find("\"Later\":1"), 9, R"("WaitsOn":["j-2","j-1","j-2"])");
   const JsonDocument document(text);
-  const auto job = std::get<JobSpec>(parse_job(document.root()));
+  const auto job = parse_job(document.root()).value();
   EXPECT_EQ(job.dependencies, (std::vector<std::string>{"j-2", "j-1"}));
   for (const char* bad : {R"("j-1")", R"([1])", R"(["x"])", R"({})", "7"}) {
     EXPECT_NE(reason(kJob, "\"Later\":1", std::string("\"WaitsOn\":") + bad).find("WaitsOn"),
@@ -45,7 +48,7 @@
 TEST(Wire, AJobSurvivesTheWayThroughTheStateService) {
   const JsonDocument document(kJob);
   sched::Job job;
-  job.spec = std::get<JobSpec>(parse_job(document.root()));
+  job.spec = parse_job(document.root()).value();
   EXPECT_EQ(job.spec.types, std::vector<std::string>{"g8"});
   EXPECT_EQ(job.spec.zone, "");
   job.created_ms = 123456789012;
@@ -131,6 +134,39 @@
   EXPECT_NE(reason(kJob, "[\"g8\"]", "[8]").find("Frames"), std::string::npos);
 }
 
+TEST(Wire, OfSeveralMalformedFieldsTheFirstIsNamed) {
+  std::string text = kJob;
+  for (const auto* field : {"\"Crew\":\"vision\"", "\"Rank\":\"high\"", "\"OneZone\":true"}) {
+    text.replace(text.find(field), std::string(field).size(), "\"Other\":1");
+  }
+  const JsonDocument document(text);
+  const auto job = parse_job(document.root());
+  ASSERT_FALSE(job.has_value());
+  EXPECT_EQ(job.error().field, "Crew");
+  EXPECT_EQ(job.error().expectation, "a team");
+}
+
+TEST(Wire, AFieldThatIsAbsentNullOrOfAnotherTypeIsNone) {
+  const JsonDocument document(
+      R"({"text":"a","number":1.5,"negative":-1,"count":7,"flag":true,"null":null,
+          "texts":["a","b"],"mixed":["a",1]})");
+  const Json& object = document.root();
+  EXPECT_EQ(find(object, "absent"), nullptr);
+  EXPECT_EQ(find(object, "null"), nullptr);
+  EXPECT_EQ(read_text(object, "text"), "a");
+  EXPECT_FALSE(read_text(object, "number"));
+  EXPECT_EQ(read_amount(object, "number"), 1.5);
+  EXPECT_FALSE(read_amount(object, "text"));
+  EXPECT_EQ(read_count(object, "count"), 7U);
+  EXPECT_FALSE(read_count(object, "negative"));
+  EXPECT_FALSE(read_count(object, "number"));
+  EXPECT_EQ(read_flag(object, "flag"), true);
+  EXPECT_FALSE(read_flag(object, "count"));
+  EXPECT_EQ(read_texts(object, "texts"), (std::vector<std::string>{"a", "b"}));
+  EXPECT_FALSE(read_texts(object, "mixed"));
+  EXPECT_FALSE(read_texts(object, "text"));
+}
+
 TEST(Wire, MalformedReportsAndAnswersAreNothing) {
   EXPECT_FALSE(parse_heartbeat("[]"));
   EXPECT_FALSE(parse_heartbeat(R"({"Rig":"n-1"})"));
@@ -138,7 +174,7 @@
       R"({"Rig":"n-1","Address":"a","Frame":"g","Yard":"a","Loaners":true,"Shift":1,"Tick":1,
           "KeyTurn":0,"Teeth":[{"Tooth":"j-1","Crank":1,"Stance":"running"}]})"));
   EXPECT_FALSE(parse_compare_and_swap_response("{}"));
-  EXPECT_FALSE(parse_watch(R"({"LedgerTurn":1,"News":[{"Write":"a","Mark":1}]})"));
+  EXPECT_FALSE(parse_watch_response(R"({"LedgerTurn":1,"News":[{"Write":"a","Mark":1}]})"));
   EXPECT_FALSE(parse_machine_page(R"({"Rigs":[{"Id":"n-1"}]})"));
   EXPECT_FALSE(parse_scale_out_response(R"({"Rigs":[1]})"));
 }
