--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -29,9 +29,9 @@
 /// Only durable placements are started (invariant 2), and none that a start may already have
 /// reached (invariant 5).
 bool is_start_due(const Job& job, const Placement& placement, PermittedCommands permitted) {
-  return permitted.start && !job.cancelled() && job.dependencies_met && placement.durable &&
-         !placement.ended && !placement.stop && !placement.seen && placement.start_epoch == 0 &&
-         placement.unconfirmed_start_epoch == 0;
+  return permitted.start && !job.cancelled() && job.dependencies_met && placement.durable() &&
+         !placement.ended && !placement.stop && !placement.seen &&
+         placement.start_carrier.epoch == 0 && placement.unconfirmed_start_epoch == 0;
 }
 
 /// A placement that is drained is stopped in responses to heartbeats alone (invariant 19).
@@ -43,10 +43,10 @@
 
 /// Whether the agent can be expected to answer.
 bool is_reachable(const Machine& machine, double heartbeat_interval_s, double now) {
-  if (!machine.heartbeat_received || machine.lease_expired) return false;
-  if (machine.terminating || machine.address.empty()) return false;
+  if (!machine.agent.heartbeat_received || machine.lease.expired) return false;
+  if (machine.cloud.terminating || machine.address.empty()) return false;
   // Guards against indeterminate starts on machines that may be gone.
-  return now - machine.last_heartbeat <= 2 * heartbeat_interval_s;
+  return now - machine.agent.last_heartbeat <= 2 * heartbeat_interval_s;
 }
 
 }  // namespace
@@ -85,8 +85,8 @@
     const wire::TaskName task{job.spec.id, placement.task};
     if (is_start_due(job, placement, permitted)) {
       commands.push_back({wire::CommandKind::start, task, placement.attempt, 0});
-      placement.unconfirmed_start_epoch = machine.agent_epoch;
-      machine.indeterminate_starts.insert({task, placement.attempt});
+      placement.unconfirmed_start_epoch = machine.agent.newest_message.epoch;
+      machine.agent.indeterminate_starts.insert({task, placement.attempt});
     } else if (is_stop_due(job, placement, permitted)) {
       const double grace_s = job.cancelled() ? 0 : placement.grace_s;
       commands.push_back({wire::CommandKind::stop, task, placement.attempt, grace_s});
@@ -101,22 +101,23 @@
                                    const std::optional<wire::Heartbeat>& heartbeat) {
   for (const auto& command : commands) {
     if (command.kind != wire::CommandKind::start) continue;
-    if (machine.agent_epoch == agent_epoch) {
-      machine.indeterminate_starts.erase({command.task, command.attempt});
+    if (machine.agent.newest_message.epoch == agent_epoch) {
+      machine.agent.indeterminate_starts.erase({command.task, command.attempt});
     }
     Job* job = context_.cluster.job(command.task.job);
     auto* placement = job != nullptr ? job->find(command.task.index, command.attempt) : nullptr;
     if (placement == nullptr) continue;
     placement->unconfirmed_start_epoch = 0;
     if (!heartbeat) continue;
-    placement->start_epoch = std::max(placement->start_epoch, heartbeat->agent_epoch);
-    placement->start_sequence = std::max(placement->start_sequence, heartbeat->sequence);
+    auto& [start_epoch, start_sequence] = placement->start_carrier;
+    start_epoch = std::max(start_epoch, heartbeat->agent_epoch);
+    start_sequence = std::max(start_sequence, heartbeat->sequence);
   }
 }
 
 Task<void> CommandSender::send_to(std::string machine_id) {
   Machine* machine = context_.cluster.machine(machine_id);
-  const std::uint64_t agent_epoch = machine->agent_epoch;
+  const std::uint64_t agent_epoch = machine->agent.newest_message.epoch;
   const std::uint64_t fencing_token = context_.lease.fencing_token();
   const auto commands = take_due_commands(*machine);
   if (commands.empty()) {
@@ -174,9 +175,10 @@
   const auto& settings = context_.services.settings;
   std::vector<std::string> due;
   for (const auto& [id, machine] : context_.cluster.machines()) {
-    if (machine.token_acknowledged || machine.terminating || machine.failed) continue;
-    if (machine.address.empty() || !machine.listed || machine.booting) continue;
-    if (now - machine.last_heartbeat < 2 * settings.heartbeat_interval_s) continue;
+    if (machine.agent.token_acknowledged || machine.cloud.terminating || machine.cloud.failed)
+      continue;
+    if (machine.address.empty() || !machine.cloud.listed || machine.cloud.booting) continue;
+    if (now - machine.agent.last_heartbeat < 2 * settings.heartbeat_interval_s) continue;
     const auto last = announced_at_.find(id);
     if (last != announced_at_.end() && now - last->second < settings.lease_s / 3) continue;
     due.push_back(id);
@@ -191,7 +193,7 @@
   for (int tries = 0; tries < kMaxTries; ++tries) {
     const Machine* machine = context_.cluster.machine(machine_id);
     if (machine == nullptr || !context_.lease.valid(context_.now())) break;
-    if (machine->agent_epoch != 0) agent_epoch = machine->agent_epoch;
+    if (machine->agent.newest_message.epoch != 0) agent_epoch = machine->agent.newest_message.epoch;
     net::Request request{"POST", "/commands", "",
                          wire::commands_request(fencing_token, agent_epoch, {}), true};
     auto calling = context_.services.transport.call(
--- a/src/control/job_api.cpp
+++ b/src/control/job_api.cpp
@@ -250,7 +250,7 @@
 Task<Status> JobApi::write_cancellation(std::string id, const StoredJob& found) {
   auto main_value = with_cancellation(found.main_value, services_.reactor.wall_ms());
   if (!main_value) co_return Status::refused;
-  std::vector<wire::Compare> compares{{job_key(id), found.job.revision}};
+  std::vector<wire::Compare> compares{{job_key(id), found.job.record.revision}};
   std::vector<wire::Mutation> mutations{{job_key(id), std::move(*main_value), 0}};
   auto writing = services_.store.compare_and_swap(std::move(compares), std::move(mutations),
                                                   kUserTimeout, store::Client::Priority::user);
--- a/src/control/job_lookup.cpp
+++ b/src/control/job_lookup.cpp
@@ -17,7 +17,7 @@
   StoredJob found;
   found.state = StoredJob::State::live;
   found.job = std::move(*job);
-  found.job.revision = value.revision;
+  found.job.record.revision = value.revision;
   found.main_value = std::move(value.data);
   return found;
 }
--- a/src/control/job_lookup.hpp
+++ b/src/control/job_lookup.hpp
@@ -33,7 +33,7 @@
 
   /// Whether a task of a live job was placed. None can have been before all dependencies were done.
   bool started() const {
-    return !job.placements.empty() || job.done.size() > 0 || job.stored_parts > 0;
+    return !job.placements.empty() || job.done.size() > 0 || job.record.parts > 0;
   }
   bool cancelled() const {
     if (state == State::live) return job.cancelled();
--- a/src/control/job_record.cpp
+++ b/src/control/job_record.cpp
@@ -57,7 +57,7 @@
 ItemList format_placements(const sched::Job& job) {
   ItemList list{kPlacementsField, {}};
   for (const auto& placement : job.placements) {
-    if (placement.ended || placement.abandoned) continue;
+    if (placement.ended || placement.abandoned()) continue;
     list.items.push_back("[" + std::to_string(placement.task) + "," +
                          std::to_string(placement.attempt) + ",\"" + placement.machine + "\"]");
   }
@@ -88,7 +88,7 @@
   writer.key(kCancelledField).integer(job.cancelled_at_ms);
   writer.key(kLastAttemptField).count(job.last_attempt);
   // The revision that a write is conditional on identifies it: one write succeeds for each.
-  writer.key(kGenerationField).count(job.revision);
+  writer.key(kGenerationField).count(job.record.revision);
   writer.end();
   std::string value = writer.take();
   value.pop_back();
@@ -97,7 +97,7 @@
 
 /// A part without its lists and its closing brace.
 std::string begin_part(const sched::Job& job) {
-  return "{" + field_text(kGenerationField) + std::to_string(job.revision);
+  return "{" + field_text(kGenerationField) + std::to_string(job.record.revision);
 }
 
 // Reading.
@@ -121,7 +121,7 @@
     placement.task = item[0].GetUint();
     placement.attempt = item[1].GetUint64();
     placement.machine = item[2].GetString();
-    placement.durable = true;
+    placement.write = sched::PlacementWrite::durable;
     job.placements.push_back(std::move(placement));
   }
   return true;
@@ -181,8 +181,8 @@
   job.created_ms = static_cast<std::int64_t>(*created_ms);
   job.cancelled_at_ms = static_cast<std::int64_t>(*cancelled_at_ms);
   job.last_attempt = *last_attempt;
-  job.generation = wire::read_count(value, kGenerationField).value_or(0);
-  job.stored_parts = static_cast<int>(*part_count);
+  job.record.generation = wire::read_count(value, kGenerationField).value_or(0);
+  job.record.parts = static_cast<int>(*part_count);
   if (const auto error = add_lists(value, job)) return base::Failure(*error);
   return job;
 }
@@ -192,7 +192,8 @@
   if (!document.is_object()) return PartStatus::malformed;
   // A cancellation changes the main value alone, and with it that one's revision.
   const auto generation = wire::read_count(document.root(), kGenerationField).value_or(0);
-  const bool same_write = generation != 0 ? generation == job.generation : revision == job.revision;
+  const bool same_write =
+      generation != 0 ? generation == job.record.generation : revision == job.record.revision;
   if (!same_write) return PartStatus::of_another_write;
   return add_lists(document.root(), job) ? PartStatus::malformed : PartStatus::added;
 }
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -56,8 +56,8 @@
     log_malformed(value.key, job.error());
     co_return true;
   }
-  job->revision = value.revision;
-  if (job->stored_parts > 0) {
+  job->record.revision = value.revision;
+  if (job->record.parts > 0) {
     auto reading = reloader_.read_parts(*job);
     if (co_await reading == RecordRead::unavailable) {
       // It changed while it was read: read it again by itself.
@@ -150,7 +150,8 @@
 // Cancels the job if this change is its cancellation; returns whether it is.
 bool JobWatcher::cancel_at_once(const wire::StoredValue& value) {
   Job* known = context_.cluster.job(job_of_key(value.key));
-  if (known == nullptr || value.revision <= known->revision || known->cancelled()) return false;
+  if (known == nullptr || value.revision <= known->record.revision || known->cancelled())
+    return false;
   const auto cancelled_at_ms = read_cancelled_at_ms(value.data);
   if (cancelled_at_ms == 0) return false;
   context_.cluster.cancel(*known, cancelled_at_ms, cancelled_since(cancelled_at_ms));
@@ -168,7 +169,7 @@
 void JobWatcher::apply_change(const wire::StoredValue& value) {
   const auto id = job_of_key(value.key);
   const Job* known = context_.cluster.job(id);
-  if (known != nullptr && value.revision <= known->revision) return;
+  if (known != nullptr && value.revision <= known->record.revision) return;
   if (value.data.empty()) {
     if (known != nullptr) context_.cluster.remove_job(id);
     return;
@@ -178,11 +179,11 @@
     log_malformed(value.key, job.error());
     return;
   }
-  if (job->stored_parts > 0) {
+  if (job->record.parts > 0) {
     reloader_.request(id);
     return;
   }
-  job->revision = value.revision;
+  job->record.revision = value.revision;
   if (known == nullptr) {
     callbacks_.job_accepted();
     log_accepted(job->spec);
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -150,9 +150,9 @@
     return response;
   }
   const auto* before = cluster_.machine(heartbeat.machine);
-  const bool was_quarantined = before != nullptr && before->quarantined;
+  const bool was_quarantined = before != nullptr && before->quarantined();
   const auto freshness = cluster_.reconcile_heartbeat(heartbeat, true, at);
-  if (!was_quarantined && cluster_.machine(heartbeat.machine)->quarantined) {
+  if (!was_quarantined && cluster_.machine(heartbeat.machine)->quarantined()) {
     spdlog::info("machine {} is quarantined: it fails what it starts", heartbeat.machine);
   }
   if (freshness == sched::ClusterState::Freshness::late_copy) {
@@ -197,9 +197,9 @@
   const bool own_zone = std::any_of(others.begin(), others.end(), [&](const base::Peer& peer) {
     return peer.name == forwarder && peer.zone == m->kind.zone;
   });
-  if (own_zone && until > now() && !cluster_.stopping(*m)) {
+  if (own_zone && until > now() && !m->stopping()) {
     answer.delegation_ms = static_cast<std::uint32_t>((until - now()) * 1000);
-    auto& kept = m->delegated_until[forwarder];
+    auto& kept = m->lease.delegated_until[forwarder];
     kept = std::max(kept, until);
   }
   return answer;
@@ -221,11 +221,13 @@
 bool LeaderTerm::may_redirect(const std::string& id, const std::string& forwarder) {
   Machine* m = cluster_.machine(id);
   const double at = now();
-  if (m == nullptr || !m->token_acknowledged || !cluster_.is_forwarder_reachable(forwarder, at))
+  if (m == nullptr || !m->agent.token_acknowledged ||
+      !cluster_.is_forwarder_reachable(forwarder, at))
     return false;
   // Once in a while only: a worker that comes back has found its forwarder wanting.
-  if (m->redirected_at > 0 && at - m->redirected_at < 2 * services_.settings.lease_s) return false;
-  m->redirected_at = at;
+  if (m->lease.redirected_at > 0 && at - m->lease.redirected_at < 2 * services_.settings.lease_s)
+    return false;
+  m->lease.redirected_at = at;
   return true;
 }
 
--- a/src/control/machine_lifecycle.cpp
+++ b/src/control/machine_lifecycle.cpp
@@ -49,12 +49,11 @@
   for (const auto& item : machines) {
     if (is_deleted(item.id)) continue;
     auto& m = cluster_.upsert_machine(item.id, {item.type, item.zone, item.spot}, at);
-    m.listed = true;
-    m.last_listed = at;
-    m.provisioned_at = std::min(m.provisioned_at, at - item.age_s);
+    m.cloud.listed = true;
+    m.cloud.provisioned_at = std::min(m.cloud.provisioned_at, at - item.age_s);
     if (m.address.empty()) m.address = item.address;
-    if (item.state == wire::MachineState::failed) m.failed = true;
-    m.booting = item.state == wire::MachineState::booting;
+    if (item.state == wire::MachineState::failed) m.cloud.failed = true;
+    m.cloud.booting = item.state == wire::MachineState::booting;
   }
 }
 
@@ -87,8 +86,8 @@
 }
 
 void MachineLifecycle::terminate(Machine& m, const char* why) {
-  if (m.terminating) return;
-  m.terminating = true;
+  if (m.cloud.terminating) return;
+  m.cloud.terminating = true;
   spdlog::info("machine {} ({} in {}{}) is returned: {}", m.id, m.kind.type, m.kind.zone,
                m.kind.spot ? ", spot" : "", why);
   cluster_.mark_changed();
@@ -106,7 +105,7 @@
 std::vector<std::string> MachineLifecycle::due_deletions() const {
   std::vector<std::string> names, from_start;
   for (const auto& [id, m] : cluster_.machines()) {
-    if (!m.terminating || !may_delete(m)) continue;
+    if (!m.cloud.terminating || !may_delete(m)) continue;
     auto& list = id > deletions_after_ ? names : from_start;
     if (list.size() < max_deletions_) list.push_back(id);
   }
@@ -165,35 +164,36 @@
                                      double at) {
   const auto& s = services_.settings;
   const auto* type = cluster_.type(m.kind.type);
-  if (m.failed) return terminate(m, "it has stopped on its own");
-  if (!m.heartbeat_received) {
+  if (m.cloud.failed) return terminate(m, "it has stopped on its own");
+  if (!m.agent.heartbeat_received) {
     // A list alone proves nothing; a machine that has not reported for several boot times, to a
     // leader who has been there for long enough, does no work.
     const double expected =
         type != nullptr ? cluster_.expected_boot(*type, m.kind.zone, at) : s.lease_s;
     const double patience = s.operators.boot_patience * expected;
     // Nor has one that its zone's cut keeps from reporting failed to come up.
-    if (at - m.provisioned_at > patience && at - term_started_at_ > s.lease_s * 2 &&
-        at > m.lease_grace_until) {
+    if (at - m.cloud.provisioned_at > patience && at - term_started_at_ > s.lease_s * 2 &&
+        at > m.lease.grace_until) {
       terminate(m, "it never came up");
     }
     return;
   }
-  if (m.lease_expired && at - m.last_response > 2 * s.lease_s && at > m.lease_grace_until) {
+  if (m.lease.expired && at - m.lease.last_response > 2 * s.lease_s && at > m.lease.grace_until) {
     return terminate(m, "it is silent");
   }
   // Its deletion proves what its lease would prove only later: its work starts elsewhere the
   // sooner.
   if (sched::is_reclaimed(cluster_, m, zones, at)) return terminate(m, "it is taken");
-  const bool tried = m.fault_confirmed || at - m.quarantined_since > cluster_.quarantine_period();
-  if (m.quarantined && m.idle() && tried) return terminate(m, "it fails what it starts");
-  if (!m.reclaim_at) return;
+  const bool confirmed = m.faults.quarantine == sched::Quarantine::confirmed;
+  const bool tried = confirmed || at - m.faults.quarantined_since > cluster_.quarantine_period();
+  if (m.quarantined() && m.idle() && tried) return terminate(m, "it fails what it starts");
+  if (!m.cloud.reclaim_at) return;
   // Its work moves while it still runs: what saves is told to save.
   for (const auto& held : m.tasks) {
     const auto& spec = held.job->spec;
     if (spec.checkpoint_interval_s > 0 &&
-        *m.reclaim_at - at < 2 * spec.checkpoint_save_s + 3 * s.heartbeat_interval_s) {
-      sched::ClusterState::request_stop(held.placement(), spec.checkpoint_save_s, at);
+        *m.cloud.reclaim_at - at < 2 * spec.checkpoint_save_s + 3 * s.heartbeat_interval_s) {
+      held.placement().request_stop(spec.checkpoint_save_s, at);
     }
   }
 }
@@ -207,7 +207,7 @@
     cluster_.update_overdue_boots(at);
     const auto zones = sched::count_workers(cluster_, at);
     for (auto& [id, m] : cluster_.machines()) {
-      if (!m.terminating) check_machine(m, zones, at);
+      if (!m.cloud.terminating) check_machine(m, zones, at);
     }
     check_placements(at);
   }
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -145,7 +145,7 @@
     if (result.kind == Kind::rented) {
       for (const auto& id : result.machines) {
         if (!callbacks_.is_deleted(id))
-          cluster_.upsert_machine(id, kind, now()).provisioned_here = true;
+          cluster_.upsert_machine(id, kind, now()).cloud.provisioned_here = true;
       }
       if (static_cast<int>(result.machines.size()) < count) {
         refused_until_[kind] = now() + figures.up_cooldown_s;
--- a/src/control/record_batch.cpp
+++ b/src/control/record_batch.cpp
@@ -28,12 +28,12 @@
 BatchEntry begin_entry(const Job& job) {
   BatchEntry entry;
   entry.job_id = job.spec.id;
-  entry.revision = job.revision;
+  entry.revision = job.record.revision;
   for (const auto& placement : job.placements) {
-    auto& attempts = placement.ended       ? entry.ended
-                     : placement.abandoned ? entry.abandoned
-                                           : entry.live;
-    attempts.emplace_back(placement.task, placement.attempt);
+    auto& attempts = placement.ended         ? entry.ended
+                     : placement.abandoned() ? entry.abandoned
+                                             : entry.live;
+    attempts.push_back(placement.key());
   }
   return entry;
 }
@@ -59,7 +59,7 @@
   auto values = write_record(job, max_value_bytes);
   entry.parts = static_cast<int>(values.size()) - 1;
   entry.mutations.push_back(put(job_key(entry.job_id), std::move(values[0])));
-  for (int part = 0; part < std::max(entry.parts, job.stored_parts); ++part) {
+  for (int part = 0; part < std::max(entry.parts, job.record.parts); ++part) {
     auto key = part_key(entry.job_id, part);
     entry.mutations.push_back(
         part < entry.parts
@@ -76,7 +76,7 @@
   entry.outcome = outcome;
   entry.mutations.push_back(remove(job_key(entry.job_id)));
   entry.mutations.push_back(put(outcome_key(entry.job_id), write_outcome(outcome)));
-  for (int part = 0; part < job.stored_parts; ++part) {
+  for (int part = 0; part < job.record.parts; ++part) {
     auto key = part_key(entry.job_id, part);
     if (entry.mutations.size() < max_mutations) {
       entry.mutations.push_back(remove(std::move(key)));
--- a/src/control/record_batch.hpp
+++ b/src/control/record_batch.hpp
@@ -22,19 +22,16 @@
 
 /// A job's record in a batch, and what the write of it means for the job once it is stored.
 struct BatchEntry {
-  /// A task and an attempt of it.
-  using TaskAttempt = std::pair<std::uint32_t, std::uint64_t>;
-
   std::string job_id;
   std::uint64_t revision = 0;  ///< of the stored record that it replaces
   /// The job is over: its record goes, and its outcome is written.
   bool retires_job = false;
-  JobOutcome outcome;                         ///< of a job that is over
-  std::vector<std::string> left_parts;        ///< of a job that is over: not removed with it
-  int parts = 0;                              ///< of a live job's record, besides its main value
-  std::vector<TaskAttempt> live;              ///< placements that the record names
-  std::vector<TaskAttempt> ended, abandoned;  ///< placements that it does not name any more
-  std::vector<wire::Mutation> mutations;      ///< the writes themselves
+  JobOutcome outcome;                     ///< of a job that is over
+  std::vector<std::string> left_parts;    ///< of a job that is over: not removed with it
+  int parts = 0;                          ///< of a live job's record, besides its main value
+  std::vector<sched::PlacementKey> live;  ///< placements that the record names
+  std::vector<sched::PlacementKey> ended, abandoned;  ///< placements that it does not name any more
+  std::vector<wire::Mutation> mutations;              ///< the writes themselves
 };
 
 /// The entry that writes the record of a live job.
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -49,7 +49,7 @@
 }
 
 Task<RecordRead> RecordReloader::read_parts(Job& job) {
-  for (int part = 0; part < job.stored_parts; ++part) {
+  for (int part = 0; part < job.record.parts; ++part) {
     auto reading = context_.services.store.read(part_key(job.spec.id, part), kStoreTimeout);
     const auto found = co_await reading;
     if (found.status != Status::ok) co_return RecordRead::unavailable;
@@ -71,15 +71,16 @@
     if (found.status != Status::ok) co_return RecordRead::unavailable;
     auto job = read_record(found.value.data);
     if (!job) co_return RecordRead::unavailable;
-    job->revision = found.value.revision;
+    job->record.revision = found.value.revision;
     auto reading_parts = read_parts(*job);
     const auto parts = co_await reading_parts;
     if (parts != RecordRead::complete) continue;
     // The changes may have overtaken this read. Nor does one of the same revision tell anything
     // that is not known: a write of ours without an answer may still be carried out on top of it.
     const Job* known = context_.cluster.job(id);
-    if (known != nullptr && known->revision > job->revision) continue;
-    if (known != nullptr && known->revision == job->revision) co_return RecordRead::complete;
+    if (known != nullptr && known->record.revision > job->record.revision) continue;
+    if (known != nullptr && known->record.revision == job->record.revision)
+      co_return RecordRead::complete;
     upsert_job_(std::move(*job));
     co_return RecordRead::complete;
   }
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -13,6 +13,7 @@
 
 using net::Task;
 using sched::Job;
+using sched::PlacementWrite;
 using store::Status;
 
 namespace {
@@ -69,9 +70,9 @@
     const auto result = batch.add(std::move(entry));
     if (result == RecordBatch::AddResult::batch_full) break;
     if (result == RecordBatch::AddResult::added) {
-      job->dirty = false;
-      job->dirty_since = 0;
-    } else if (!std::exchange(job->too_long, true)) {
+      job->record.dirty = false;
+      job->record.dirty_since = 0;
+    } else if (!std::exchange(job->record.too_large, true)) {
       // Guards against one record that fits nowhere, which must not hold up all others.
       base::log_error("record too large", base::field("job", job->spec.id),
                       base::field("bytes", bytes));
@@ -119,13 +120,13 @@
   }
   Job* job = context_.cluster.job(entry.job_id);
   if (job == nullptr) return;
-  job->dirty = true;
+  job->record.dirty = true;
   if (result.status != Status::unknown) return;
   for (const auto& [task, attempt] : entry.live) {
     auto* placement = job->find(task, attempt);
-    if (placement != nullptr && !placement->durable && !placement->ended) {
-      placement->write_unresolved = true;
-    }
+    if (placement == nullptr || placement->ended) continue;
+    // One that is unresolved or abandoned by an earlier write stays so.
+    if (placement->write == PlacementWrite::pending) placement->write = PlacementWrite::unresolved;
   }
 }
 
@@ -144,21 +145,20 @@
 }
 
 void RecordWriter::apply_record_stored(const BatchEntry& entry, Job& job, std::uint64_t revision) {
-  job.revision = revision;
-  job.stored_parts = entry.parts;
+  job.record.revision = revision;
+  job.record.parts = entry.parts;
   for (const auto& [task, attempt] : entry.live) {
     auto* placement = job.find(task, attempt);
     if (placement == nullptr) continue;
-    placement->durable = true;
-    if (placement->write_unresolved && placement->abandoned) {  // since the write was sent
+    if (placement->abandoned()) {  // since the write was sent
       context_.cluster.resolve_abandoned(job, *placement, now());
-      job.dirty = true;
+      job.record.dirty = true;
     }
-    placement->write_unresolved = false;
+    placement->write = PlacementWrite::durable;
   }
   auto ended = entry.ended;
   for (const auto& abandoned : entry.abandoned) {
-    auto* placement = job.find(abandoned.first, abandoned.second);
+    auto* placement = job.find(abandoned.task, abandoned.attempt);
     if (placement == nullptr) continue;
     context_.cluster.resolve_abandoned(job, *placement, now());
     ended.push_back(abandoned);
--- a/src/control/write_order.cpp
+++ b/src/control/write_order.cpp
@@ -36,7 +36,7 @@
 bool has_unwritten_starts(const Job& job) {
   return std::any_of(
       job.placements.begin(), job.placements.end(),
-      [](const sched::Placement& placement) { return !placement.durable && !placement.ended; });
+      [](const sched::Placement& placement) { return !placement.durable() && !placement.ended; });
 }
 
 /// How long a changed record may wait. Users are told of a cancellation as soon as it is confirmed,
@@ -48,7 +48,8 @@
 
 WriteClass classify(const Job& job, const sched::Dependencies& dependencies,
                     const WriteOrderContext& context) {
-  if (context.now - job.dirty_since > max_wait_s(job, context.cancel_s)) return WriteClass::overdue;
+  if (context.now - job.record.dirty_since > max_wait_s(job, context.cancel_s))
+    return WriteClass::overdue;
   const bool releases_dependents =
       !is_cancelled_and_gone(job) && job.complete() && dependencies.has_dependents(job.spec.id);
   if (has_unwritten_starts(job) || releases_dependents) return WriteClass::starts;
@@ -71,13 +72,13 @@
 std::vector<Job*> order_writes(sched::ClusterState& cluster, const WriteOrderContext& context) {
   JobsByClass jobs;
   for (auto& [id, job] : cluster.jobs()) {
-    if (is_cancelled_and_gone(job)) job.dirty = true;
-    if (!job.dirty || context.is_reloading(id)) continue;
-    if (job.dirty_since == 0) job.dirty_since = context.now;
+    if (is_cancelled_and_gone(job)) job.record.dirty = true;
+    if (!job.record.dirty || context.is_reloading(id)) continue;
+    if (job.record.dirty_since == 0) job.record.dirty_since = context.now;
     jobs.of(classify(job, cluster.dependencies(), context)).push_back(&job);
   }
   std::stable_sort(jobs.overdue.begin(), jobs.overdue.end(), [](const Job* left, const Job* right) {
-    return left->dirty_since < right->dirty_since;
+    return left->record.dirty_since < right->record.dirty_since;
   });
   return interleave(jobs);
 }
--- a/src/defrag/fleet_view.cpp
+++ b/src/defrag/fleet_view.cpp
@@ -10,8 +10,8 @@
 
 /// In doubt, being stopped or cancelled: nobody may count on where it is.
 bool is_settled(const sched::Job& job, const sched::Placement& placement) {
-  const bool in_doubt = !placement.durable || placement.write_unresolved || !placement.seen ||
-                        placement.unconfirmed_start_epoch != 0;
+  const bool in_doubt =
+      !placement.durable() || !placement.seen || placement.unconfirmed_start_epoch != 0;
   const bool leaving = placement.ended || placement.stop || job.cancelled();
   return !in_doubt && !leaving;
 }
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -253,11 +253,10 @@
     if (spec.kind == JobKind::service) {
       // A new leader has to hear of the drain itself.
       if (now < progress_[i].drained_until) {
-        ClusterState::request_drained_stop(*placement, progress_[i].drained_until, now);
+        placement->request_drained_stop(progress_[i].drained_until, now);
       }
     } else {
-      ClusterState::request_stop(*placement,
-                                 spec.checkpoint_interval_s > 0 ? spec.checkpoint_save_s : 0, now);
+      placement->request_stop(spec.checkpoint_interval_s > 0 ? spec.checkpoint_save_s : 0, now);
     }
     acted_ = acted_ || placement->stop != was_stopping;
   }
@@ -309,7 +308,7 @@
     const bool drained = moves_replica(moves[i]) && progress_[i].drain_asked > 0;
     auto* placement = source_placement(moves[i]);
     if (drained && placement != nullptr) {
-      ClusterState::revoke_drained_stop(*placement);
+      placement->revoke_drained_stop();
       const auto* machine = cluster_.machine(moves[i].source);
       take_back_.push_back({moves[i].task, moves[i].attempt, moves[i].source,
                             machine != nullptr ? machine->address : "", 0, 0});
@@ -357,7 +356,7 @@
   if (move.step != MoveStep::stopping) return drop(DropReason::drain_refused, now);
   progress_[index].drained_until = 0;
   progress_[index].refused_at = now;
-  if (auto* placement = source_placement(move)) ClusterState::revoke_drained_stop(*placement);
+  if (auto* placement = source_placement(move)) placement->revoke_drained_stop();
 }
 
 bool MoveExecutor::is_refused_for_good(double now) const {
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -77,7 +77,7 @@
 }
 
 bool waits_for_room(const sched::ClusterState& cluster, const sched::Job& job, double now) {
-  if (job.cancelled() || job.complete() || !job.dependencies_met || job.backoff_until > now)
+  if (job.cancelled() || job.complete() || !job.dependencies_met || job.retry.backoff_until > now)
     return false;
   if (job.pending_count() == 0) return false;
   // The old attempt of a gang must be gone entirely before the next begins.
@@ -90,7 +90,8 @@
   double tasks = 0;
   for (const auto& [id, machine] : cluster.machines()) {
     const auto* type = cluster.type(machine.kind.type);
-    if (type == nullptr || machine.heartbeat_received || !sched::is_starting(cluster, machine))
+    if (type == nullptr || machine.agent.heartbeat_received ||
+        !sched::is_starting(cluster, machine))
       continue;
     if (!sched::allows(job.spec, machine.kind)) continue;
     tasks += tasks_that_fit(job.spec.resources, type->resources - machine.allocated);
--- a/src/regions/demand.cpp
+++ b/src/regions/demand.cpp
@@ -24,8 +24,8 @@
   std::map<std::string, TeamDemand> demands;
   const std::size_t max_live = sched::max_live_tasks(cluster.settings());
   for (const auto& [id, job] : cluster.jobs()) {
-    const bool waits =
-        !job.cancelled() && !job.complete() && job.dependencies_met && job.backoff_until <= now;
+    const bool waits = !job.cancelled() && !job.complete() && job.dependencies_met &&
+                       job.retry.backoff_until <= now;
     const std::size_t tasks = waits ? placeable_tasks(job, max_live) : 0;
     if (tasks == 0) continue;
     const auto [entry, first] = demands.try_emplace(job.spec.team);
--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -27,30 +27,33 @@
 
 namespace {
 bool is_healthy(const ClusterState& cluster, const Machine& machine) {
-  return !cluster.is_unreachable(machine.kind.zone) && !machine.lease_expired &&
-         !machine.terminating && !machine.failed && !machine.quarantined && !machine.reclaim_at;
+  return !cluster.is_unreachable(machine.kind.zone) && !machine.lease.expired &&
+         !machine.cloud.terminating && !machine.cloud.failed && !machine.quarantined() &&
+         !machine.cloud.reclaim_at;
 }
 }  // namespace
 
 bool is_schedulable(const ClusterState& cluster, const Machine& machine) {
-  return is_healthy(cluster, machine) && machine.heartbeat_received && machine.confirmed() &&
-         machine.unknown_tasks == 0 && machine.unresponsive_until == 0;
+  return is_healthy(cluster, machine) && machine.agent.heartbeat_received && machine.confirmed() &&
+         machine.agent.unknown_tasks == 0 && machine.agent.unresponsive_until == 0;
 }
 
 bool is_starting(const ClusterState& cluster, const Machine& machine) {
-  return is_healthy(cluster, machine) && !machine.overdue &&
-         (!machine.heartbeat_received || (!machine.confirmed() && machine.unresponsive_until == 0));
+  return is_healthy(cluster, machine) && !machine.cloud.overdue &&
+         (!machine.agent.heartbeat_received ||
+          (!machine.confirmed() && machine.agent.unresponsive_until == 0));
 }
 
 std::map<std::string, ZoneWorkers> count_workers(ClusterState& cluster, double now) {
   std::map<std::string, ZoneWorkers> zones;
   for (const auto& [id, machine] : cluster.machines()) {
-    if (!machine.heartbeat_received || machine.lease_expired || machine.terminating ||
-        machine.reclaim_at)
+    if (!machine.agent.heartbeat_received || machine.lease.expired || machine.cloud.terminating ||
+        machine.cloud.reclaim_at)
       continue;
     auto& zone = zones[machine.kind.zone];
     ++zone.workers;
-    if (now - machine.last_heartbeat < 2 * cluster.settings().heartbeat_interval_s) ++zone.heard;
+    if (now - machine.agent.last_heartbeat < 2 * cluster.settings().heartbeat_interval_s)
+      ++zone.heard;
   }
   return zones;
 }
@@ -58,12 +61,15 @@
 bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
                   const std::map<std::string, ZoneWorkers>& zones, double now) {
   const double heartbeat_interval_s = cluster.settings().heartbeat_interval_s;
-  if (!machine.kind.spot || !machine.heartbeat_received || machine.terminating) return false;
-  const double quiet = now - machine.last_heartbeat;
-  if (machine.reclaim_at && now > *machine.reclaim_at) return quiet > 1.5 * heartbeat_interval_s;
+  if (!machine.kind.spot || !machine.agent.heartbeat_received || machine.cloud.terminating)
+    return false;
+  const double quiet = now - machine.agent.last_heartbeat;
+  if (machine.cloud.reclaim_at && now > *machine.cloud.reclaim_at)
+    return quiet > 1.5 * heartbeat_interval_s;
   const auto zone = zones.find(machine.kind.zone);
   if (quiet < 3 * heartbeat_interval_s || zone == zones.end()) return false;
-  const int others = zone->second.workers - (machine.lease_expired || machine.reclaim_at ? 0 : 1);
+  const int others =
+      zone->second.workers - (machine.lease.expired || machine.cloud.reclaim_at ? 0 : 1);
   return others > 0 && zone->second.heard >= 0.9 * others;
 }
 
--- a/src/sched/boot_times.cpp
+++ b/src/sched/boot_times.cpp
@@ -6,58 +6,58 @@
 namespace cranklock::sched {
 
 namespace {
-constexpr std::size_t kMaxBoots = 9;  ///< remembered of each place
-constexpr std::size_t kMinBoots = 3;  ///< that prove anything; one may be late by chance
-constexpr double kRemembered = 6;     ///< boots' lengths
+constexpr std::size_t kMaxBoots = 9;    ///< remembered of each location
+constexpr std::size_t kMinBoots = 3;    ///< for a median; a single one may be late by chance
+constexpr double kRecentBootTimes = 6;  ///< for how many times its own duration a boot is recent
 }  // namespace
 
-void BootTimes::note(const Place& place, Boot boot) {
-  auto& boots = boots_[place];
+void BootTimes::record(const Location& location, Boot boot) {
+  auto& boots = boots_[location];
   boots.push_back(boot);
   if (boots.size() > kMaxBoots) boots.pop_front();
 }
 
-void BootTimes::note_up(const Place& place, double seconds, double now) {
-  note(place, {now, seconds});
+void BootTimes::record_boot(const Location& location, double duration_s, double now) {
+  record(location, {now, duration_s});
 }
 
-void BootTimes::note_overdue(const Place& place, double now) {
-  note(place, {now, std::nullopt});
+void BootTimes::record_overdue(const Location& location, double now) {
+  record(location, {now, std::nullopt});
 }
 
-std::vector<BootTimes::Boot> BootTimes::lately(const Place& place, double ready_s,
+std::vector<BootTimes::Boot> BootTimes::recent(const Location& location, double ready_s,
                                                double now) const {
-  std::vector<Boot> out;
-  const auto known = boots_.find(place);
-  if (known == boots_.end()) return out;
-  for (const Boot& boot : known->second) {
-    const double length = std::max(ready_s, boot.seconds.value_or(ready_s));
-    if (now - boot.at < kRemembered * length) out.push_back(boot);
+  std::vector<Boot> boots;
+  const auto found = boots_.find(location);
+  if (found == boots_.end()) return boots;
+  for (const Boot& boot : found->second) {
+    const double duration_s = std::max(ready_s, boot.duration_s.value_or(ready_s));
+    if (now - boot.recorded_at < kRecentBootTimes * duration_s) boots.push_back(boot);
   }
-  return out;
+  return boots;
 }
 
-double BootTimes::expected(const Place& place, double ready_s, double now) const {
-  return median(lately(place, ready_s, now), ready_s);
+double BootTimes::expected_s(const Location& location, double ready_s, double now) const {
+  return median_s(recent(location, ready_s, now), ready_s);
 }
 
-double BootTimes::median(const std::vector<Boot>& boots, double ready_s) {
-  std::vector<double> seconds;
+double BootTimes::median_s(const std::vector<Boot>& boots, double ready_s) {
+  std::vector<double> durations;
   for (const Boot& boot : boots) {
-    if (boot.seconds) seconds.push_back(*boot.seconds);
+    if (boot.duration_s) durations.push_back(*boot.duration_s);
   }
-  if (seconds.size() < kMinBoots) return ready_s;
-  const auto middle = seconds.begin() + static_cast<std::ptrdiff_t>(seconds.size() / 2);
-  std::nth_element(seconds.begin(), middle, seconds.end());
+  if (durations.size() < kMinBoots) return ready_s;
+  const auto middle = durations.begin() + static_cast<std::ptrdiff_t>(durations.size() / 2);
+  std::nth_element(durations.begin(), middle, durations.end());
   return std::max(*middle, ready_s);
 }
 
-double BootTimes::penalty(const Place& place, double ready_s, double now) const {
-  const auto boots = lately(place, ready_s, now);
+double BootTimes::penalty(const Location& location, double ready_s, double now) const {
+  const auto boots = recent(location, ready_s, now);
   const auto overdue = static_cast<double>(std::count_if(
-      boots.begin(), boots.end(), [](const Boot& boot) { return !boot.seconds.has_value(); }));
+      boots.begin(), boots.end(), [](const Boot& boot) { return !boot.duration_s.has_value(); }));
   const double up = static_cast<double>(boots.size()) - overdue;
-  return median(boots, ready_s) / ready_s * (1 + overdue / (up + 1));
+  return median_s(boots, ready_s) / ready_s * (1 + overdue / (up + 1));
 }
 
 }  // namespace cranklock::sched
--- a/src/sched/boot_times.hpp
+++ b/src/sched/boot_times.hpp
@@ -1,4 +1,4 @@
-// How long machines have lately taken to boot, by type and zone. Pure: no I/O, time passed in.
+// How long machines have lately taken to boot, by type and zone.
 #pragma once
 
 #include <compare>
@@ -10,40 +10,41 @@
 
 namespace cranklock::sched {
 
+/// Remembers the last few boots of each machine type in each zone. All durations are seconds;
+/// `ready_s` is the boot time that the cloud states for the type.
 class BootTimes {
  public:
-  /// Where machines boot alike.
-  struct Place {
+  /// A machine type in a zone: boots are compared within it.
+  struct Location {
     std::string type, zone;
-    auto operator<=>(const Place&) const = default;  // NOLINT(modernize-use-nullptr)
+    auto operator<=>(const Location&) const = default;  // NOLINT(modernize-use-nullptr)
   };
 
-  /// A machine was up so long after its scale-out request.
-  void note_up(const Place& place, double seconds, double now);
+  /// A machine reported for the first time, this long after its scale-out request.
+  void record_boot(const Location& location, double duration_s, double now);
   /// A machine is overdue: it may come late, or never.
-  void note_overdue(const Place& place, double now);
-  /// What a boot there should take now: the median of those lately seen, no less than what the
-  /// cloud says (`ready_s`), and that where few were seen. Boots that were seen longer ago than
-  /// some boots take are forgotten, so that a trouble's end is noticed though nothing was rented
-  /// meanwhile. Overdue ones don't count: machines that never come, and are paid for until they are
-  /// deleted, would be waited for ever longer.
-  double expected(const Place& place, double ready_s, double now) const;
-  /// By how much a machine there is worse than one whose boots are as the cloud says: it is waited
+  void record_overdue(const Location& location, double now);
+  /// How long a boot should take now: the median of recent boots, but not less than `ready_s`;
+  /// `ready_s` if there were too few. Boots are recent for a few boot times, so that the end of a
+  /// disturbance is noticed even when nothing has been scaled out since. Overdue machines don't
+  /// count: ones that never come are paid for until they are deleted, and would be waited for
+  /// longer and longer.
+  double expected_s(const Location& location, double ready_s, double now) const;
+  /// How much worse a machine is there than one that boots as the cloud states (1): it is waited
   /// for longer, and more machines are paid for than come.
-  double penalty(const Place& place, double ready_s, double now) const;
+  double penalty(const Location& location, double ready_s, double now) const;
 
  private:
   struct Boot {
-    double at = 0;
-    std::optional<double> seconds;  ///< none: it was overdue
+    double recorded_at = 0;
+    std::optional<double> duration_s;  ///< none: it was overdue
   };
-  /// Those lately seen.
-  std::vector<Boot> lately(const Place& place, double ready_s, double now) const;
-  /// The median of those that came, or what the cloud says.
-  static double median(const std::vector<Boot>& boots, double ready_s);
-  void note(const Place& place, Boot boot);
+  std::vector<Boot> recent(const Location& location, double ready_s, double now) const;
+  /// The median duration of those that came; `ready_s` if these are too few.
+  static double median_s(const std::vector<Boot>& boots, double ready_s);
+  void record(const Location& location, Boot boot);
 
-  std::map<Place, std::deque<Boot>> boots_;  ///< the last few of each, the oldest first
+  std::map<Location, std::deque<Boot>> boots_;  ///< the last few of each, oldest first
 };
 
 }  // namespace cranklock::sched
--- a/src/sched/dependencies.cpp
+++ b/src/sched/dependencies.cpp
@@ -10,21 +10,22 @@
 }
 
 void Dependencies::remove(const std::string& job) {
-  const auto it = dependencies_.find(job);
-  if (it == dependencies_.end()) return;
-  for (const auto& dependency : it->second) {
+  const auto found = dependencies_.find(job);
+  if (found == dependencies_.end()) return;
+  for (const auto& dependency : found->second) {
     const auto entry = by_dependency_.find(dependency);
     if (entry == by_dependency_.end()) continue;
     entry->second.dependents.erase(job);
     if (entry->second.dependents.empty()) by_dependency_.erase(entry);
   }
-  dependencies_.erase(it);
+  dependencies_.erase(found);
 }
 
 void Dependencies::record_outcome(const std::string& dependency, const Outcome& outcome) {
-  const auto it = by_dependency_.find(dependency);
-  if (it == by_dependency_.end() || it->second.outcome.resolution != Resolution::unknown) return;
-  it->second.outcome = outcome;
+  const auto found = by_dependency_.find(dependency);
+  if (found == by_dependency_.end()) return;
+  Outcome& known = found->second.outcome;
+  if (known.resolution == Resolution::unknown) known = outcome;
 }
 
 bool Dependencies::met(const std::string& job) const {
@@ -52,22 +53,22 @@
 
 const std::set<std::string>& Dependencies::dependents(const std::string& job) const {
   static const std::set<std::string> none;
-  const auto it = by_dependency_.find(job);
-  return it == by_dependency_.end() ? none : it->second.dependents;
+  const auto found = by_dependency_.find(job);
+  return found == by_dependency_.end() ? none : found->second.dependents;
 }
 
 const std::vector<std::string>& Dependencies::dependencies_of(const std::string& job) const {
   static const std::vector<std::string> none;
-  const auto it = dependencies_.find(job);
-  return it == dependencies_.end() ? none : it->second;
+  const auto found = dependencies_.find(job);
+  return found == dependencies_.end() ? none : found->second;
 }
 
 std::vector<std::string> Dependencies::unknown() const {
-  std::vector<std::string> out;
+  std::vector<std::string> unknown_jobs;
   for (const auto& [id, dependency] : by_dependency_) {
-    if (dependency.outcome.resolution == Resolution::unknown) out.push_back(id);
+    if (dependency.outcome.resolution == Resolution::unknown) unknown_jobs.push_back(id);
   }
-  return out;
+  return unknown_jobs;
 }
 
 }  // namespace cranklock::sched
--- /dev/null
+++ b/src/sched/failure_tracker.cpp
@@ -0,0 +1,90 @@
+#include "sched/failure_tracker.hpp"
+
+#include <algorithm>
+#include <cstdint>
+
+namespace cranklock::sched {
+
+namespace {
+
+/// Rounds of failed starts beyond which the back-off grows no further.
+constexpr int kMaxRounds = 5;
+/// Jobs that fail on one machine, and machines on which one job fails, that prove a fault.
+constexpr std::size_t kProof = 2;
+
+/// `works_elsewhere`: the job that failed has completed tasks on other machines.
+void update_quarantine(MachineFaults& faults, bool works_elsewhere, double now) {
+  const bool suspected = faults.failed_jobs.size() >= kProof;
+  if (faults.quarantine == Quarantine::none && (works_elsewhere || suspected)) {
+    faults.quarantine = Quarantine::suspected;
+    faults.quarantined_since = now;
+  }
+  if (works_elsewhere) faults.quarantine = Quarantine::confirmed;
+}
+
+void clear_failures(Job& job) {
+  job.retry.failed_rounds = 0;
+  job.retry.earlier_rounds = 0;
+  job.retry.failed_machines.clear();
+}
+
+}  // namespace
+
+void FailureTracker::record_error(Job& job, Machine& machine, double now) {
+  job.retry.failed_machines.insert(machine.id);
+  if (job.crash_looping()) {
+    clear_suspicion(job);
+  } else {
+    machine.faults.failed_jobs.insert(job.spec.id);
+  }
+  update_quarantine(machine.faults, job.retry.succeeded, now);
+  if (job.retry.failed_machines.size() >= kProof) back_off_retries(job, now);
+}
+
+// Guards against sound machines that are given back because two crash-looping jobs met there.
+void FailureTracker::clear_suspicion(const Job& job) {
+  for (const std::string& id : job.retry.failed_machines) {
+    Machine* machine = machines_.find(id);
+    if (machine == nullptr) continue;
+    MachineFaults& faults = machine->faults;
+    faults.failed_jobs.erase(job.spec.id);
+    if (faults.quarantine != Quarantine::suspected || faults.failed_jobs.size() >= kProof) continue;
+    faults.quarantine = Quarantine::none;
+    changes_.raise();
+  }
+}
+
+// Counts rounds, not tasks: hundreds that were started together fail together.
+void FailureTracker::back_off_retries(Job& job, double now) const {
+  if (now < job.retry.backoff_until) return;
+  ++job.retry.failed_rounds;
+  const int rounds = std::min(job.retry.failed_rounds + job.retry.earlier_rounds, kMaxRounds);
+  job.retry.backoff_until = now + settings_.heartbeat_interval_s * (1 << rounds);
+}
+
+void FailureTracker::record_completion(Job& job, Machine& machine) {
+  job.retry.succeeded = true;
+  clear_failures(job);
+  machine.faults.failed_jobs.clear();
+}
+
+void FailureTracker::record_running_replica(Job& job, double running_since, double now) const {
+  if (job.retry.failed_machines.empty() || now - running_since <= settings_.lease_s) return;
+  clear_failures(job);
+}
+
+void FailureTracker::delay_retry(Job& job, double now) const {
+  job.retry.backoff_until = now + settings_.heartbeat_interval_s;
+}
+
+void FailureTracker::restore_earlier_failures(Job& job, double now) const {
+  // All tasks of a gang start under one attempt, other tasks under one each.
+  const bool shares_attempt = job.spec.kind == wire::JobKind::gang;
+  const std::uint64_t rounds =
+      shares_attempt ? job.last_attempt : job.last_attempt / job.spec.tasks;
+  if (rounds < 2 || job.done.size() > 0 || job.live() > 0) return;
+  job.retry.earlier_rounds = static_cast<int>(std::min<std::uint64_t>(rounds - 1, kMaxRounds));
+  job.retry.backoff_until = now + settings_.heartbeat_interval_s * job.retry.earlier_rounds;
+}
+
+}  // namespace cranklock::sched
--- /dev/null
+++ b/src/sched/heartbeat_commands.cpp
@@ -0,0 +1,86 @@
+#include "sched/heartbeat_commands.hpp"
+
+namespace cranklock::sched {
+
+using wire::CommandKind;
+using wire::TaskState;
+
+namespace {
+
+// Guards against the stop of a replica that is in service again (invariant 19): an agent takes an
+// answer within its patience, and the drain has to last until then.
+bool may_send_stop(const Placement& placement, double now) {
+  constexpr double kResponsePatienceS = 4;  // of an agent, for the answer to its heartbeat
+  const double latest = now + kResponsePatienceS * (1 + 2 * base::kClockDrift);
+  return !placement.drain_deadline || latest < *placement.drain_deadline;
+}
+
+}  // namespace
+
+std::vector<wire::Command> HeartbeatCommands::commands_for(Machine& machine,
+                                                           const wire::Heartbeat& heartbeat,
+                                                           bool may_start, double now) {
+  std::vector<wire::Command> commands;
+  for (const wire::TaskStatus& status : heartbeat.tasks) {
+    add_command_for(machine, status, now, commands);
+  }
+  if (may_start && !machine.cloud.terminating) add_starts(machine, heartbeat, commands);
+  return commands;
+}
+
+void HeartbeatCommands::add_command_for(const Machine& machine, const wire::TaskStatus& status,
+                                        double now, std::vector<wire::Command>& commands) {
+  Job* job = jobs_.find(status.task.job);
+  const Placement* placement =
+      job != nullptr ? job->find(status.task.index, status.attempt) : nullptr;
+  const bool placed_here = placement != nullptr && placement->machine == machine.id;
+  if (status.state == TaskState::exited) {
+    // Invariant 5: `done` is durable before `forget`, since a placement is kept until a record
+    // without it has been written; and an indeterminate start that came after a forget would run
+    // the task once more.
+    const bool indeterminate =
+        machine.agent.indeterminate_starts.contains({status.task, status.attempt});
+    if (!placed_here && !indeterminate) {
+      commands.push_back({CommandKind::forget, status.task, status.attempt, 0});
+    }
+  } else if (!placed_here || placement->ended || job->cancelled()) {
+    commands.push_back({CommandKind::stop, status.task, status.attempt, 0});
+  } else if (placement->stop && may_send_stop(*placement, now)) {
+    add_stop(*placement, status, now, commands);
+  }
+}
+
+void HeartbeatCommands::add_stop(const Placement& placement, const wire::TaskStatus& status,
+                                 double now, std::vector<wire::Command>& commands) const {
+  // A task that goes on past its grace period is stopped without one.
+  const bool overdue =
+      now > placement.stop_requested_at + placement.grace_s + 2 * settings_.heartbeat_interval_s;
+  if (status.state == TaskState::checkpointing && !overdue) return;
+  commands.push_back(
+      {CommandKind::stop, status.task, status.attempt, overdue ? 0 : placement.grace_s});
+}
+
+void HeartbeatCommands::add_starts(Machine& machine, const wire::Heartbeat& heartbeat,
+                                   std::vector<wire::Command>& commands) {
+  std::set<TaskAttempt> reported;
+  for (const wire::TaskStatus& status : heartbeat.tasks) {
+    reported.insert({status.task, status.attempt});
+  }
+  for (const PlacementRef& held : machine.tasks) {
+    const Job& job = *held.job;
+    Placement& placement = held.placement();
+    // Invariants 2 and 14.
+    if (job.cancelled() || !placement.durable() || !job.dependencies_met) continue;
+    // Guards against a placement that is stopped while its start is indeterminate: nobody would
+    // ever see it end. Told here to start and to stop it, the agent knows the attempt, and the
+    // indeterminate start has no effect any more.
+    if (placement.stop && placement.unconfirmed_start_epoch != heartbeat.agent_epoch) continue;
+    const wire::TaskName task{job.spec.id, placement.task};
+    if (reported.contains({task, placement.attempt})) continue;
+    commands.push_back({CommandKind::start, task, placement.attempt, 0});
+    if (placement.stop) commands.push_back({CommandKind::stop, task, placement.attempt, 0});
+    placement.start_carrier = sequence_of(heartbeat);
+  }
+}
+
+}  // namespace cranklock::sched
--- a/src/sched/job.cpp
+++ b/src/sched/job.cpp
@@ -1,43 +1,66 @@
 #include "sched/job.hpp"
 
 #include <algorithm>
-#include <utility>
 
 namespace cranklock::sched {
 
 void TaskSet::add(std::uint32_t task) {
-  auto it = std::lower_bound(ranges_.begin(), ranges_.end(), task,
-                             [](const Range& r, std::uint32_t t) { return r.second < t; });
-  if (it != ranges_.end() && it->first <= task && task < it->second) return;
-  if (it != ranges_.end() && it->second == task) {
-    ++it->second;
-    if (auto next = it + 1; next != ranges_.end() && next->first == it->second) {
-      it->second = next->second;
+  // The first range that ends at the task or later.
+  const auto range = std::lower_bound(
+      ranges_.begin(), ranges_.end(), task,
+      [](const Range& candidate, std::uint32_t number) { return candidate.to < number; });
+  const bool found = range != ranges_.end();
+  if (found && range->from <= task && task < range->to) return;
+  if (found && range->to == task) {
+    ++range->to;
+    const auto next = range + 1;
+    if (next != ranges_.end() && next->from == range->to) {
+      range->to = next->to;
       ranges_.erase(next);
     }
-  } else if (it != ranges_.end() && it->first == task + 1) {
-    it->first = task;
+  } else if (found && range->from == task + 1) {
+    range->from = task;
   } else {
-    ranges_.insert(it, {task, task + 1});
+    ranges_.insert(range, {task, task + 1});
   }
 }
 
 void TaskSet::merge(const TaskSet& other) {
   for (const auto& [from, to] : other.ranges_) {
-    for (std::uint32_t t = from; t < to; ++t) add(t);
+    for (std::uint32_t task = from; task < to; ++task) add(task);
   }
 }
 
 bool TaskSet::contains(std::uint32_t task) const {
-  const auto it = std::upper_bound(ranges_.begin(), ranges_.end(), task,
-                                   [](std::uint32_t t, const Range& r) { return t < r.second; });
-  return it != ranges_.end() && it->first <= task;
+  const auto range = std::upper_bound(
+      ranges_.begin(), ranges_.end(), task,
+      [](std::uint32_t number, const Range& candidate) { return number < candidate.to; });
+  return range != ranges_.end() && range->from <= task;
 }
 
 std::uint32_t TaskSet::size() const {
-  std::uint32_t n = 0;
-  for (const auto& [from, to] : ranges_) n += to - from;
-  return n;
+  std::uint32_t tasks = 0;
+  for (const auto& [from, to] : ranges_) tasks += to - from;
+  return tasks;
+}
+
+void Placement::request_stop(double grace, double now) {
+  if (ended || stop) return;
+  stop = true;
+  grace_s = grace;
+  stop_requested_at = now;
+}
+
+void Placement::request_drained_stop(double deadline, double now) {
+  if (ended || (stop && !drain_deadline)) return;
+  request_stop(0, now);
+  drain_deadline = deadline;
+}
+
+void Placement::revoke_drained_stop() {
+  if (!drain_deadline) return;
+  stop = false;
+  drain_deadline.reset();
 }
 
 std::size_t Job::live() const {
@@ -45,29 +68,23 @@
                                                 [](const Placement& p) { return !p.ended; }));
 }
 
-namespace {
-std::pair<std::uint32_t, std::uint64_t> key_of(const Placement& placement) {
-  return {placement.task, placement.attempt};
-}
-}  // namespace
-
-// Guards a small processor against arrays of a thousand live tasks, whose reports name hundreds:
-// each is looked up by halves, not by going through all.
+// Guards a small processor against arrays of a thousand live tasks, whose heartbeats name hundreds:
+// a binary search finds each.
 std::vector<Placement>::iterator Job::position(std::uint32_t task, std::uint64_t attempt) {
   return std::lower_bound(
-      placements.begin(), placements.end(), std::pair(task, attempt),
-      [](const Placement& placement, const auto& key) { return key_of(placement) < key; });
+      placements.begin(), placements.end(), PlacementKey{task, attempt},
+      [](const Placement& placement, const PlacementKey& key) { return placement.key() < key; });
 }
 
 Placement* Job::find(std::uint32_t task, std::uint64_t attempt) {
-  const auto it = position(task, attempt);
-  const bool found = it != placements.end() && it->task == task && it->attempt == attempt;
-  return found ? &*it : nullptr;
+  const auto found = position(task, attempt);
+  const bool matches = found != placements.end() && found->key() == PlacementKey{task, attempt};
+  return matches ? &*found : nullptr;
 }
 
 void Job::sort_placements() {
   std::sort(placements.begin(), placements.end(),
-            [](const Placement& a, const Placement& b) { return key_of(a) < key_of(b); });
+            [](const Placement& a, const Placement& b) { return a.key() < b.key(); });
 }
 
 const Placement* Job::live_placement(std::uint32_t task) const {
@@ -81,26 +98,30 @@
 }
 
 std::vector<std::uint32_t> Job::pending(std::size_t max_tasks) const {
-  std::vector<std::uint32_t> out;
+  std::vector<std::uint32_t> tasks;
   std::uint32_t next = 0;
-  auto range = done.ranges().begin();
-  auto placed = placements.begin();
-  while (next < spec.tasks && out.size() < max_tasks) {
-    if (range != done.ranges().end() && next >= range->first) {
-      next = std::max(next, range->second);
-      ++range;
+  auto done_range = done.ranges().begin();
+  auto placement = placements.begin();
+  while (next < spec.tasks && tasks.size() < max_tasks) {
+    if (done_range != done.ranges().end() && next >= done_range->from) {
+      next = std::max(next, done_range->to);
+      ++done_range;
       continue;
     }
-    while (placed != placements.end() && (placed->ended || placed->task < next)) ++placed;
-    if (placed == placements.end() || placed->task != next) out.push_back(next);
+    while (placement != placements.end() && (placement->ended || placement->task < next)) {
+      ++placement;
+    }
+    if (placement == placements.end() || placement->task != next) tasks.push_back(next);
     ++next;
   }
-  return out;
+  return tasks;
 }
 
 std::uint32_t Job::pending_count() const {
   std::uint32_t placed = 0;
-  for (const auto& p : placements) placed += !p.ended && !done.contains(p.task) ? 1 : 0;
+  for (const Placement& placement : placements) {
+    if (!placement.ended && !done.contains(placement.task)) ++placed;
+  }
   return spec.tasks - std::min(spec.tasks, done.size() + placed);
 }
 
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -189,7 +189,7 @@
     const auto* team = cluster_.settings().team(job->spec.team);
     job->guaranteed = team != nullptr && within_guarantee(cluster_, *team, sum);
     if (job->live() > 0) running_[job->urgency.priority][job->guaranteed ? 1 : 0] = true;
-    if (job->backoff_until > now_ || job->pending_count() == 0) continue;
+    if (job->retry.backoff_until > now_ || job->pending_count() == 0) continue;
     waiting.push_back(job);
   }
   std::stable_sort(waiting.begin(), waiting.end(), [](const Job* a, const Job* b) {
@@ -212,7 +212,7 @@
 }
 
 bool Pass::may_reschedule(const Job& job, std::uint32_t task, const Slot& slot) const {
-  if (job.cancelled() || !job.dependencies_met || job.backoff_until > now_ ||
+  if (job.cancelled() || !job.dependencies_met || job.retry.backoff_until > now_ ||
       !job.is_pending(task)) {
     return false;
   }
@@ -320,7 +320,7 @@
 void Pass::note_hopeless(const Job& job, std::vector<const Job*>& failed) const {
   // Its failure must be for want of room alone, and not for room that others may use.
   if (held_back_) return;
-  if (job.spec.one_zone || job.spec.spread || job.failed_machines.size() == 1) return;
+  if (job.spec.one_zone || job.spec.spread || job.retry.failed_machines.size() == 1) return;
   constexpr std::size_t kMaxEntries = 16;  // sizes differ little
   if (failed.size() < kMaxEntries) failed.push_back(&job);
 }
@@ -335,7 +335,9 @@
     if (slot.reserved != nullptr && slot.reserved != &job) continue;
     if (!zone_allows(job, zones, slot.kind.zone)) continue;
     // Two machines that failed it speak against the job, one against the machine.
-    if (job.failed_machines.size() == 1 && job.failed_machines.contains(slot.machine->id)) continue;
+    if (job.retry.failed_machines.size() == 1 &&
+        job.retry.failed_machines.contains(slot.machine->id))
+      continue;
     const double c = cost(job, slot, zones);
     if (c < best_cost) best = &slot, best_cost = c;
   }
@@ -544,7 +546,7 @@
     if (victim->cancelled() || !may_preempt(job, *victim)) continue;
     if (victim->spec.kind == JobKind::gang && victim->spec.tasks > 1) continue;
     Placement& p = held.placement();
-    if (p.stop || !p.durable) continue;
+    if (p.stop || !p.durable()) continue;
     victims.push_back({loss_of(*victim, p), victim, &p});
   }
   std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
@@ -591,9 +593,8 @@
 void Pass::stop_victims(const Job& job, const Choice& choice) {
   choice.slot->free -= job.spec.resources;
   for (const auto& v : choice.victims) {
-    ClusterState::request_stop(
-        *v.placement, v.job->spec.checkpoint_interval_s > 0 ? v.job->spec.checkpoint_save_s : 0,
-        now_);
+    v.placement->request_stop(
+        v.job->spec.checkpoint_interval_s > 0 ? v.job->spec.checkpoint_save_s : 0, now_);
     choice.slot->leaving += v.job->spec.resources;
     ++result_.stopped;
   }
@@ -662,7 +663,7 @@
 }
 
 void Pass::add_shortfall(const Job& job, ZoneCount zones, std::uint32_t missing, bool replaces) {
-  if (job.failures > 0) return;  // machines are not what it lacks
+  if (job.retry.failed_rounds > 0) return;  // machines are not what it lacks
   const auto fits = [&](const Slot& slot) {
     return job.spec.resources.fits_in(room_for(job, slot)) && allows(job.spec, slot.kind) &&
            zone_allows(job, zones, slot.kind.zone);
--- a/src/sched/priority_inheritance.cpp
+++ b/src/sched/priority_inheritance.cpp
@@ -22,6 +22,7 @@
   return own;
 }
 
+/// Raises the urgency of a job to what one of its dependents requires.
 void raise(Job& dependency, const Urgency& dependent) {
   Urgency& urgency = dependency.urgency;
   urgency.priority = std::min(urgency.priority, dependent.priority);
@@ -36,10 +37,10 @@
   for (auto& [id, job] : cluster.jobs()) job.urgency = own_urgency(job);
   const Dependencies& dependencies = cluster.dependencies();
   if (dependencies.empty()) return;
-  // From the last jobs of each pipeline to the first, each when all that need it have had their
-  // turn. Users can name only accepted jobs, so there is no cycle; the jobs of a stored one have no
-  // turn and keep their own urgency.
-  std::map<std::string, std::size_t> waiting_for;  // dependents that have not had their turn
+  // In topological order, dependents first: a job has its turn after all its dependents. Clients
+  // can name only accepted jobs, so there is no cycle; jobs of a stored cycle would have no turn
+  // and keep their own urgency.
+  std::map<std::string, std::size_t> waiting_for;  // number of dependents without a turn so far
   std::deque<std::string> ready;
   for (const auto& [id, job] : cluster.jobs()) {
     const auto dependents = dependencies.dependents(id).size();
@@ -55,7 +56,7 @@
     const Job& dependent = *cluster.job(id);
     for (const auto& dependency : dependencies.dependencies_of(id)) {
       const auto entry = waiting_for.find(dependency);
-      if (entry == waiting_for.end()) continue;  // over
+      if (entry == waiting_for.end()) continue;  // not live any more
       if (!dependent.cancelled()) raise(*cluster.job(dependency), dependent.urgency);
       if (--entry->second == 0) ready.push_back(dependency);
     }
--- a/src/sched/priority_inheritance.hpp
+++ b/src/sched/priority_inheritance.hpp
@@ -1,4 +1,4 @@
-// What a job inherits from the jobs that need it.
+// What a job inherits from its dependents.
 #pragma once
 
 #include "sched/cluster_state.hpp"
@@ -6,7 +6,8 @@
 namespace cranklock::sched {
 
 /// Sets the urgency of every live job to its own or to that of the most urgent job that needs it,
-/// directly or through others. Goes through each job and each need once.
+/// directly or through others. Called at the beginning of each placement pass. Its cost is linear
+/// in jobs and dependencies.
 void inherit_urgency(ClusterState& cluster);
 
 }  // namespace cranklock::sched
--- a/src/sched/reservations.hpp
+++ b/src/sched/reservations.hpp
@@ -1,5 +1,4 @@
-// Room that a plan of moves holds on machines. Pure data; ClusterState tells whether it is in
-// force.
+// Room that a move plan holds on machines.
 #pragma once
 
 #include <algorithm>
@@ -10,6 +9,7 @@
 #include <utility>
 #include <vector>
 
+#include "sched/job.hpp"
 #include "wire/messages.hpp"
 
 namespace cranklock::sched {
@@ -18,15 +18,27 @@
 struct Reservation {
   std::string machine;
   std::string job;
-  /// The task that is rescheduled to the machine; none: the room is for any task of the job.
+  /// The task that is to move to the machine; none: the room is for any task of the job.
   std::optional<std::uint32_t> task;
   wire::Resources resources;
-  /// A job that may take the room all the same; empty: none.
+  /// Another job that may take the room all the same; empty: none.
   std::string yields_to;
   bool operator==(const Reservation&) const = default;
 };
 
-/// All reservations of the leader. Empty unless a stored plan of moves is under way (invariant 19).
+/// Whether the reservation for this job still holds room: nothing of what it is for is on the
+/// machine yet, or done.
+inline bool holds_room(const Reservation& reservation, const Job& job) {
+  if (job.cancelled()) return false;
+  if (reservation.task && job.done.contains(*reservation.task)) return false;
+  return std::none_of(job.placements.begin(), job.placements.end(),
+                      [&](const Placement& placement) {
+                        return !placement.ended && placement.machine == reservation.machine &&
+                               (!reservation.task || placement.task == *reservation.task);
+                      });
+}
+
+/// All reservations of the leader. Empty unless a stored move plan is under way (invariant 19).
 class Reservations {
  public:
   Reservations() = default;
@@ -37,7 +49,7 @@
   bool empty() const { return all_.empty(); }
   const std::vector<Reservation>& all() const { return all_; }
   bool any_on(const std::string& machine) const { return machines_.contains(machine); }
-  /// Whether room is held for tasks of the job that wait, as opposed to rescheduled ones.
+  /// Whether room is held for tasks of the job that wait, as opposed to tasks that move.
   bool any_for_waiting(const std::string& job) const {
     return std::any_of(all_.begin(), all_.end(), [&](const Reservation& reservation) {
       return reservation.job == job && !reservation.task;
--- a/src/sched/scaler.cpp
+++ b/src/sched/scaler.cpp
@@ -86,7 +86,7 @@
   for (const auto& [name, type] : cluster.types()) sums[{name, false}], sums[{name, true}];
   for (const auto& [id, m] : cluster.machines()) {
     const auto* type = cluster.type(m.kind.type);
-    if (type == nullptr || m.failed || m.terminating) continue;
+    if (type == nullptr || m.cloud.failed || m.cloud.terminating) continue;
     Sum& sum = sums[pool_of(m.kind)];
     if (is_schedulable(cluster, m)) {
       ++sum.ready;
--- /dev/null
+++ b/src/sched/task_reconciler.hpp
@@ -0,0 +1,57 @@
+// Squares the tasks that a heartbeat reports with the recorded placements.
+#pragma once
+
+#include <set>
+
+#include "base/settings.hpp"
+#include "sched/failure_tracker.hpp"
+#include "sched/job_table.hpp"
+#include "sched/machine_inventory.hpp"
+#include "sched/placement_tracker.hpp"
+
+namespace cranklock::sched {
+
+/// How many answers in a row an agent may ignore before it counts as unresponsive; one may be lost.
+inline constexpr int kMaxUnacknowledgedResponses = 2;
+
+/// Takes in what a message of an agent says of its tasks: presence, states, exits and absences.
+class TaskReconciler {
+ public:
+  /// All of them must outlive this object.
+  TaskReconciler(const base::Settings& settings, JobTable& jobs, MachineInventory& machines,
+                 PlacementTracker& placements, FailureTracker& failures, ChangeSignal& changes)
+      : settings_(settings),
+        jobs_(jobs),
+        machines_(machines),
+        placements_(placements),
+        failures_(failures),
+        changes_(changes) {}
+
+  /// Takes in the tasks that the message names. `token_acknowledged`: it shows this leader's
+  /// fencing token.
+  void reconcile_reported(Machine& machine, const wire::Heartbeat& heartbeat,
+                          bool token_acknowledged, double now);
+  /// Ends the placements that the heartbeat proves gone by not naming them (invariant 4 a). To be
+  /// called for heartbeats only, not for answers to direct commands, and only for those that show
+  /// this leader's fencing token.
+  void reconcile_absent(Machine& machine, const wire::Heartbeat& heartbeat, double now);
+
+ private:
+  void reconcile_task(Machine& machine, Job& job, Placement& placement,
+                      const wire::TaskStatus& status, bool token_acknowledged, double now);
+  void reconcile_exit(Machine& machine, Job& job, Placement& placement,
+                      const wire::TaskStatus& status, bool token_acknowledged, double now);
+  void apply_exit(Machine& machine, Job& job, Placement& placement, const wire::TaskStatus& status,
+                  double now);
+  bool is_proven_absent(Machine& machine, const Job& job, Placement& placement,
+                        AgentSequence reported, double now) const;
+
+  const base::Settings& settings_;
+  JobTable& jobs_;
+  MachineInventory& machines_;
+  PlacementTracker& placements_;
+  FailureTracker& failures_;
+  ChangeSignal& changes_;
+};
+
+}  // namespace cranklock::sched
--- a/src/sched/team_shares.hpp
+++ b/src/sched/team_shares.hpp
@@ -1,4 +1,4 @@
-// What of teams' guarantees and limits may be used here, where that is not all of them.
+// How much of the quota of teams may be used in this region.
 #pragma once
 
 #include "base/settings.hpp"
@@ -6,8 +6,9 @@
 
 namespace cranklock::sched {
 
-/// Asked by placement for every task, so answers come from memory. A resource for which the
-/// settings give the team no limit, or no guarantee, has none here either.
+/// What this region holds of the guarantees and limits of teams that several regions share
+/// (invariant 16). Asked for every task that is placed, so answers must come from memory. A
+/// resource without a limit, or guarantee, in the settings has none here either.
 class TeamShares {
  public:
   TeamShares() = default;
@@ -19,10 +20,11 @@
   virtual wire::Resources limit(const base::Team& team) const = 0;
 };
 
-/// The team's whole guarantee or limit, as the settings have it.
+/// The whole guarantee of the team, as the settings have it.
 inline wire::Resources full_guarantee(const base::Team& team) {
   return {team.cpus, team.gpus, 0};
 }
+/// The whole limit of the team, as the settings have it; 0: no limit.
 inline wire::Resources full_limit(const base::Team& team) {
   return {team.cpus_max, team.gpus_max, 0};
 }
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -34,7 +34,8 @@
   }
   void run(sched::Job& job, const std::string& machine) {
     auto& placement = fleet.cluster.add_placement(job, 0, 1, machine, 0);
-    placement.durable = placement.seen = true;
+    placement.write = sched::PlacementWrite::durable;
+    placement.seen = true;
     placement.state = wire::TaskState::running;
     placement.running_since = 0;
   }
@@ -74,11 +75,12 @@
   EXPECT_FALSE(services.advisor.look(60));
   Halves leaving;
   for (auto* job : {&leaving.array, &leaving.second}) {
-    sched::ClusterState::request_stop(job->placements[0], 3, 50);
+    job->placements[0].request_stop(3, 50);
   }
   EXPECT_FALSE(leaving.advisor.look(60));
   Halves in_doubt;
-  for (auto* job : {&in_doubt.array, &in_doubt.second}) job->placements[0].write_unresolved = true;
+  for (auto* job : {&in_doubt.array, &in_doubt.second})
+    job->placements[0].write = sched::PlacementWrite::unresolved;
   EXPECT_FALSE(in_doubt.advisor.look(60));
 }
 
@@ -95,7 +97,7 @@
   for (const auto& host : view_fleet(halves.fleet.cluster, {}, 60)) {
     EXPECT_TRUE(host.residents.at(0).zone_bound);
   }
-  halves.fleet.cluster.machine("n-1")->quarantined = true;
+  halves.fleet.cluster.machine("n-1")->faults.quarantine = sched::Quarantine::suspected;
   EXPECT_EQ(view_fleet(halves.fleet.cluster, {}, 60).size(), 1U);
 }
 
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -10,53 +10,53 @@
 namespace {
 
 constexpr double kReady = 45;
-const BootTimes::Place kPlace{"g8", "a"};
+const BootTimes::Location kLocation{"g8", "a"};
 
 TEST(BootTimes, FollowWhatWasLatelySeenOfTheTypeAndZone) {
   BootTimes boots;
-  for (int i = 0; i < 4; ++i) boots.note_up(kPlace, 3 * kReady, i);
-  EXPECT_EQ(boots.expected(kPlace, kReady, 5), 3 * kReady);
-  EXPECT_EQ(boots.expected({"g8", "b"}, kReady, 5), kReady);
-  EXPECT_EQ(boots.expected({"g4", "a"}, kReady, 5), kReady);
+  for (int i = 0; i < 4; ++i) boots.record_boot(kLocation, 3 * kReady, i);
+  EXPECT_EQ(boots.expected_s(kLocation, kReady, 5), 3 * kReady);
+  EXPECT_EQ(boots.expected_s({"g8", "b"}, kReady, 5), kReady);
+  EXPECT_EQ(boots.expected_s({"g4", "a"}, kReady, 5), kReady);
 }
 
 TEST(BootTimes, OneLateMachineProvesNothing) {
   BootTimes boots;
-  boots.note_up(kPlace, 8 * kReady, 0);
-  EXPECT_EQ(boots.expected(kPlace, kReady, 1), kReady);
-  for (int i = 0; i < 4; ++i) boots.note_up(kPlace, kReady, i);
-  EXPECT_EQ(boots.expected(kPlace, kReady, 5), kReady);
+  boots.record_boot(kLocation, 8 * kReady, 0);
+  EXPECT_EQ(boots.expected_s(kLocation, kReady, 1), kReady);
+  for (int i = 0; i < 4; ++i) boots.record_boot(kLocation, kReady, i);
+  EXPECT_EQ(boots.expected_s(kLocation, kReady, 5), kReady);
 }
 
 // Guards against boots of a second, as some troubles bring: were all others expected to take so
 // little, each would be taken for late.
 TEST(BootTimes, AreNeverLessThanTheCloudSays) {
   BootTimes boots;
-  for (int i = 0; i < 9; ++i) boots.note_up(kPlace, 1, i);
-  EXPECT_EQ(boots.expected(kPlace, kReady, 10), kReady);
+  for (int i = 0; i < 9; ++i) boots.record_boot(kLocation, 1, i);
+  EXPECT_EQ(boots.expected_s(kLocation, kReady, 10), kReady);
 }
 
 TEST(BootTimes, GoBackWhenTheTroubleEnds) {
   BootTimes boots;
-  for (int i = 0; i < 9; ++i) boots.note_up(kPlace, 3 * kReady, i);
-  for (int i = 0; i < 5; ++i) boots.note_up(kPlace, kReady, 10 + i);
-  EXPECT_EQ(boots.expected(kPlace, kReady, 20), kReady);
+  for (int i = 0; i < 9; ++i) boots.record_boot(kLocation, 3 * kReady, i);
+  for (int i = 0; i < 5; ++i) boots.record_boot(kLocation, kReady, 10 + i);
+  EXPECT_EQ(boots.expected_s(kLocation, kReady, 20), kReady);
   // The same when nothing was rented meanwhile.
   BootTimes idle;
-  for (int i = 0; i < 9; ++i) idle.note_up(kPlace, 3 * kReady, i);
-  EXPECT_EQ(idle.expected(kPlace, kReady, 60 * kReady), kReady);
+  for (int i = 0; i < 9; ++i) idle.record_boot(kLocation, 3 * kReady, i);
+  EXPECT_EQ(idle.expected_s(kLocation, kReady, 60 * kReady), kReady);
 }
 
 // Guards against scale-out requests that go on where nothing comes up.
 TEST(BootTimes, OverdueMachinesSpeakAgainstAPlaceAndAreNotWaitedForLonger) {
   BootTimes boots;
-  EXPECT_EQ(boots.penalty(kPlace, kReady, 0), 1);
-  for (int i = 0; i < 3; ++i) boots.note_overdue(kPlace, i);
-  EXPECT_EQ(boots.expected(kPlace, kReady, 5), kReady);
-  EXPECT_EQ(boots.penalty(kPlace, kReady, 5), 4);
-  for (int i = 0; i < 3; ++i) boots.note_up(kPlace, kReady, 5 + i);
-  EXPECT_LT(boots.penalty(kPlace, kReady, 9), 2);
-  EXPECT_EQ(boots.penalty(kPlace, kReady, 60 * kReady), 1);
+  EXPECT_EQ(boots.penalty(kLocation, kReady, 0), 1);
+  for (int i = 0; i < 3; ++i) boots.record_overdue(kLocation, i);
+  EXPECT_EQ(boots.expected_s(kLocation, kReady, 5), kReady);
+  EXPECT_EQ(boots.penalty(kLocation, kReady, 5), 4);
+  for (int i = 0; i < 3; ++i) boots.record_boot(kLocation, kReady, 5 + i);
+  EXPECT_LT(boots.penalty(kLocation, kReady, 9), 2);
+  EXPECT_EQ(boots.penalty(kLocation, kReady, 60 * kReady), 1);
 }
 
 /// A fleet without room, and a machine that was rented for it.
@@ -67,7 +67,7 @@
   }
   void rent(const std::string& id, const std::string& zone) {
     auto& m = cluster.upsert_machine(id, {"g8", zone, false}, 0);
-    m.provisioned_here = m.listed = m.booting = true;
+    m.cloud.provisioned_here = m.cloud.listed = m.cloud.booting = true;
   }
   double ready_s() const { return cluster.type("g8")->ready_s; }
   int wanted(double now) {
@@ -84,7 +84,7 @@
   EXPECT_EQ(fleet.wanted(1.5 * fleet.ready_s()), 0);
   EXPECT_EQ(fleet.wanted(2.1 * fleet.ready_s()), 1);
   fleet.rent("n-10", "b");
-  fleet.cluster.machine("n-10")->provisioned_at = 2.1 * fleet.ready_s();
+  fleet.cluster.machine("n-10")->cloud.provisioned_at = 2.1 * fleet.ready_s();
   EXPECT_EQ(fleet.wanted(2.2 * fleet.ready_s()), 0);
   // The late one comes after all, and is used.
   const double late = 2.3 * fleet.ready_s();
@@ -99,10 +99,10 @@
 TEST(BootTimes, MachinesThatRunAlreadyAreNotOverdue) {
   Rented fleet;
   auto& machine = *fleet.cluster.machine("n-9");
-  machine.provisioned_here = machine.booting = false;
-  machine.provisioned_at = -20 * fleet.ready_s();
+  machine.cloud.provisioned_here = machine.cloud.booting = false;
+  machine.cloud.provisioned_at = -20 * fleet.ready_s();
   EXPECT_EQ(fleet.wanted(1), 0);
-  EXPECT_FALSE(machine.overdue);
+  EXPECT_FALSE(machine.cloud.overdue);
   EXPECT_EQ(fleet.cluster.boot_penalty(*fleet.cluster.type("g8"), "a", 1), 1);
 }
 
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -1,4 +1,4 @@
-// The rules on when a placement is free, and what workers are told.
+// When a placement is free, and what agents are told: the parts of the cluster state together.
 #include <gtest/gtest.h>
 
 #include "control/job_record.hpp"
@@ -25,16 +25,16 @@
     written(job);
   }
   Placement& placement() { return job.placements.at(0); }
-  ClusterState::Freshness checkin(const wire::Heartbeat& r, double now = 2) {
-    return cluster.reconcile_heartbeat(r, true, now);
+  ClusterState::Freshness reconcile(const wire::Heartbeat& message, double now = 2) {
+    return cluster.reconcile_heartbeat(message, true, now);
   }
 };
 
-TEST(ClusterState, NothingStartsBeforeItsPlaceIsDurable) {
+TEST(ClusterState, NothingStartsBeforeItsPlacementIsDurable) {
   Placed s;
-  s.placement().durable = false;
+  s.placement().write = PlacementWrite::pending;
   EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2).empty());
-  s.placement().durable = true;
+  s.placement().write = PlacementWrite::durable;
   ASSERT_EQ(s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2).size(), 1u);
 }
 
@@ -43,44 +43,44 @@
   EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 2), false, 2).empty());
 }
 
-TEST(ClusterState, AnAbsenceCountsOnlyInAReportNewerThanTheOneThatCarriedTheStart) {
+TEST(ClusterState, AnAbsenceCountsOnlyInAHeartbeatNewerThanTheOneThatCarriedTheStart) {
   Placed s;
-  s.checkin(heartbeat("n-1", 1, 2));
+  s.reconcile(heartbeat("n-1", 1, 2));
   s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2);
-  ClusterState::request_stop(s.placement(), 0, 2);
+  s.placement().request_stop(0, 2);
   // A copy of the same report proves nothing, nor does a direct answer that crossed the start.
-  EXPECT_EQ(s.checkin(heartbeat("n-1", 1, 2)), ClusterState::Freshness::late_copy);
+  EXPECT_EQ(s.reconcile(heartbeat("n-1", 1, 2)), ClusterState::Freshness::late_copy);
   s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 3), false, 2);
   EXPECT_FALSE(s.placement().ended);
-  s.checkin(heartbeat("n-1", 1, 4));
+  s.reconcile(heartbeat("n-1", 1, 4));
   EXPECT_TRUE(s.placement().ended);
 }
 
-TEST(ClusterState, AReportThatDoesNotShowOurTokenProvesNothing) {
+TEST(ClusterState, AHeartbeatThatDoesNotShowOurTokenProvesNothing) {
   Placed s;
   s.placement().seen = true;  // a former leader's command may still be under way
-  s.checkin(heartbeat("n-1", 1, 2, {}, kFencingToken - 1));
+  s.reconcile(heartbeat("n-1", 1, 2, {}, kFencingToken - 1));
   EXPECT_FALSE(s.placement().ended);
-  s.checkin(heartbeat("n-1", 1, 3, {}, kFencingToken));
+  s.reconcile(heartbeat("n-1", 1, 3, {}, kFencingToken));
   EXPECT_TRUE(s.placement().ended);
 }
 
-TEST(ClusterState, AStartInDoubtKeepsItsPlaceWhileTheSessionLasts) {
+TEST(ClusterState, AnIndeterminateStartKeepsItsPlacementForItsAgentEpoch) {
   Placed s;
   s.placement().unconfirmed_start_epoch = 1;
-  ClusterState::request_stop(s.placement(), 0, 2);
-  s.checkin(heartbeat("n-1", 1, 5));
+  s.placement().request_stop(0, 2);
+  s.reconcile(heartbeat("n-1", 1, 5));
   EXPECT_FALSE(s.placement().ended);
-  s.checkin(heartbeat("n-1", 2, 6));
+  s.reconcile(heartbeat("n-1", 2, 6));
   EXPECT_TRUE(s.placement().ended);
 }
 
-TEST(ClusterState, ATaskWhoseStartIsInDoubtIsNeverForgotten) {
+TEST(ClusterState, ATaskWithAnIndeterminateStartIsNeverForgotten) {
   Placed s;
-  s.cluster.machine("n-1")->indeterminate_starts.insert({{"j-000001", 0}, 1});
+  s.cluster.machine("n-1")->agent.indeterminate_starts.insert({{"j-000001", 0}, 1});
   const auto exited =
       heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
-  s.checkin(exited);
+  s.reconcile(exited);
   s.written(s.job);
   EXPECT_TRUE(s.cluster.commands_for(exited, true, 3).empty());
 }
@@ -89,22 +89,22 @@
   Placed s;
   const auto exited =
       heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
-  s.checkin(exited);
+  s.reconcile(exited);
   EXPECT_TRUE(s.job.complete());
   EXPECT_TRUE(s.cluster.commands_for(exited, true, 3).empty());
   s.written(s.job);
-  const auto commands_for = s.cluster.commands_for(exited, true, 3);
-  ASSERT_EQ(commands_for.size(), 1u);
-  EXPECT_EQ(commands_for[0].kind, CommandKind::forget);
+  const auto commands = s.cluster.commands_for(exited, true, 3);
+  ASSERT_EQ(commands.size(), 1u);
+  EXPECT_EQ(commands[0].kind, CommandKind::forget);
 }
 
-// Guards against machines that report and hear nothing: idle for ever, they would swallow whatever
-// is put on them.
-TEST(ClusterState, AMachineThatHeedsNoAnswerHoldsNothingAndGetsNothing) {
+// Guards against machines whose heartbeats arrive and that no answer reaches: idle for ever, they
+// would hold whatever is placed on them.
+TEST(ClusterState, AnUnresponsiveMachineHoldsNothingAndGetsNothing) {
   Placed s;
   const auto says_nothing_of_it = [&](std::uint64_t sequence) {
     const auto r = heartbeat("n-1", 1, sequence);
-    s.checkin(r, static_cast<double>(sequence));
+    s.reconcile(r, static_cast<double>(sequence));
     s.cluster.commands_for(r, true, static_cast<double>(sequence));
     s.cluster.record_response("n-1", static_cast<double>(sequence));
   };
@@ -129,13 +129,13 @@
   EXPECT_EQ(s.pass(3).placed, 0);
 }
 
-// A start sent straight to the worker and never answered may be carried out yet.
+// A direct start command that was never answered may still be executed.
 TEST(ClusterState, WhatAMachineMayHaveBeenToldDirectlyIsNotGivenUp) {
   Placed s;
   s.placement().unconfirmed_start_epoch = 1;
   for (std::uint64_t sequence = 2; sequence < 9; ++sequence) {
     const auto r = heartbeat("n-1", 1, sequence);
-    s.checkin(r, 2);
+    s.reconcile(r, 2);
     s.cluster.commands_for(r, true, 2);
   }
   EXPECT_FALSE(s.placement().ended);
@@ -152,7 +152,7 @@
   EXPECT_TRUE(s.placement().ended);
 
   Placed other;
-  other.cluster.machine("n-1")->token_acknowledged = false;
+  other.cluster.machine("n-1")->agent.token_acknowledged = false;
   const double last = base::response_span(other.settings);  // our leadership began at 0
   EXPECT_TRUE(other.cluster.expire_leases(last + other.settings.lease_s).empty());
   EXPECT_FALSE(other.placement().ended);
@@ -161,11 +161,11 @@
 }
 
 // Guards against the work of a zone that is cut off during a take-over waiting for its return.
-TEST(ClusterState, AMachineThatNeverReportedToUsIsGivenUpWithTheSameCare) {
+TEST(ClusterState, TheLeaseOfAMachineThatNeverReportedToUsExpiresLikewise) {
   Fleet s({});
   auto job = make_job("j-000001", wire::JobKind::service, 1, 1);
   Placement p;
-  p.attempt = 1, p.machine = "n-1", p.durable = true;
+  p.attempt = 1, p.machine = "n-1", p.write = PlacementWrite::durable;
   job.placements.push_back(p);
   Job& stored = s.add(job);
   s.cluster.upsert_machine("n-1", {"g8", "b", false}, 1);  // the list names it
@@ -173,7 +173,7 @@
   EXPECT_TRUE(s.cluster.expire_leases(over).empty());
   EXPECT_EQ(s.cluster.expire_leases(over + 1).size(), 1u);
   EXPECT_TRUE(stored.placements[0].ended);
-  // Should it come back, whatever it holds is a stranger's.
+  // Should it come back, it holds nothing of ours.
   s.cluster.reconcile_heartbeat(
       heartbeat("n-1", 2, 1, {task("j-000001", 0, 1, wire::TaskState::running)}), true, over + 2);
   EXPECT_TRUE(stored.placements[0].ended);
@@ -184,8 +184,8 @@
 TEST(ClusterState, ALeaseIsTimedFromTheTokensFirstShowing) {
   Placed s;
   Machine& m = *s.cluster.machine("n-1");
-  m.token_acknowledged = false;
-  m.last_response = 0;
+  m.agent.token_acknowledged = false;
+  m.lease.last_response = 0;
   s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 9), false, 100);
   EXPECT_TRUE(s.cluster.expire_leases(105).empty());
   EXPECT_EQ(s.cluster.expire_leases(111).size(), 1u);
@@ -204,15 +204,15 @@
   s.job.cancelled_at_ms = 99;
   EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2).empty());
   const auto running = heartbeat("n-1", 1, 3, {task("j-000001", 0, 1, TaskState::running)});
-  s.checkin(running);
-  const auto commands_for = s.cluster.commands_for(running, true, 3);
-  ASSERT_EQ(commands_for.size(), 1u);
-  EXPECT_EQ(commands_for[0].kind, CommandKind::stop);
+  s.reconcile(running);
+  const auto commands = s.cluster.commands_for(running, true, 3);
+  ASSERT_EQ(commands.size(), 1u);
+  EXPECT_EQ(commands[0].kind, CommandKind::stop);
 }
 
 TEST(ClusterState, AReloadedRecordDropsWhatWasNeverWrittenAndKeepsWhatWasLearnt) {
   Placed s;
-  s.checkin(
+  s.reconcile(
       heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)}));
   // The write of `done` got lost; the stored record still names the placement.
   auto stored = make_job("j-000001", wire::JobKind::service, 1, 4);
@@ -220,15 +220,15 @@
   stored.placements.emplace_back();
   stored.placements[0].attempt = 1;
   stored.placements[0].machine = "n-1";
-  stored.placements[0].durable = true;
+  stored.placements[0].write = PlacementWrite::durable;
   Job& again = s.cluster.upsert_job(std::move(stored), 6);
   EXPECT_TRUE(again.complete());
   EXPECT_TRUE(again.placements.at(0).ended);
-  EXPECT_TRUE(again.dirty);
+  EXPECT_TRUE(again.record.dirty);
   EXPECT_DOUBLE_EQ(s.cluster.team_allocation("red").gpus, 0);
 }
 
-TEST(ClusterState, AMachineThatFailsSeveralJobsIsAtFault) {
+TEST(ClusterState, AMachineThatFailsSeveralJobsIsQuarantined) {
   Fleet s;
   for (const char* id : {"j-000001", "j-000002"}) {
     s.add(make_job(id, wire::JobKind::job_array, 1, 1));
@@ -240,11 +240,11 @@
     failed.push_back(task(id, 0, 1, TaskState::exited, ExitReason::error));
   }
   s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 2, failed), true, 2);
-  EXPECT_TRUE(s.cluster.machine("n-1")->quarantined);
-  EXPECT_EQ(s.cluster.job("j-000001")->failures, 0);
+  EXPECT_TRUE(s.cluster.machine("n-1")->quarantined());
+  EXPECT_EQ(s.cluster.job("j-000001")->retry.failed_rounds, 0);
 }
 
-TEST(ClusterState, AJobThatFailsOnSeveralMachinesIsAtFault) {
+TEST(ClusterState, AJobThatFailsOnSeveralMachinesBacksOff) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 2, 8));
   s.pass();
@@ -255,8 +255,8 @@
                   {task("j-000001", p.task, p.attempt, TaskState::exited, ExitReason::error)}),
         true, 2);
   }
-  EXPECT_GT(job.backoff_until, 2);
-  EXPECT_FALSE(s.cluster.machine("n-1")->quarantined);
+  EXPECT_GT(job.retry.backoff_until, 2);
+  EXPECT_FALSE(s.cluster.machine("n-1")->quarantined());
   EXPECT_EQ(s.pass(2.1).placed, 0);
 }
 
@@ -294,8 +294,8 @@
         fail_all(s, {"j-000001", "j-000002", "j-000003"}, 2 + static_cast<std::uint64_t>(i), now);
   }
   EXPECT_GE(failed, 12);
-  EXPECT_FALSE(s.cluster.machine("n-1")->quarantined);
-  EXPECT_FALSE(s.cluster.machine("n-2")->quarantined);
+  EXPECT_FALSE(s.cluster.machine("n-1")->quarantined());
+  EXPECT_FALSE(s.cluster.machine("n-2")->quarantined());
   // Spread out: two of each, and then a round every 32 reports at most.
   EXPECT_LE(failed, 3 * 4 * (5 + 200 / 32 + 1));
   EXPECT_TRUE(s.pass(210).shortfall.wanted.empty());
@@ -318,16 +318,16 @@
   }
   ASSERT_EQ(reports.size(), 2U);
   s.cluster.reconcile_heartbeat(heartbeat("n-2", 1, 2, reports["n-2"]), true, 3);
-  ASSERT_TRUE(sound.succeeded);
+  ASSERT_TRUE(sound.retry.succeeded);
   s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 2, reports["n-1"]), true, 3);
-  ASSERT_TRUE(s.cluster.machine("n-1")->quarantined);
+  ASSERT_TRUE(s.cluster.machine("n-1")->quarantined());
   // The other job turns out to be at fault, which clears nothing that was proven otherwise.
   for (std::uint64_t sequence = 3; sequence < 6; ++sequence) {
     fail_all(s, {"j-000002"}, sequence, 10 * static_cast<double>(sequence));
   }
   EXPECT_TRUE(s.cluster.job("j-000002")->crash_looping());
-  EXPECT_TRUE(s.cluster.machine("n-1")->quarantined);
-  EXPECT_FALSE(s.cluster.machine("n-2")->quarantined);
+  EXPECT_TRUE(s.cluster.machine("n-1")->quarantined());
+  EXPECT_FALSE(s.cluster.machine("n-2")->quarantined());
 }
 
 // Hundreds of tasks that were started together fail within a heartbeat or two: that is one round.
@@ -335,15 +335,15 @@
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 16, 1));
   EXPECT_EQ(fail_all(s, {"j-000001"}, 2, 2), 16);
-  EXPECT_EQ(job.failures, 1);
+  EXPECT_EQ(job.retry.failed_rounds, 1);
 }
 
 // Guards against a job that lacks machines for ever because it once met two faulty ones.
-TEST(ClusterState, AJobThatWorksAgainMayRentAgain) {
+TEST(ClusterState, AJobThatWorksAgainMayScaleOutAgain) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 2, 8));
   ASSERT_EQ(fail_all(s, {"j-000001"}, 2, 2), 2);
-  ASSERT_GT(job.failures, 0);
+  ASSERT_GT(job.retry.failed_rounds, 0);
   s.pass(10);
   s.written(job);
   ASSERT_EQ(job.live(), 2U);
@@ -352,8 +352,8 @@
       heartbeat(p.machine, 1, 3,
                 {task("j-000001", p.task, p.attempt, TaskState::exited, ExitReason::completed)}),
       true, 11);
-  EXPECT_EQ(job.failures, 0);
-  EXPECT_TRUE(job.failed_machines.empty());
+  EXPECT_EQ(job.retry.failed_rounds, 0);
+  EXPECT_TRUE(job.retry.failed_machines.empty());
 }
 
 // A new leader finds in the record that its tasks were started again and again for nothing.
@@ -367,8 +367,8 @@
   s.add(fresh);
   EXPECT_EQ(s.pass(1).placed, 4);
   EXPECT_EQ(spaced.live(), 0U);
-  EXPECT_EQ(s.pass(0.1 + spaced.backoff_until).placed, 4);
-  EXPECT_GE(spaced.earlier_rounds, 3);
+  EXPECT_EQ(s.pass(0.1 + spaced.retry.backoff_until).placed, 4);
+  EXPECT_GE(spaced.retry.earlier_rounds, 3);
 }
 
 TEST(ClusterState, AGangThatLosesATaskIsStoppedWhole) {
@@ -386,21 +386,21 @@
 
 // Guards against starting a task again while a forwarder in a zone that is cut off may still
 // prolong its worker's lease.
-TEST(ClusterState, ALeaseIsNotOverWhileADeputyMayProlongIt) {
+TEST(ClusterState, ALeaseLastsWhileAForwarderMayRenewIt) {
   Fleet s;
   s.add(make_job("j-000001", wire::JobKind::service, 1, 8));
   ASSERT_EQ(s.pass().placed, 1);
   Machine& m = *s.cluster.machine("n-1");
-  m.delegated_until["n1"] = 25;
+  m.lease.delegated_until["n1"] = 25;
   EXPECT_TRUE(s.cluster.expire_leases(12).empty());  // last answered at 0, the lease is 10
   EXPECT_TRUE(s.cluster.expire_leases(35).empty());  // it may have answered until 25
   EXPECT_EQ(s.cluster.expire_leases(36).size(), 1u);
 }
 
-TEST(ClusterState, ADeputyThatIsHeardProvesThatItAnsweredNobody) {
+TEST(ClusterState, AForwarderThatIsHeardProvesThatItAnsweredNobody) {
   Fleet s;
   Machine& m = *s.cluster.machine("n-1");
-  m.delegated_until["n1"] = 25;
+  m.lease.delegated_until["n1"] = 25;
   s.cluster.record_forwarder("n1", 1, 3, -1, 2);  // the first: what it did before is not known
   s.cluster.record_forwarder("n1", 1, 13, -1, 12);
   EXPECT_TRUE(s.cluster.expire_leases(12.2).empty());  // perhaps answered at 2
@@ -409,10 +409,10 @@
   EXPECT_EQ(s.cluster.expire_leases(13.5).size(), 1u);
 }
 
-TEST(ClusterState, ADeputysOtherRunMayHaveAnsweredUntilItEnded) {
+TEST(ClusterState, AFormerIncarnationOfAForwarderMayHaveAnsweredUntilItEnded) {
   Fleet s;
   Machine& m = *s.cluster.machine("n-1");
-  m.delegated_until["n1"] = 25;
+  m.lease.delegated_until["n1"] = 25;
   s.cluster.record_forwarder("n1", 1, 3, -1, 2);
   s.cluster.record_forwarder("n1", 2, 15, -1, 14);
   EXPECT_TRUE(s.cluster.expire_leases(14.5).empty());
@@ -420,7 +420,7 @@
   EXPECT_EQ(s.cluster.expire_leases(25).size(), 1u);
 }
 
-TEST(ClusterState, AZoneIsDarkWhenAllItsWorkersGoQuietAndOthersDoNot) {
+TEST(ClusterState, AZoneIsUnreachableWhenAllItsAgentsGoQuietAndOthersDoNot) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}, {"n-4", "b"}});
   EXPECT_TRUE(
       s.cluster.update_zone_reachability(5).empty());  // nobody is heard: it is us who are cut off
@@ -435,7 +435,7 @@
 
 // Guards against beginning to boot only when the leases are over, and against renting what can't be
 // reached.
-TEST(ClusterState, RoomForWhatACutZoneMayLoseIsRentedElsewhere) {
+TEST(ClusterState, RoomForWhatAnUnreachableZoneMayLoseIsProvisionedElsewhere) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}, {"n-4", "b"}});
   s.add(make_job("j-000001", wire::JobKind::service, 2, 8));
   ASSERT_EQ(s.pass().placed, 2);
@@ -450,15 +450,15 @@
 
 // Guards against room that is free again while an unanswered write, which would take it, may yet be
 // carried out: on a machine that is gone, and on one whose job then finds its record changed.
-TEST(ClusterState, AnUndecidedPlaceKeepsItsRoomUntilAWriteWithoutItSucceeds) {
+TEST(ClusterState, AnUnresolvedPlacementKeepsItsRoomUntilAWriteWithoutItSucceeds) {
   Fleet s;
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 1, 4));
   Placement& placement = s.cluster.add_placement(job, 0, 1, "n-1", 1);
-  placement.write_unresolved = true;
+  placement.write = PlacementWrite::unresolved;
   s.cluster.remove_machine("n-1", 2);
   EXPECT_EQ(s.cluster.team_allocation("red").gpus, 4);
   EXPECT_TRUE(job.pending(9).empty());
-  EXPECT_TRUE(job.dirty);
+  EXPECT_TRUE(job.record.dirty);
   const auto text = control::write_record(job, 8192).front();
   EXPECT_EQ(text.find("n-1"), std::string::npos);
   s.cluster.resolve_abandoned(job, job.placements.front(), 3);
@@ -466,27 +466,27 @@
   EXPECT_EQ(job.pending(9).size(), 1U);
 }
 
-TEST(ClusterState, ADroppedPlaceThatWasStoredAfterAllIsNeverStarted) {
+TEST(ClusterState, AnAbandonedPlacementThatWasStoredAfterAllIsNeverStarted) {
   Fleet s;
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 1, 4));
-  s.cluster.add_placement(job, 0, 1, "n-1", 1).write_unresolved = true;
+  s.cluster.add_placement(job, 0, 1, "n-1", 1).write = PlacementWrite::unresolved;
   s.cluster.end_placement(job, job.placements.front(), 2);
   EXPECT_EQ(s.cluster.team_allocation("red").gpus, 4);
   auto stored = make_job("j-000001", wire::JobKind::job_array, 1, 4);
-  stored.revision = 9;
+  stored.record.revision = 9;
   stored.last_attempt = 1;
   stored.placements = job.placements;
-  stored.placements.front().durable = true;
+  stored.placements.front().write = PlacementWrite::durable;
   Job& put = s.add(std::move(stored));
   EXPECT_TRUE(put.placements.front().ended);
-  EXPECT_TRUE(put.dirty);  // and so is written without it
+  EXPECT_TRUE(put.record.dirty);  // and so is written without it
   EXPECT_EQ(s.cluster.team_allocation("red").gpus, 0);
   EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 3).empty());
 }
 
 // Guards against a stored placement being taken for a remembered one on another machine: the record
 // would name the one and the cluster state the other.
-TEST(ClusterState, APlaceIsTheSameOnlyOnTheSameMachineAndNumbersNeverGoBack) {
+TEST(ClusterState, APlacementIsTheSameOnlyOnTheSameMachineAndAttemptsNeverGoBack) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 1, 4));
   Placement& remembered = s.cluster.add_placement(job, 0, 5, "n-2", 1);
@@ -496,7 +496,7 @@
   stored.placements.emplace_back();
   stored.placements.front().attempt = 5;
   stored.placements.front().machine = "n-1";
-  stored.placements.front().durable = true;
+  stored.placements.front().write = PlacementWrite::durable;
   Job& put = s.add(std::move(stored));
   ASSERT_EQ(put.placements.size(), 1U);
   EXPECT_EQ(put.placements.front().machine, "n-1");
@@ -506,7 +506,7 @@
 
 // Guards against a late copy, from before the leadership, that tells of an end in an earlier
 // agent epoch: the same attempt may have been started again since.
-TEST(ClusterState, AnEndIsBelievedOnlyOfWhoeverHasShownOurToken) {
+TEST(ClusterState, AnExitIsBelievedOnlyOfAnAgentThatHasShownOurToken) {
   Fleet s;
   auto stored = make_job("j-000001", wire::JobKind::job_array, 2, 4);
   for (std::uint32_t i = 0; i < 2; ++i) {
@@ -514,7 +514,7 @@
     stored.placements.back().task = i;
     stored.placements.back().attempt = i + 1;
     stored.placements.back().machine = "n-7";
-    stored.placements.back().durable = true;
+    stored.placements.back().write = PlacementWrite::durable;
   }
   Job& job = s.add(std::move(stored));
   const auto exited = wire::TaskState::exited;
@@ -533,25 +533,25 @@
   EXPECT_EQ(job.live(), 2U);  // nothing was told to this agent epoch yet
 }
 
-// Found by the sweep: stopped to make room while its start was in doubt, a placement stayed for
+// Guards against a placement that is stopped while its start is indeterminate, and then stays for
 // ever.
-TEST(ClusterState, AStopMeetsAStartInDoubt) {
+TEST(ClusterState, AnIndeterminateStartCanBeStopped) {
   Placed s;
-  s.checkin(heartbeat("n-1", 1, 2));
+  s.reconcile(heartbeat("n-1", 1, 2));
+  const std::uint64_t attempt = s.placement().attempt;
   s.placement().unconfirmed_start_epoch = 1;
-  s.cluster.machine("n-1")->indeterminate_starts.insert({{"j-000001", 0}, s.placement().attempt});
-  ClusterState::request_stop(s.placement(), 5, 3);
-  s.checkin(heartbeat("n-1", 1, 3), 3);
+  s.cluster.machine("n-1")->agent.indeterminate_starts.insert({{"j-000001", 0}, attempt});
+  s.placement().request_stop(5, 3);
+  s.reconcile(heartbeat("n-1", 1, 3), 3);
   EXPECT_FALSE(s.placement().ended);  // it may still come
-  const auto commands_for = s.cluster.commands_for(heartbeat("n-1", 1, 3), true, 3);
-  ASSERT_EQ(commands_for.size(), 2U);
-  EXPECT_EQ(commands_for[0].kind, CommandKind::start);
-  EXPECT_EQ(commands_for[1].kind, CommandKind::stop);
+  const auto commands = s.cluster.commands_for(heartbeat("n-1", 1, 3), true, 3);
+  ASSERT_EQ(commands.size(), 2U);
+  EXPECT_EQ(commands[0].kind, CommandKind::start);
+  EXPECT_EQ(commands[1].kind, CommandKind::stop);
   EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 3), false, 3).empty());
-  const auto attempt = s.placement().attempt;
   const auto ended = heartbeat(
       "n-1", 1, 4, {task("j-000001", 0, attempt, TaskState::exited, ExitReason::stopped)});
-  s.checkin(ended, 4);
+  s.reconcile(ended, 4);
   EXPECT_EQ(s.job.live(), 0U);
   s.written(s.job);
   EXPECT_TRUE(
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -26,6 +26,39 @@
   return {Dependencies::Resolution::cancelled, at_ms, 5};
 }
 
+// The class by itself.
+TEST(Dependencies, AreMetWhenAllAreKnownToBeDone) {
+  Dependencies dependencies;
+  EXPECT_TRUE(dependencies.empty());
+  EXPECT_TRUE(dependencies.met("j-000003"));  // it needs none
+  dependencies.add("j-000003", {"j-000001", "j-000002"});
+  EXPECT_FALSE(dependencies.met("j-000003"));
+  EXPECT_EQ(dependencies.unknown(), (std::vector<std::string>{"j-000001", "j-000002"}));
+  dependencies.record_outcome("j-000001", done_at(3000));
+  dependencies.record_outcome("j-000002", done_at(2000));
+  EXPECT_TRUE(dependencies.met("j-000003"));
+  EXPECT_EQ(dependencies.met_ms("j-000003"), 3000);
+  EXPECT_FALSE(dependencies.cancellation("j-000003"));
+}
+
+TEST(Dependencies, KeepTheFirstOutcomeForAsLongAsAnyLiveJobNeedsIt) {
+  Dependencies dependencies;
+  dependencies.record_outcome("j-000001", done_at(1000));  // nobody needs it
+  dependencies.add("j-000002", {"j-000001"});
+  dependencies.add("j-000003", {"j-000001"});
+  EXPECT_FALSE(dependencies.met("j-000002"));
+  dependencies.record_outcome("j-000001", cancelled_at(2000));
+  dependencies.record_outcome("j-000001", done_at(3000));
+  ASSERT_TRUE(dependencies.cancellation("j-000002"));
+  EXPECT_EQ(dependencies.cancellation("j-000002")->at_ms, 2000);
+  EXPECT_EQ(dependencies.dependents("j-000001"), (std::set<std::string>{"j-000002", "j-000003"}));
+  dependencies.remove("j-000002");
+  EXPECT_TRUE(dependencies.cancellation("j-000003"));
+  dependencies.remove("j-000003");
+  EXPECT_FALSE(dependencies.has_dependents("j-000001"));
+  EXPECT_TRUE(dependencies.empty());
+}
+
 TEST(Dependencies, AJobStartsOnlyWhenAllThatItNeedsIsKnownToBeDone) {
   Fleet s;
   s.add(dependent("j-000003", {"j-000001", "j-000002"}));
@@ -40,7 +73,7 @@
 }
 
 // A job that is complete in memory may still be cancelled by a write that comes first.
-TEST(Dependencies, ACompleteJobWhoseEndingIsNotStoredLetsNothingStart) {
+TEST(Dependencies, ACompleteJobWhoseOutcomeIsNotStoredLetsNothingStart) {
   Fleet s;
   Job& first = s.add(make_job("j-000001", JobKind::job_array, 1, 1));
   s.add(dependent("j-000002", {"j-000001"}));
@@ -64,7 +97,7 @@
   EXPECT_FALSE(s.cluster.job("j-000003")->dependencies_met);
 }
 
-TEST(Dependencies, AnEndingIsTakenOnce) {
+TEST(Dependencies, AnOutcomeIsTakenOnce) {
   Fleet s;
   s.add(dependent("j-000002", {"j-000001"}));
   s.cluster.record_outcome("j-000001", done_at(0));
@@ -128,7 +161,7 @@
   EXPECT_TRUE(later.guaranteed);
 }
 
-TEST(Dependencies, AJobHasTheHighestRankOfAllThatNeedIt) {
+TEST(Dependencies, AJobHasTheHighestPriorityOfAllThatNeedIt) {
   Fleet s;
   auto first = make_job("j-000001", JobKind::job_array, 1, 8);
   first.spec.priority = Priority::best_effort;
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -93,13 +93,13 @@
   sched::PassResult pass(double now = 1) { return sched::place_waiting(cluster, refused, now); }
   /// What a successful write would do.
   void written(sched::Job& job) {
-    std::vector<std::pair<std::uint32_t, std::uint64_t>> ended;
+    std::vector<sched::PlacementKey> ended;
     for (auto& p : job.placements) {
-      if (p.ended) ended.emplace_back(p.task, p.attempt);
-      p.durable = true;
+      if (p.ended) ended.push_back(p.key());
+      p.write = sched::PlacementWrite::durable;
     }
     cluster.forget_ended(job, ended);
-    job.dirty = false;
+    job.record.dirty = false;
   }
 };
 
--- a/tests/job_lookup_test.cpp
+++ b/tests/job_lookup_test.cpp
@@ -36,7 +36,7 @@
   ASSERT_TRUE(found);
   EXPECT_EQ(found->state, StoredJob::State::live);
   EXPECT_EQ(found->job.spec.id, kJob);
-  EXPECT_EQ(found->job.revision, stand_in_.values.at(job_key(kJob)).revision);
+  EXPECT_EQ(found->job.record.revision, stand_in_.values.at(job_key(kJob)).revision);
   EXPECT_EQ(found->main_value, write_record(job, kMaxBytes)[0]);
   EXPECT_FALSE(found->started());
   EXPECT_FALSE(found->cancelled());
--- /dev/null
+++ b/tests/lease_tracker_test.cpp
@@ -0,0 +1,71 @@
+// When the lease of an agent has certainly expired.
+#include "sched/lease_tracker.hpp"
+
+#include <gtest/gtest.h>
+
+#include "fixtures.hpp"
+
+namespace cranklock::sched {
+namespace {
+
+constexpr double kLeaderSince = 100;
+
+struct LeaseTest : ::testing::Test {
+  base::Settings settings = testing::small_settings();
+  LeaseTracker leases{settings, kLeaderSince};
+  Machine machine;
+  LeaseTest() {
+    machine.agent.token_acknowledged = true;
+    machine.lease.last_response = kLeaderSince;
+  }
+};
+
+TEST_F(LeaseTest, IsTimedFromOurLastAnswerWithRoomForDrift) {
+  EXPECT_EQ(leases.latest_possible_response(machine, 105), kLeaderSince);
+  EXPECT_GT(leases.lease_upper_bound(), settings.lease_s * (1 + 2 * base::kClockDrift));
+  const double end = kLeaderSince + leases.lease_upper_bound();
+  EXPECT_FALSE(leases.has_expired(machine, end));
+  EXPECT_TRUE(leases.has_expired(machine, end + 0.001));
+}
+
+// Guards against an agent that a former leader may still keep alive.
+TEST_F(LeaseTest, WithoutOurTokenAFormerLeadersLastAnswerCounts) {
+  machine.agent.token_acknowledged = false;
+  const double latest = leases.latest_possible_response(machine, 101);
+  EXPECT_GE(latest, kLeaderSince + base::response_span(settings));
+  EXPECT_LT(latest, kLeaderSince + base::response_span(settings) + 1);
+}
+
+// Guards against starting a task again while a forwarder in an unreachable zone may still renew
+// the lease of its agent.
+TEST_F(LeaseTest, AForwarderThatIsNotHeardMayAnswerUntilItsDelegationEnds) {
+  machine.lease.delegated_until["n1"] = 125;
+  EXPECT_EQ(leases.latest_possible_response(machine, 110), 110);
+  EXPECT_EQ(leases.latest_possible_response(machine, 140), 125);
+}
+
+TEST_F(LeaseTest, AForwarderThatIsHeardProvesWhenItLastAnswered) {
+  machine.lease.delegated_until["n1"] = 125;
+  leases.record_forwarder("n1", 1, 103, -1, 101);
+  EXPECT_TRUE(leases.is_forwarder_reachable("n1", 102.9));
+  EXPECT_FALSE(leases.is_forwarder_reachable("n1", 103));
+  EXPECT_FALSE(leases.is_forwarder_reachable("n2", 102));
+  // Of the time before its first peer heartbeat nothing is known.
+  EXPECT_EQ(leases.latest_possible_response(machine, 102), 101);
+  leases.record_forwarder("n1", 1, 113, 108, 111);
+  EXPECT_EQ(leases.latest_possible_response(machine, 112), 108);
+  // Late copies only prove less.
+  leases.record_forwarder("n1", 1, 103, -1, 112);
+  EXPECT_EQ(leases.latest_possible_response(machine, 112), 108);
+}
+
+// Guards against trusting a restarted forwarder about what it did before.
+TEST_F(LeaseTest, AnotherIncarnationOfAForwarderKnowsNothingOfTheFormerOne) {
+  machine.lease.delegated_until["n1"] = 125;
+  leases.record_forwarder("n1", 1, 103, -1, 101);
+  leases.record_forwarder("n1", 2, 116, -1, 114);
+  EXPECT_EQ(leases.latest_possible_response(machine, 115), 114);
+}
+
+}  // namespace
+}  // namespace cranklock::sched
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -52,7 +52,8 @@
   }
   void place(sched::Job& job, std::uint32_t task, const std::string& machine) {
     auto& placement = fleet.cluster.add_placement(job, task, 1, machine, 0);
-    placement.durable = placement.seen = true;
+    placement.write = sched::PlacementWrite::durable;
+    placement.seen = true;
     placement.state = wire::TaskState::running;
     placement.running_since = 0;
   }
@@ -132,7 +133,7 @@
   MoveExecutor successor(halves.fleet.cluster, kFencingToken, false, halves.now);
   successor.load(former.wanted(), halves.wall_ms(), halves.now);
   for (const char* id : {"n-1", "n-2"})
-    halves.fleet.cluster.machine(id)->heartbeat_received = false;
+    halves.fleet.cluster.machine(id)->agent.heartbeat_received = false;
   halves.advance(successor);
   EXPECT_TRUE(successor.has_plan());
   EXPECT_FALSE(successor.to_store());
@@ -272,7 +273,7 @@
     auto& cluster = halves.fleet.cluster;
     const auto& machine = *cluster.machine(move().source);
     const auto heartbeat = testing::heartbeat(
-        machine.id, 1, machine.sequence + 1,
+        machine.id, 1, machine.agent.newest_message.sequence + 1,
         {testing::task(move().task.job, move().task.index, 1, wire::TaskState::running)});
     const auto commands_for = cluster.commands_for(heartbeat, true, halves.now);
     return std::any_of(commands_for.begin(), commands_for.end(), [](const wire::Command& order) {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -18,7 +18,7 @@
   Job& job = s.add(make_job("j-000001", JobKind::job_array, 24, 1));
   EXPECT_EQ(s.pass().placed, 16);
   // What is not proven free still counts.
-  ClusterState::request_stop(job.placements[0], 0, 1);
+  job.placements[0].request_stop(0, 1);
   EXPECT_EQ(s.pass().placed, 0);
   // Nor is room beyond the limit asked of the cloud.
   EXPECT_TRUE(s.pass().shortfall.wanted.empty());
@@ -72,7 +72,7 @@
   auto stored = make_job("j-000002", JobKind::job_array, 2, 1);
   for (std::uint32_t i = 0; i < 2; ++i) {
     Placement p;
-    p.task = i, p.attempt = i + 1, p.machine = "n-9", p.durable = true;
+    p.task = i, p.attempt = i + 1, p.machine = "n-9", p.write = PlacementWrite::durable;
     stored.placements.push_back(p);
   }
   s.add(stored);
@@ -150,7 +150,7 @@
 
 TEST(Placement, TheMachineThatHoldsTheImageIsPreferred) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
-  s.cluster.machine("n-2")->images.emplace_back("img", 10);
+  s.cluster.machine("n-2")->images.push_back({"img", 10});
   Job& job = s.add(make_job("j-000001", JobKind::service, 1, 1));
   s.pass();
   EXPECT_EQ(job.placements.at(0).machine, "n-2");
@@ -214,9 +214,9 @@
 
 TEST(Placement, MachinesUnderNoticeOrFaultyTakeNothingNew) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}});
-  s.cluster.machine("n-1")->reclaim_at = 30;
-  s.cluster.machine("n-2")->quarantined = true;
-  s.cluster.machine("n-3")->unknown_tasks = 1;
+  s.cluster.machine("n-1")->cloud.reclaim_at = 30;
+  s.cluster.machine("n-2")->faults.quarantine = Quarantine::suspected;
+  s.cluster.machine("n-3")->agent.unknown_tasks = 1;
   s.add(make_job("j-000001", JobKind::service, 1, 1));
   EXPECT_EQ(s.pass().placed, 0);
 }
--- a/tests/record_batch_test.cpp
+++ b/tests/record_batch_test.cpp
@@ -16,8 +16,8 @@
 
 sched::Job stored_job(const std::string& id, std::uint64_t revision, int stored_parts = 0) {
   auto job = testing::make_job(id, wire::JobKind::job_array, 4, 1);
-  job.revision = revision;
-  job.stored_parts = stored_parts;
+  job.record.revision = revision;
+  job.record.parts = stored_parts;
   return job;
 }
 
@@ -100,9 +100,9 @@
     job.placements.push_back(placement);
   }
   job.placements[1].ended = true;
-  job.placements[2].abandoned = true;
+  job.placements[2].write = sched::PlacementWrite::abandoned;
   const auto entry = make_record_entry(job, kLimits.value_bytes);
-  using Attempts = std::vector<BatchEntry::TaskAttempt>;
+  using Attempts = std::vector<sched::PlacementKey>;
   EXPECT_EQ(entry.live, (Attempts{{0, 10}}));
   EXPECT_EQ(entry.ended, (Attempts{{1, 11}}));
   EXPECT_EQ(entry.abandoned, (Attempts{{2, 12}}));
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -74,7 +74,7 @@
   Held held;
   held.moved.done.add_range({0, 2});
   held.hold({held.for_waiting()});
-  held.waiting.backoff_until = 10;  // it can't start yet
+  held.waiting.retry.backoff_until = 10;  // it can't start yet
   auto& other = held.add(kOther, JobKind::service, 2, 5, "blue");
   held.fleet.pass(1);
   EXPECT_EQ(other.live(), 1U);
@@ -90,7 +90,7 @@
   Held held;
   held.moved.done.add_range({0, 2});
   held.hold({held.for_waiting()});
-  held.waiting.backoff_until = 10;
+  held.waiting.retry.backoff_until = 10;
   auto urgent = make_job(kOther, JobKind::service, 2, 5, "blue");
   urgent.spec.priority = wire::Priority::production;
   auto& placed = held.fleet.add(std::move(urgent));
@@ -112,7 +112,7 @@
   for (const bool yields : {false, true}) {
     Held held;
     held.moved.done.add_range({0, 1});
-    held.moved.backoff_until = 10;
+    held.moved.retry.backoff_until = 10;
     auto& full = held.add(kOther, JobKind::service, 1, 8, "blue");
     held.fleet.cluster.add_placement(full, 0, 1, "n-1", 0);
     auto reservation = held.for_moved();
@@ -137,8 +137,9 @@
   EXPECT_FALSE(is_placed([](Held& held) { held.moved.spec.zone = "b"; }));
   EXPECT_FALSE(is_placed([](Held& held) { held.moved.spec.types = {"other"}; }));
   EXPECT_FALSE(is_placed([](Held& held) { held.fleet.settings.teams[0].gpus_max = 2; }));
-  EXPECT_FALSE(is_placed([](Held& held) { held.fleet.cluster.machine("n-2")->reclaim_at = 5; }));
-  EXPECT_FALSE(is_placed([](Held& held) { held.moved.backoff_until = 5; }));
+  EXPECT_FALSE(
+      is_placed([](Held& held) { held.fleet.cluster.machine("n-2")->cloud.reclaim_at = 5; }));
+  EXPECT_FALSE(is_placed([](Held& held) { held.moved.retry.backoff_until = 5; }));
   EXPECT_FALSE(is_placed([](Held& held) { held.fleet.cluster.cancel(held.moved, 1, 1); }));
 }
 
--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -36,7 +36,7 @@
   job.created_ms = 1700000000001;
   job.cancelled_at_ms = 1700000000002;
   job.last_attempt = 9;
-  job.revision = 17;
+  job.record.revision = 17;
   job.done.add_range({0, 2});
   job.done.add_range({4, 5});
   job.placements = {placement(2, 7, "n-000007"), placement(3, 8, "n-000008"),
@@ -115,7 +115,7 @@
   auto job = control::read_record(kDependentRecordHead +
                                   R"("d":[[0,2]],"p":[[2,7,"n-000007"]],"parts":1})");
   ASSERT_TRUE(job);
-  const std::uint64_t other_revision = job->revision + 1;
+  const std::uint64_t other_revision = job->record.revision + 1;
   ASSERT_EQ(
       control::add_part(R"({"g":17,"d":[[4,5]],"p":[[3,8,"n-000008"]]})", other_revision, *job),
       PartStatus::added);
@@ -123,14 +123,14 @@
   EXPECT_EQ(job->created_ms, 1700000000001);
   EXPECT_EQ(job->cancelled_at_ms, 1700000000002);
   EXPECT_EQ(job->last_attempt, 9U);
-  EXPECT_EQ(job->generation, 17U);
-  EXPECT_EQ(job->stored_parts, 1);
+  EXPECT_EQ(job->record.generation, 17U);
+  EXPECT_EQ(job->record.parts, 1);
   EXPECT_EQ(job->done.ranges(), (std::vector<sched::TaskSet::Range>{{0, 2}, {4, 5}}));
   ASSERT_EQ(job->placements.size(), 2U);
   EXPECT_EQ(job->placements[0].task, 2U);
   EXPECT_EQ(job->placements[0].attempt, 7U);
   EXPECT_EQ(job->placements[0].machine, "n-000007");
-  EXPECT_TRUE(job->placements[0].durable);
+  EXPECT_TRUE(job->placements[0].durable());
   EXPECT_EQ(job->placements[1].task, 3U);
   EXPECT_EQ(job->placements[1].attempt, 8U);
   EXPECT_EQ(job->placements[1].machine, "n-000008");
@@ -139,7 +139,7 @@
 TEST(StoredJob, ThePartOfAnotherWriteIsRefused) {
   auto job = control::read_record(kDependentRecordHead + R"("parts":1})");
   ASSERT_TRUE(job);
-  EXPECT_EQ(control::add_part(R"({"g":18,"d":[],"p":[]})", job->revision, *job),
+  EXPECT_EQ(control::add_part(R"({"g":18,"d":[],"p":[]})", job->record.revision, *job),
             PartStatus::of_another_write);
 }
 
@@ -184,8 +184,8 @@
 TEST(StoredJob, AMalformedPartIsNotAdded) {
   auto job = control::read_record(kDependentRecordHead + R"("parts":1})");
   ASSERT_TRUE(job);
-  EXPECT_EQ(control::add_part("[]", job->revision, *job), PartStatus::malformed);
-  EXPECT_EQ(control::add_part(R"({"g":17,"d":7,"p":[]})", job->revision, *job),
+  EXPECT_EQ(control::add_part("[]", job->record.revision, *job), PartStatus::malformed);
+  EXPECT_EQ(control::add_part(R"({"g":17,"d":7,"p":[]})", job->record.revision, *job),
             PartStatus::malformed);
 }
 
--- /dev/null
+++ b/tests/task_reconciler_test.cpp
@@ -0,0 +1,192 @@
+// What a message of an agent proves about tasks.
+#include "sched/task_reconciler.hpp"
+
+#include <gtest/gtest.h>
+
+#include "heartbeat_parts.hpp"
+
+namespace cranklock::sched {
+namespace {
+
+using testing::heartbeat;
+using testing::make_job;
+using testing::task;
+using wire::ExitReason;
+using wire::JobKind;
+using wire::TaskState;
+
+struct TaskReconcilerTest : ::testing::Test, testing::HeartbeatParts {
+  TaskReconciler tasks{settings, jobs, machines, placements, failures, changes};
+
+  void report(TaskState state, ExitReason reason = ExitReason::none, bool token = true,
+              double now = 1) {
+    const auto message = heartbeat("n-1", 1, 2, {task("j-000001", 0, 1, state, reason)});
+    tasks.reconcile_reported(machine, message, token, now);
+  }
+  void absent(std::uint64_t epoch, std::uint64_t sequence) {
+    tasks.reconcile_absent(machine, heartbeat("n-1", epoch, sequence), 1);
+  }
+};
+
+TEST_F(TaskReconcilerTest, AReportedTaskIsSeenAndItsImageCached) {
+  Placement& placement = place(0, 1);
+  report(TaskState::fetching);
+  EXPECT_TRUE(placement.seen);
+  EXPECT_TRUE(machine.holds_image("img"));
+  EXPECT_EQ(placement.running_since, 0);
+  report(TaskState::running, ExitReason::none, true, 7);
+  EXPECT_EQ(placement.state, TaskState::running);
+  EXPECT_EQ(placement.running_since, 7);
+  report(TaskState::running, ExitReason::none, true, 8);
+  EXPECT_EQ(placement.running_since, 7);
+}
+
+TEST_F(TaskReconcilerTest, TasksWithoutAPlacementHereAreCounted) {
+  place(0, 1).machine = "n-2";
+  changes.take();
+  const auto message = heartbeat(
+      "n-1", 1, 2,
+      {task("j-000001", 0, 1, TaskState::running), task("j-000001", 1, 2, TaskState::running),
+       task("j-000009", 0, 1, TaskState::running), task("j-000009", 1, 2, TaskState::exited)});
+  tasks.reconcile_reported(machine, message, true, 1);
+  EXPECT_EQ(machine.agent.unknown_tasks, 3);
+  EXPECT_TRUE(changes.take());
+  tasks.reconcile_reported(machine, heartbeat("n-1", 1, 3), true, 1);
+  EXPECT_EQ(machine.agent.unknown_tasks, 0);
+  EXPECT_TRUE(changes.take());
+}
+
+TEST_F(TaskReconcilerTest, ACompletedTaskIsDone) {
+  Placement& placement = place(0, 1);
+  report(TaskState::exited, ExitReason::completed);
+  EXPECT_TRUE(job.done.contains(0));
+  EXPECT_TRUE(job.retry.succeeded);
+  EXPECT_TRUE(placement.ended);
+}
+
+TEST_F(TaskReconcilerTest, AnErrorCountsAgainstJobAndMachineUnlessCancelled) {
+  place(0, 1);
+  report(TaskState::exited, ExitReason::error);
+  EXPECT_TRUE(job.retry.failed_machines.contains("n-1"));
+  EXPECT_TRUE(machine.faults.failed_jobs.contains("j-000001"));
+  Job& cancelled = jobs.put(make_job("j-000002", JobKind::job_array, 1, 1));
+  placements.add(cancelled, 0, 1, "n-1", 0);
+  cancelled.cancelled_at_ms = 1;
+  const auto exited = task("j-000002", 0, 1, TaskState::exited, ExitReason::error);
+  tasks.reconcile_reported(machine, heartbeat("n-1", 1, 3, {exited}), true, 1);
+  EXPECT_TRUE(cancelled.retry.failed_machines.empty());
+  EXPECT_TRUE(cancelled.placements[0].ended);
+}
+
+TEST_F(TaskReconcilerTest, ARejectedStartIsNotAFailure) {
+  place(0, 1);
+  report(TaskState::exited, ExitReason::insufficient_resources, true, 3);
+  EXPECT_TRUE(job.retry.failed_machines.empty());
+  EXPECT_EQ(job.retry.backoff_until, 3 + settings.heartbeat_interval_s);
+}
+
+// Guards against a late copy, from before our leadership, of an exit in an earlier agent epoch.
+TEST_F(TaskReconcilerTest, WithoutOurTokenOnlyACompletionIsBelieved) {
+  Placement& placement = place(0, 1);
+  job.record.dirty = false;
+  report(TaskState::exited, ExitReason::error, false);
+  EXPECT_FALSE(placement.ended);
+  EXPECT_FALSE(job.record.dirty);
+  report(TaskState::exited, ExitReason::completed, false);
+  EXPECT_FALSE(placement.ended);
+  EXPECT_TRUE(job.done.contains(0));
+  EXPECT_TRUE(job.record.dirty);
+}
+
+TEST_F(TaskReconcilerTest, AGangThatLosesATaskIsStopped) {
+  Job& gang = jobs.put(make_job("j-000002", JobKind::gang, 2, 1));
+  placements.add(gang, 0, 1, "n-1", 0);
+  placements.add(gang, 1, 1, "n-2", 0);
+  const auto exited = task("j-000002", 0, 1, TaskState::exited, ExitReason::stopped);
+  tasks.reconcile_reported(machine, heartbeat("n-1", 1, 2, {exited}), true, 1);
+  EXPECT_TRUE(gang.placements[1].stop);
+}
+
+TEST_F(TaskReconcilerTest, AReplicaThatRunsForLongEnoughClearsItsFailures) {
+  Job& service = jobs.put(make_job("j-000002", JobKind::service, 1, 1));
+  placements.add(service, 0, 1, "n-1", 0);
+  service.retry.failed_machines = {"n-2"};
+  const auto message = heartbeat("n-1", 1, 2, {task("j-000002", 0, 1, TaskState::running)});
+  tasks.reconcile_reported(machine, message, true, 1);
+  EXPECT_FALSE(service.retry.failed_machines.empty());
+  tasks.reconcile_reported(machine, message, true, 1.1 + settings.lease_s);
+  EXPECT_TRUE(service.retry.failed_machines.empty());
+}
+
+TEST_F(TaskReconcilerTest, ASeenTaskThatIsNotNamedAnyMoreIsGone) {
+  Placement& placement = place(0, 1);
+  placement.seen = true;
+  absent(1, 2);
+  EXPECT_TRUE(placement.ended);
+}
+
+TEST_F(TaskReconcilerTest, AnAbsenceCountsOnlyAfterTheAnswerThatCarriedTheStart) {
+  Placement& placement = place(0, 1);
+  placement.start_carrier = {1, 5};
+  placement.stop = true;
+  absent(1, 5);
+  EXPECT_FALSE(placement.ended);
+  absent(1, 6);
+  EXPECT_TRUE(placement.ended);
+}
+
+TEST_F(TaskReconcilerTest, AStartOfAnEarlierAgentEpochIsLost) {
+  Placement& placement = place(0, 1);
+  placement.start_carrier = {1, 5};
+  absent(2, 1);
+  EXPECT_TRUE(placement.ended);
+}
+
+// Invariant 5: an indeterminate start may be executed as long as the agent epoch lasts.
+TEST_F(TaskReconcilerTest, AnIndeterminateStartIsKeptForItsAgentEpoch) {
+  Placement& placement = place(0, 1);
+  placement.unconfirmed_start_epoch = 1;
+  placement.seen = true;
+  placement.stop = true;
+  absent(1, 9);
+  EXPECT_FALSE(placement.ended);
+  absent(2, 1);
+  EXPECT_TRUE(placement.ended);
+}
+
+TEST_F(TaskReconcilerTest, WhatWasNeverStartedEndsOnlyWhenItIsToStop) {
+  Placement& waiting = place(0, 1);
+  absent(1, 2);
+  EXPECT_FALSE(waiting.ended);
+  waiting.stop = true;
+  absent(1, 3);
+  EXPECT_TRUE(waiting.ended);
+}
+
+// Guards against a machine whose heartbeats arrive and that no answer reaches.
+TEST_F(TaskReconcilerTest, AMachineThatIgnoresTwoStartsIsUnresponsive) {
+  Placement& placement = place(0, 1);
+  placement.start_carrier = {1, 2};
+  absent(1, 3);  // one answer may be lost
+  EXPECT_FALSE(placement.ended);
+  EXPECT_EQ(machine.agent.unresponsive_until, 0);
+  placement.start_carrier = {1, 3};
+  absent(1, 4);
+  EXPECT_TRUE(placement.ended);
+  EXPECT_EQ(machine.agent.unresponsive_until, 1 + settings.lease_s);
+}
+
+TEST_F(TaskReconcilerTest, ANamedTaskIsNotAbsent) {
+  Placement& placement = place(0, 1);
+  placement.seen = true;
+  const auto message = heartbeat("n-1", 1, 2, {task("j-000001", 0, 1, TaskState::running)});
+  tasks.reconcile_absent(machine, message, 1);
+  EXPECT_FALSE(placement.ended);
+  // Another attempt of it is another task start.
+  const auto other = heartbeat("n-1", 1, 3, {task("j-000001", 0, 2, TaskState::running)});
+  tasks.reconcile_absent(machine, other, 1);
+  EXPECT_TRUE(placement.ended);
+}
+
+}  // namespace
+}  // namespace cranklock::sched
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -79,7 +79,7 @@
 /// An array all of whose tasks are placed.
 sched::Job long_job(std::uint32_t tasks) {
   sched::Job job = make_job("j-000001", wire::JobKind::job_array, tasks, 1);
-  job.revision = 17;
+  job.record.revision = 17;
   for (std::uint32_t i = 0; i < tasks; ++i) {
     sched::Placement placement;
     placement.task = i;
@@ -94,7 +94,7 @@
 TEST(Versions, RecordsOfTheVersionInProductionAreRead) {
   auto job = read_record(kProductionRecord);
   ASSERT_TRUE(job);
-  EXPECT_EQ(job->stored_parts, 1);
+  EXPECT_EQ(job->record.parts, 1);
   EXPECT_TRUE(job->spec.dependencies.empty());
   ASSERT_EQ(control::add_part(kProductionPart, kOtherRevision, *job), PartStatus::added);
   EXPECT_EQ(job->placements.size(), 2U);
@@ -109,7 +109,7 @@
   auto job = read_record(kProductionRecord);
   ASSERT_TRUE(job);
   ASSERT_EQ(control::add_part(kProductionPart, kOtherRevision, *job), PartStatus::added);
-  job->revision = 17;
+  job->record.revision = 17;
   const auto texts = write_record(*job, kMaxBytes);
   ASSERT_EQ(texts.size(), 1U);
   std::string expected = kProductionRecord;
@@ -128,11 +128,11 @@
   const auto before = write_record(job, kMaxBytes);
   auto read = read_record(before[0]);
   ASSERT_TRUE(read);
-  ASSERT_EQ(static_cast<std::size_t>(read->stored_parts), before.size() - 1);
+  ASSERT_EQ(static_cast<std::size_t>(read->record.parts), before.size() - 1);
   for (std::size_t i = 1; i < before.size(); ++i) {
     ASSERT_EQ(control::add_part(before[i], kOtherRevision, *read), PartStatus::added);
   }
-  read->revision = 18;
+  read->record.revision = 18;
   const auto texts = write_record(*read, kComingMaxBytes);
   EXPECT_GT(texts.size(), before.size());
   for (const auto& text : texts) EXPECT_LE(text.size(), kComingMaxBytes);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -60,12 +60,12 @@
   ASSERT_EQ(texts.size(), 1u);
   const auto read = control::read_record(texts[0]);
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->stored_parts, 0);
+  EXPECT_EQ(read->record.parts, 0);
   EXPECT_EQ(read->spec.team, "vision");
   EXPECT_EQ(read->created_ms, job.created_ms);
   EXPECT_EQ(read->done.ranges(), job.done.ranges());
   ASSERT_EQ(read->placements.size(), 1u);
-  EXPECT_TRUE(read->placements[0].durable);
+  EXPECT_TRUE(read->placements[0].durable());
   EXPECT_EQ(read->placements[0].machine, "n-000001");
 }
 
@@ -83,9 +83,9 @@
   for (const auto& t : texts) EXPECT_LE(t.size(), 8192u);
   auto read = control::read_record(texts[0]);
   ASSERT_TRUE(read);
-  ASSERT_EQ(static_cast<std::size_t>(read->stored_parts), texts.size() - 1);
+  ASSERT_EQ(static_cast<std::size_t>(read->record.parts), texts.size() - 1);
   for (std::size_t i = 1; i < texts.size(); ++i) {
-    ASSERT_EQ(control::add_part(texts[i], read->revision, *read), PartStatus::added);
+    ASSERT_EQ(control::add_part(texts[i], read->record.revision, *read), PartStatus::added);
   }
   EXPECT_EQ(read->placements.size(), 900u);
   EXPECT_EQ(read->done.size(), 900u);
@@ -96,14 +96,14 @@
 TEST(Wire, PartsBelongToTheWriteThatMadeThem) {
   auto job = testing::make_job("j-000001", JobKind::job_array, 2000, 1);
   for (std::uint32_t i = 0; i < 900; ++i) job.done.add(2 * i);
-  job.revision = 41;
+  job.record.revision = 41;
   auto texts = control::write_record(job, 8192);
   ASSERT_GT(texts.size(), 1u);
-  job.revision = 43;
+  job.record.revision = 43;
   const auto later = control::write_record(job, 8192);
   auto read = control::read_record(texts[0]);
   ASSERT_TRUE(read);
-  const std::uint64_t same_revision = read->revision;
+  const std::uint64_t same_revision = read->record.revision;
   const std::uint64_t other_revision = same_revision + 1;
   EXPECT_EQ(control::add_part(texts[1], other_revision, *read), PartStatus::added);
   EXPECT_EQ(control::add_part(later[1], same_revision, *read), PartStatus::of_another_write);
--- a/tests/write_order_test.cpp
+++ b/tests/write_order_test.cpp
@@ -19,13 +19,13 @@
   /// A job that is stored and has not changed.
   sched::Job& add_stored(const std::string& id) {
     sched::Job& job = fleet_.add(make_job(id, wire::JobKind::job_array, 1, 1));
-    job.dirty = false;
+    job.record.dirty = false;
     return job;
   }
   sched::Job& add_changed(const std::string& id, double since) {
     sched::Job& job = add_stored(id);
-    job.dirty = true;
-    job.dirty_since = since;
+    job.record.dirty = true;
+    job.record.dirty_since = since;
     return job;
   }
   std::vector<std::string> order() {
@@ -55,7 +55,7 @@
 TEST_F(WriteOrder, AChangeIsDatedWhenItIsFirstSeen) {
   sched::Job& job = add_changed("j-000001", 0);
   order();
-  EXPECT_EQ(job.dirty_since, kNow);
+  EXPECT_EQ(job.record.dirty_since, kNow);
 }
 
 TEST_F(WriteOrder, StartsComeBeforeTheRest) {
@@ -87,7 +87,7 @@
 TEST_F(WriteOrder, ACancelledJobWithoutTasksIsWrittenThoughNothingElseChanged) {
   sched::Job& job = add_stored("j-000001");
   fleet_.cluster.cancel(job, 1, kNow);
-  job.dirty = false;
+  job.record.dirty = false;
   EXPECT_EQ(order(), std::vector<std::string>{"j-000001"});
 }
 
@@ -96,7 +96,7 @@
   add_changed("j-000002", kNow).done.add(0);
   auto dependent = make_job("j-000003", wire::JobKind::job_array, 1, 1);
   dependent.spec.dependencies = {"j-000002"};
-  fleet_.add(std::move(dependent)).dirty = false;
+  fleet_.add(std::move(dependent)).record.dirty = false;
   EXPECT_EQ(order(), (std::vector<std::string>{"j-000002", "j-000001"}));
 }
 
