--- /dev/null
+++ b/src/control/cloud_inventory.cpp
@@ -0,0 +1,58 @@
+#include "control/cloud_inventory.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace cranklock::control {
+
+using net::Sleep;
+using net::Task;
+
+namespace {
+constexpr double kTypesRetryS = 1;  ///< until the machine types were read for the first time
+}  // namespace
+
+Task<void> CloudInventory::follow_types() {
+  for (;;) {
+    auto reading = context_.services.cloud.types();
+    auto types = co_await reading;
+    if (types && !types->empty()) {
+      context_.cluster.set_types(std::move(*types));
+      context_.cluster.mark_changed();
+      context_.work.set();
+    }
+    const bool known = !context_.cluster.types().empty();
+    Sleep pause(context_.services.reactor,
+                known ? 2 * context_.services.settings.list_lag_s : kTypesRetryS);
+    co_await pause;
+  }
+}
+
+Task<void> CloudInventory::follow_list() {
+  for (;;) {
+    auto reading = context_.services.cloud.list();
+    const auto listed_machines = co_await reading;
+    if (listed_machines) apply_list(*listed_machines);
+    const auto known = context_.cluster.machines().size();
+    Sleep pause(context_.services.reactor,
+                cloud::Client::list_interval(context_.services.settings, known));
+    co_await pause;
+  }
+}
+
+void CloudInventory::apply_list(const std::vector<wire::ListedMachine>& listed_machines) {
+  const double now = context_.now();
+  for (const auto& listed : listed_machines) {
+    if (deleter_.is_deleted(listed.id)) continue;
+    auto& machine =
+        context_.cluster.upsert_machine(listed.id, {listed.type, listed.zone, listed.spot}, now);
+    machine.listed = true;
+    machine.last_listed = now;
+    machine.provisioned_at = std::min(machine.provisioned_at, now - listed.age_s);
+    if (machine.address.empty()) machine.address = listed.address;
+    if (listed.state == wire::MachineState::failed) machine.failed = true;
+    machine.booting = listed.state == wire::MachineState::booting;
+  }
+}
+
+}  // namespace cranklock::control
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -27,13 +27,13 @@
       work_(services.reactor),
       context_{services, lease, status_, cluster_, work_, services.reactor.now()},
       last_heard_(services.reactor.now()),
-      machines_(services, lease, cluster_, work_),
+      machines_(context_),
       outcomes_(context_),
       reloader_(context_, [this](Job job) { jobs_.upsert_job(std::move(job)); }),
       jobs_(context_, reloader_, job_callbacks()),
       writer_(context_, reloader_),
       commands_(context_, machines_, [this] { last_heard_ = now(); }),
-      scaler_(services, lease, cluster_, work_, scaler_callbacks()) {
+      scaler_(context_, machines_) {
   const double advise_every_s = services.settings.operators.defrag.advise_every_s;
   if (advise_every_s > 0) advisor_ = std::make_unique<defrag::Advisor>(cluster_, advise_every_s);
   if (services.settings.operators.defrag.moves) {
@@ -56,12 +56,6 @@
   return {[this] { pass_awaited_ = true; }, [this] { commands_.send_commands(); }};
 }
 
-PoolScaler::Callbacks LeaderTerm::scaler_callbacks() {
-  return {[this] { return is_lost(); },
-          [this](Machine& machine, const char* why) { machines_.terminate(machine, why); },
-          [this](const std::string& machine) { return machines_.is_deleted(machine); }};
-}
-
 MoveService::Callbacks LeaderTerm::move_callbacks() {
   return {[this] { return is_lost(); },
           [this](const char*) { step_down(LeadershipLoss::leader_key_changed); }};
--- a/src/control/leader_term.hpp
+++ b/src/control/leader_term.hpp
@@ -69,7 +69,6 @@
   net::Task<bool> load_shares();
   regions::ShareService::Callbacks share_callbacks();
   JobWatcher::Callbacks job_callbacks();
-  PoolScaler::Callbacks scaler_callbacks();
   double now() const { return services_.reactor.now(); }
 
   Services services_;
--- /dev/null
+++ b/src/control/machine_supervisor.cpp
@@ -0,0 +1,139 @@
+#include "control/machine_supervisor.hpp"
+
+#include <algorithm>
+#include <vector>
+
+#include "base/event_log.hpp"
+
+namespace cranklock::control {
+
+using net::Sleep;
+using net::Task;
+using sched::Job;
+using sched::Machine;
+
+Task<void> MachineSupervisor::run() {
+  for (;;) {
+    Sleep pause(context_.services.reactor, context_.services.settings.heartbeat_interval_s / 3);
+    co_await pause;
+    const double now = context_.now();
+    expire_leases(now);
+    context_.cluster.update_overdue_boots(now);
+    const auto zones = sched::count_workers(context_.cluster, now);
+    for (auto& [id, machine] : context_.cluster.machines()) {
+      if (!machine.terminating) check_machine(machine, zones, now);
+    }
+    check_placements(now);
+  }
+}
+
+void MachineSupervisor::expire_leases(double now) {
+  for (const auto& machine : context_.cluster.expire_leases(now)) {
+    base::log_info("machine lease expired", base::field("machine", machine));
+    context_.work.set();
+  }
+  for (const auto& zone : context_.cluster.update_zone_reachability(now)) {
+    base::log_info("zone unreachable", base::field("zone", zone));
+    context_.work.set();
+  }
+}
+
+void MachineSupervisor::check_machine(Machine& machine, const Zones& zones, double now) {
+  if (const auto reason = termination_reason(machine, zones, now)) {
+    deleter_.terminate(machine, *reason);
+    return;
+  }
+  if (machine.heartbeat_received && machine.reclaim_at) checkpoint_before_reclaim(machine, now);
+}
+
+std::optional<TerminationReason> MachineSupervisor::termination_reason(const Machine& machine,
+                                                                       const Zones& zones,
+                                                                       double now) {
+  if (machine.failed) return TerminationReason::stopped;
+  if (!machine.heartbeat_received) {
+    if (is_boot_timed_out(machine, now)) return TerminationReason::boot_timeout;
+    return std::nullopt;
+  }
+  const bool unanswered = now - machine.last_response > 2 * context_.services.settings.lease_s;
+  if (machine.lease_expired && unanswered && now > machine.lease_grace_until) {
+    return TerminationReason::lease_expired;
+  }
+  // Its deletion proves at once what the end of its lease would prove only later, so its tasks
+  // start elsewhere the sooner.
+  if (sched::is_reclaimed(context_.cluster, machine, zones, now))
+    return TerminationReason::reclaimed;
+  const bool quarantine_over =
+      now - machine.quarantined_since > context_.cluster.quarantine_period();
+  if (machine.quarantined && machine.idle() && (machine.fault_confirmed || quarantine_over)) {
+    return TerminationReason::quarantined;
+  }
+  return std::nullopt;
+}
+
+// A list alone proves nothing. But a machine that has sent no heartbeat for several boot times, to
+// a leader that has been there for long enough to hear it, does no work. `lease_grace_until`
+// excepts those that an unreachable zone keeps from reporting: they have not failed to come up.
+bool MachineSupervisor::is_boot_timed_out(const Machine& machine, double now) const {
+  const auto& settings = context_.services.settings;
+  const auto* type = context_.cluster.type(machine.kind.type);
+  const double expected_s = type != nullptr
+                                ? context_.cluster.expected_boot(*type, machine.kind.zone, now)
+                                : settings.lease_s;
+  const double timeout_s = settings.operators.boot_patience * expected_s;
+  return now - machine.provisioned_at > timeout_s &&
+         now - context_.term_started_at > settings.lease_s * 2 && now > machine.lease_grace_until;
+}
+
+// Tasks with checkpoints are stopped while the machine still runs, early enough to save theirs.
+void MachineSupervisor::checkpoint_before_reclaim(Machine& machine, double now) {
+  constexpr double kHeartbeats = 3;  ///< for the stop to arrive and its effect to be reported
+  const double left_s = *machine.reclaim_at - now;
+  for (const auto& held : machine.tasks) {
+    const auto& spec = held.job->spec;
+    const double needed_s =
+        2 * spec.checkpoint_save_s + kHeartbeats * context_.services.settings.heartbeat_interval_s;
+    if (spec.checkpoint_interval_s > 0 && left_s < needed_s) {
+      sched::ClusterState::request_stop(held.placement(), spec.checkpoint_save_s, now);
+    }
+  }
+}
+
+// A new leader first hears those machines that report, as long as there is time for it.
+double MachineSupervisor::cancellation_deadline(const Job& job) const {
+  constexpr double kHeartbeatsAfterFailover = 2.5;
+  constexpr double kLatestShare = 0.75;  ///< of the time that a cancellation may take
+  const auto& settings = context_.services.settings;
+  const double regular =
+      job.cancelled_since + (settings.cancel_s - settings.heartbeat_interval_s) / 2;
+  const double machines_heard =
+      context_.term_started_at + kHeartbeatsAfterFailover * settings.heartbeat_interval_s;
+  const double latest = job.cancelled_since + settings.cancel_s * kLatestShare;
+  return std::max(regular, std::min(machines_heard, latest));
+}
+
+// Terminates machines whose cancelled tasks could not be confirmed as ended in time, and machines
+// that a record names though neither the list nor a heartbeat has shown them: for both, the
+// deletion is the only proof left (invariants 4 and 7).
+void MachineSupervisor::check_placements(double now) {
+  const auto& settings = context_.services.settings;
+  const bool all_known =
+      now - context_.term_started_at > 2 * settings.list_lag_s + settings.lease_s;
+  std::vector<std::string> unknown;
+  for (const auto& [id, job] : context_.cluster.jobs()) {
+    const bool overdue = job.cancelled() && now > cancellation_deadline(job);
+    for (const auto& placement : job.placements) {
+      if (placement.ended) continue;
+      Machine* machine = context_.cluster.machine(placement.machine);
+      if (machine != nullptr && overdue) {
+        deleter_.terminate(*machine, TerminationReason::cancelled_task_unconfirmed);
+      }
+      if (machine == nullptr && (overdue || all_known)) unknown.push_back(placement.machine);
+    }
+  }
+  for (const auto& id : unknown) {
+    deleter_.terminate(context_.cluster.upsert_machine(id, {}, now),
+                       TerminationReason::unknown_machine);
+  }
+}
+
+}  // namespace cranklock::control
--- /dev/null
+++ b/src/control/machine_termination.hpp
@@ -0,0 +1,40 @@
+// Why the leader deletes a machine.
+#pragma once
+
+namespace cranklock::control {
+
+enum class TerminationReason {
+  stopped,                     ///< the cloud lists it as failed
+  boot_timeout,                ///< it never sent a heartbeat
+  lease_expired,               ///< its agent was not answered for two leases
+  reclaimed,                   ///< the cloud has taken a spot machine back
+  quarantined,                 ///< tasks of several jobs failed on it
+  cancelled_task_unconfirmed,  ///< a cancelled task may still run on it (invariant 7)
+  unknown_machine,             ///< named by a job record, but neither listed nor heard
+  scaled_in,                   ///< idle, and more than its pool needs
+};
+
+/// The value of the `reason` field of log lines.
+constexpr const char* to_string(TerminationReason reason) {
+  switch (reason) {
+    case TerminationReason::stopped:
+      return "stopped on its own";
+    case TerminationReason::boot_timeout:
+      return "boot timeout";
+    case TerminationReason::lease_expired:
+      return "lease expired";
+    case TerminationReason::reclaimed:
+      return "reclaimed";
+    case TerminationReason::quarantined:
+      return "quarantined";
+    case TerminationReason::cancelled_task_unconfirmed:
+      return "cancelled task unconfirmed";
+    case TerminationReason::unknown_machine:
+      return "unknown machine";
+    case TerminationReason::scaled_in:
+      return "scaled in";
+  }
+  return "";
+}
+
+}  // namespace cranklock::control
--- a/src/control/pool_scaler.hpp
+++ b/src/control/pool_scaler.hpp
@@ -1,68 +1,60 @@
-// The scaler's steps: reads the pools, rents what they lack and returns what they don't need.
+// Scales the pools of machines out and in.
 #pragma once
 
-#include <cstdint>
-#include <functional>
 #include <map>
 #include <string>
-
-#include "control/leader_lease.hpp"
-#include "control/services.hpp"
+#include <utility>
+#include <vector>
+
+#include "control/leader_context.hpp"
+#include "control/machine_lifecycle.hpp"
+#include "control/pool_store.hpp"
+#include "control/scale_out_requester.hpp"
+#include "control/zone_choice.hpp"
 #include "net/task.hpp"
-#include "sched/cluster_state.hpp"
 #include "sched/scaler.hpp"
 
 namespace cranklock::control {
 
-/// Carries out what `sched::Pool` decides. The count and scale time of each pool are written only
-/// when they change; a refused scale-out request stamps the scale time like a granted one.
-/// Scale-out requests are named by fencing token and sequence, and one that is not answered is
-/// asked again under its name (invariant 8).
+/// Carries out what `sched::Pool` decides. The state of a pool is written only when it changes; a
+/// refused scale-out request stamps the scale time like a granted one.
 class PoolScaler {
  public:
-  /// What it needs of the term that it serves.
-  struct Callbacks {
-    std::function<bool()> is_lost;
-    std::function<void(sched::Machine& machine, const char* why)> terminate;
-    std::function<bool(const std::string& machine)> is_deleted;
-  };
-
-  /// Made when the term begins. All that is referred to outlives the scaler.
-  PoolScaler(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
-             net::Signal& work, Callbacks callbacks);
+  /// Made when the leader term begins. All that is referred to outlives it.
+  PoolScaler(const LeaderContext& context, MachineLifecycle& machines)
+      : context_(context), machines_(machines), requester_(context, machines), store_(context) {}
 
-  /// Reads what is stored of the pools; false when the state service did not let it.
+  /// Reads what is stored of the pools; false when the key-value store did not answer with it.
   net::Task<bool> load();
-  /// Takes readings and steps, for ever.
+  /// Reads the pools and scales them, for ever.
   net::Task<void> run();
 
-  /// What the last placement pass that was not cut short found missing.
+  /// The shortfall of the last placement pass that was not cut short.
   void set_shortfall(sched::Shortfall shortfall) { shortfall_ = std::move(shortfall); }
   const sched::Shortfall& shortfall() const { return shortfall_; }
   /// Kinds that the cloud lately had none of, and until when they are passed over.
-  const std::map<sched::MachineKind, double>& refused_until() const { return refused_until_; }
+  const std::map<sched::MachineKind, double>& refused_until() const {
+    return requester_.unavailable_until();
+  }
 
  private:
-  void forget_refusals(double at);
-  net::Task<void> request_machines(sched::MachineKind kind, int count);
-  void scale_out(const sched::PoolId& pool, int machines);
-  int scale_in(const sched::PoolId& pool, int machines);
-  net::Task<void> write_pool(std::string name);
-  double now() const { return services_.reactor.now(); }
-
-  Services services_;
-  const LeaderLease& leader_lease_;
-  sched::ClusterState& cluster_;
-  net::Signal& work_;
-  Callbacks callbacks_;
-  double term_started_at_;
-  bool first_ever_ = false;  ///< no leader before has stored a pool
+  /// Scales all pools; returns the names of those whose state has changed.
+  std::vector<std::string> scale_pools();
+  void scale_pool(const sched::PoolId& id, const sched::PoolReading& reading, double now);
+  void scale_out(const sched::PoolId& id, int machines);
+  /// Returns how many machines it terminates, `machines` at most.
+  int scale_in(const sched::PoolId& id, int machines);
+  std::vector<sched::Machine*> idle_machines(const sched::PoolId& id);
+  std::map<std::string, ZoneLoad> available_zones(const sched::PoolId& id) const;
+  sched::Pool& pool(const std::string& name);
+
+  const LeaderContext& context_;
+  MachineLifecycle& machines_;
+  ScaleOutRequester requester_;
+  PoolStore store_;
+  bool is_first_term_ = false;  ///< no earlier leader has stored a pool
   std::map<std::string, sched::Pool> pools_;
-  std::map<std::string, std::uint64_t> pool_revisions_;
-  std::map<sched::MachineKind, double> refused_until_;
   sched::Shortfall shortfall_;
-  std::uint64_t request_sequence_ = 0;
-  net::Scope scope_;  ///< last, so that its routines end before what they use
 };
 
 }  // namespace cranklock::control
