--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -13,7 +13,9 @@
 #include <fstream>
 #include <iterator>
 #include <regex>
+#include <sstream>
 
+#include "base/event_log.hpp"
 #include "lab/chats.hpp"
 
 namespace cranklock::lab {
@@ -265,19 +267,15 @@
 }
 
 Controllers::Moves Controllers::moves(const std::string& region) const {
-  static const std::regex begun("plan [0-9-]+ for job [^ ]+ begins"), done("moved [^ ]+ from"),
-      dropped("is dropped after [0-9.]+ s, ([0-9]+) moves undone");
-  const auto count = [](const std::string& log, const std::regex& line) {
-    return static_cast<int>(std::distance(std::sregex_iterator(log.begin(), log.end(), line), {}));
-  };
   Moves moves;
   for (const auto& controller : controllers_) {
     if (controller.region != region) continue;
-    const std::string log = log_of(controller);
-    moves.plans_begun += count(log, begun);
-    moves.done += count(log, done);
-    for (std::sregex_iterator match(log.begin(), log.end(), dropped), end; match != end; ++match) {
-      moves.dropped += std::stoi((*match)[1]);
+    std::istringstream log(log_of(controller));
+    for (std::string line; std::getline(log, line);) {
+      if (base::read_log_field(line, base::kPlanBegun, "plan")) ++moves.plans_begun;
+      if (base::read_log_field(line, base::kMoveDone, "task")) ++moves.done;
+      const auto undone = base::read_log_field(line, base::kPlanDropped, "moves_undone");
+      if (undone) moves.dropped += std::stoi(*undone);
     }
   }
   return moves;
--- a/src/base/event_log.hpp
+++ b/src/base/event_log.hpp
@@ -83,5 +83,6 @@
 inline constexpr std::string_view kPlanBegun = "plan begun";
 inline constexpr std::string_view kPlanDone = "plan done";
 inline constexpr std::string_view kPlanDropped = "plan dropped";
+inline constexpr std::string_view kMoveDone = "move done";
 
 }  // namespace cranklock::base
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -37,7 +37,7 @@
   const double advise_every_s = services.settings.operators.defrag.advise_every_s;
   if (advise_every_s > 0) advisor_ = std::make_unique<defrag::Advisor>(cluster_, advise_every_s);
   if (services.settings.operators.defrag.moves) {
-    moves_ = std::make_unique<MoveService>(services, lease, cluster_, work_, move_callbacks());
+    moves_ = std::make_unique<MoveService>(context_);
   }
   if (regions == nullptr) return;
   shares_ = std::make_unique<regions::ShareService>(
@@ -56,11 +56,6 @@
   return {[this] { pass_awaited_ = true; }, [this] { commands_.send_commands(); }};
 }
 
-MoveService::Callbacks LeaderTerm::move_callbacks() {
-  return {[this] { return is_lost(); },
-          [this](const char*) { step_down(LeadershipLoss::leader_key_changed); }};
-}
-
 // ---- shares of team limits ----
 
 regions::ShareService::Callbacks LeaderTerm::share_callbacks() {
--- a/src/control/leader_term.hpp
+++ b/src/control/leader_term.hpp
@@ -64,7 +64,6 @@
 
   net::Task<void> write_jobs();
   void advise_on_moves();
-  MoveService::Callbacks move_callbacks();
   /// Whether shares of other regions bind this node, and it knows them.
   net::Task<bool> load_shares();
   regions::ShareService::Callbacks share_callbacks();
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -1,11 +1,10 @@
 #include "control/move_service.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <utility>
-#include <vector>
 
+#include "base/event_log.hpp"
+#include "control/plan_log.hpp"
 #include "control/record_keys.hpp"
 
 namespace cranklock::control {
@@ -16,19 +15,14 @@
 using net::Task;
 using store::Status;
 
-MoveService::MoveService(Services services, const LeaderLease& lease, sched::ClusterState& cluster,
-                         net::Signal& work, Callbacks callbacks)
-    : services_(services),
-      leader_lease_(lease),
-      cluster_(cluster),
-      work_(work),
-      callbacks_(std::move(callbacks)),
-      executor_(cluster, lease.fencing_token(), services.settings.operators.defrag.drain.named(),
-                services.reactor.now()),
-      due_(services.reactor) {}
+MoveService::MoveService(const LeaderContext& context)
+    : context_(context),
+      executor_(context.cluster, context.lease.fencing_token(),
+                context.services.settings.operators.defrag.drain.named(), context.now()),
+      wake_(context.services.reactor) {}
 
 Task<bool> MoveService::load() {
-  auto reading = services_.store.read(kMovesKey, kStoreTimeout);
+  auto reading = context_.services.store.read(kMovesKey, kStoreTimeout);
   const auto found = co_await reading;
   if (found.status == Status::failed) co_return true;
   if (found.status != Status::ok) co_return false;
@@ -36,110 +30,118 @@
   if (const auto record = defrag::read_move_record(found.value.data)) {
     executor_.load(*record, wall_ms(), now());
   } else {
-    spdlog::error("the record of moves is malformed: no plan is taken over");
+    base::log_error("record malformed", base::field("key", kMovesKey));
   }
   co_return true;
 }
 
 Task<void> MoveService::run() {
   for (;;) {
-    log_plans();
-    net::Signal::Wait wait(due_, services_.settings.heartbeat_interval_s / 4);
+    log_events();
+    net::Signal::Wait wait(wake_, context_.services.settings.heartbeat_interval_s / 4);
     co_await wait;
-    if (callbacks_.is_lost()) co_return;
+    if (context_.leadership.is_lost()) co_return;
     executor_.advance(wall_ms(), now());
-    look();
-    log_plans();
-    if (executor_.take_acted()) work_.set();
-    auto writing = write();
+    search_for_plan();
+    log_events();
+    if (executor_.take_changed()) context_.work.set();
+    auto writing = write_record();
     co_await writing;
     for (auto& request : executor_.take_due_drains(now())) {
-      scope_.spawn(drain(std::move(request)));
+      scope_.spawn(request_drain(std::move(request)));
     }
   }
 }
 
-// Guards reports, users and the renewal of the leader lease against a search of a large fleet on a
-// small processor: it takes no more than so small a part of the time.
-void MoveService::look() {
-  constexpr double kRestAfterLook = 50;  // times what the last one took
-  if (now() < look_after_ || executor_.has_plan() || cluster_.types().empty()) return;
+// Guards heartbeats, users and the renewal of the leader lease against a search of a large fleet on
+// a small processor: searches take no more than a fiftieth of the time.
+void MoveService::search_for_plan() {
+  constexpr double kPausePerSearch = 50;  ///< times what the last search took
+  if (now() < next_search_at_ || executor_.has_plan() || context_.cluster.types().empty()) return;
   const double began = now();
-  executor_.look(services_.store.value_bytes(), wall_ms(), began);
-  const double took = now() - began;
-  look_after_ = now() + std::max(services_.settings.heartbeat_interval_s, kRestAfterLook * took);
+  executor_.search(context_.services.store.value_bytes(), wall_ms(), began);
+  const double took_s = now() - began;
+  next_search_at_ =
+      now() + std::max(context_.services.settings.heartbeat_interval_s, kPausePerSearch * took_s);
 }
 
-void MoveService::log_plans() {
-  for (const auto& line : executor_.take_log_lines()) spdlog::info("{}", line);
+void MoveService::log_events() {
+  for (const auto& event : executor_.take_events()) spdlog::info("{}", to_log_line(event));
 }
 
-Task<void> MoveService::write() {
-  if (now() < write_after_) co_return;
-  const auto wanted = executor_.to_store();
-  if (!wanted && !is_unknown_) co_return;
-  // After a write without an answer whatever is wanted now is written, so that one of the two wins.
-  const defrag::MoveRecord record = wanted ? *wanted : executor_.wanted();
-  std::vector<wire::Compare> compares{{kLeaderKey, leader_lease_.fencing_token()},
+Task<void> MoveService::write_record() {
+  if (now() < next_write_at_) co_return;
+  const auto pending = executor_.pending_write();
+  if (!pending && !is_indeterminate_) co_return;
+  // After a write without an answer, what is wanted now is written, so that one of the two wins.
+  const defrag::MoveRecord record = pending ? *pending : executor_.wanted();
+  std::vector<wire::Compare> compares{{kLeaderKey, context_.lease.fencing_token()},
                                       {kMovesKey, revision_}};
   if (record.plan) compares.push_back({kMovesOffKey, 0});
   std::vector<wire::Mutation> mutations{{kMovesKey, defrag::write_move_record(record), 0}};
-  auto writing =
-      services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeout);
-  const auto result = co_await writing;
-  const auto compare_failed = [&](const char* key) {
-    return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
-  };
-  is_unknown_ = is_unknown_ || result.status == Status::unknown;
+  auto writing = context_.services.store.compare_and_swap(std::move(compares), std::move(mutations),
+                                                          kStoreTimeout);
+  auto result = co_await writing;
+  is_indeterminate_ = is_indeterminate_ || result.status == Status::unknown;
   if (result.status == Status::ok) {
-    is_unknown_ = false;
+    is_indeterminate_ = false;
     revision_ = result.revision;
-    executor_.note_stored(record);
-    due_.set();
-  } else if (result.status == Status::failed && compare_failed(kLeaderKey)) {
-    callbacks_.lose("the leader's key has changed");
+    executor_.record_stored(record);
+    wake_.set();
   } else if (result.status == Status::failed) {
-    if (compare_failed(kMovesOffKey)) {
-      executor_.drop(DropReason::off, now());
-      look_after_ = now() + services_.settings.lease_s;
-    }
-    auto reading = read_revision();
-    co_await reading;
+    auto handling = handle_conflict(std::move(result.failed));
+    co_await handling;
   } else {
-    write_after_ = now() + services_.settings.heartbeat_interval_s / 8;
+    next_write_at_ = now() + context_.services.settings.heartbeat_interval_s / 8;
+  }
+}
+
+Task<void> MoveService::handle_conflict(std::vector<std::string> failed_keys) {
+  const auto has_failed = [&](const char* key) {
+    return std::find(failed_keys.begin(), failed_keys.end(), key) != failed_keys.end();
+  };
+  if (has_failed(kLeaderKey)) {
+    context_.leadership.step_down(LeadershipLoss::leader_key_changed);
+    co_return;
+  }
+  if (has_failed(kMovesOffKey)) {
+    executor_.drop(DropReason::disabled, now());
+    next_search_at_ = now() + context_.services.settings.lease_s;
   }
+  auto reading = read_revision();
+  co_await reading;
 }
 
 // Nobody but this leader writes the record: what has changed it is a write of ours without an
 // answer, so what is wanted still decides.
 Task<void> MoveService::read_revision() {
-  auto reading = services_.store.read(kMovesKey, kStoreTimeout);
+  auto reading = context_.services.store.read(kMovesKey, kStoreTimeout);
   const auto found = co_await reading;
   if (found.status == Status::ok) {
     revision_ = found.value.revision;
-    is_unknown_ = true;
+    is_indeterminate_ = true;
   } else if (found.status == Status::failed) {
     revision_ = 0;
   }
 }
 
-Task<void> MoveService::drain(DrainRequest request) {
+Task<void> MoveService::request_drain(DrainRequest request) {
   const double sent = now();
-  // Nobody who may have been replaced takes a replica out of service.
-  if (!leader_lease_.valid(sent)) {
-    executor_.drain_answered(request, std::nullopt, sent, sent);
+  // A leader that may have been replaced takes no replica out of service.
+  if (!context_.lease.valid(sent)) {
+    executor_.record_drain_answer(request, std::nullopt, sent, sent);
     co_return;
   }
-  const auto& endpoint = services_.settings.operators.defrag.drain;
+  const auto& endpoint = context_.services.settings.operators.defrag.drain;
   net::Request call{"POST", endpoint.path, "", defrag::write_drain_request(request), true};
-  auto calling = services_.transport.call(endpoint.address, std::move(call),
-                                          services_.settings.heartbeat_interval_s);
+  auto calling = context_.services.transport.call(endpoint.address, std::move(call),
+                                                  context_.services.settings.heartbeat_interval_s);
   const auto reply = co_await calling;
   std::optional<DrainAnswer> answer;
   if (reply.status() == 200) answer = defrag::read_drain_answer(reply.response.body);
   if (request.lease_s <= 0) co_return;  // taken back; its lease ends it in any case
-  executor_.drain_answered(request, answer, sent, now());
-  due_.set();
+  executor_.record_drain_answer(request, answer, sent, now());
+  wake_.set();
 }
 
 }  // namespace cranklock::control
--- a/src/defrag/plan_check.cpp
+++ b/src/defrag/plan_check.cpp
@@ -4,6 +4,7 @@
 #include <map>
 #include <string>
 
+#include "defrag/move_progress.hpp"
 #include "defrag/plan_search.hpp"
 #include "sched/availability.hpp"
 
@@ -22,15 +23,15 @@
 }
 
 /// Whether the machine takes work, and has so much room beside what is on it.
-bool offers(ClusterState& cluster, const std::string& id, const wire::Resources& resources) {
+bool has_room(ClusterState& cluster, const std::string& id, const wire::Resources& resources) {
   const auto* machine = cluster.machine(id);
   const auto* type = machine != nullptr ? cluster.type(machine->kind.type) : nullptr;
   return type != nullptr && sched::is_schedulable(cluster, *machine) &&
          resources.fits_in(type->resources - machine->allocated);
 }
 
-bool is_place_lost(ClusterState& cluster, const MovePlan& plan, const sched::Job& waiting,
-                   const PlannedPlace& place) {
+bool is_host_unavailable(ClusterState& cluster, const MovePlan& plan, const sched::Job& waiting,
+                         const PlannedPlace& place) {
   const auto* machine = cluster.machine(place.machine);
   if (machine == nullptr || !sched::allows(waiting.spec, machine->kind)) return true;
   wire::Resources wanted = waiting.spec.resources * place.tasks;
@@ -38,7 +39,7 @@
     if (move.source != place.machine || !is_on_source(cluster, move)) continue;
     wanted -= cluster.job(move.task.job)->spec.resources;
   }
-  return !offers(cluster, place.machine, wanted);
+  return !has_room(cluster, place.machine, wanted);
 }
 
 bool target_allows(ClusterState& cluster, const PlannedMove& move, const sched::Job& job) {
@@ -49,7 +50,7 @@
   return !zone_bound || source == nullptr || source->kind.zone == target->kind.zone;
 }
 
-bool is_target_lost(ClusterState& cluster, const MovePlan& plan, bool placed) {
+bool is_target_unavailable(ClusterState& cluster, const MovePlan& plan, bool placed) {
   std::map<std::string, wire::Resources> wanted;  // by target
   for (const auto& move : plan.moves) {
     const sched::Job* job = cluster.job(move.task.job);
@@ -58,7 +59,7 @@
     wanted[move.target] += job->spec.resources;
   }
   return std::any_of(wanted.begin(), wanted.end(), [&](const auto& target) {
-    return !offers(cluster, target.first, target.second);
+    return !has_room(cluster, target.first, target.second);
   });
 }
 
@@ -81,38 +82,32 @@
 
 const char* to_string(DropReason reason) {
   switch (reason) {
-    case DropReason::job_over:
-      return "the waiting job is over";
-    case DropReason::gain_gone:
-      return "it gains nothing any more";
-    case DropReason::too_dear:
-      return "it costs as much as a boot";
-    case DropReason::too_slow:
-      return "it takes too long";
-    case DropReason::place_lost:
-      return "a machine meant for the waiting job is lost to it";
-    case DropReason::target_lost:
-      return "a target is lost";
+    case DropReason::job_ended:
+      return "job ended";
+    case DropReason::no_gain:
+      return "no gain";
+    case DropReason::too_expensive:
+      return "too expensive";
+    case DropReason::timed_out:
+      return "timed out";
+    case DropReason::host_unavailable:
+      return "host unavailable";
+    case DropReason::target_unavailable:
+      return "target unavailable";
     case DropReason::drain_refused:
-      return "the router refuses to drain a replica";
+      return "drain refused";
     case DropReason::drain_late:
-      return "a replica was not drained in time";
-    case DropReason::off:
-      return "moves are off";
+      return "drain late";
+    case DropReason::disabled:
+      return "disabled";
   }
   return "";
 }
 
-double longest_plan_s(const base::Settings& settings) {
+double max_plan_s(const base::Settings& settings) {
   return 2 * settings.cancel_s;
 }
 
-bool is_on_source(ClusterState& cluster, const PlannedMove& move) {
-  sched::Job* job = cluster.job(move.task.job);
-  const auto* placement = job != nullptr ? job->find(move.task.index, move.attempt) : nullptr;
-  return placement != nullptr && !placement->ended && placement->machine == move.source;
-}
-
 bool is_placed(const sched::Job& job, const MovePlan& plan) {
   if (job.spec.kind == wire::JobKind::gang) return job.live() > 0;
   if (job.pending_count() == 0) return true;
@@ -124,30 +119,32 @@
   });
 }
 
-std::optional<DropReason> why_drop_by_records(ClusterState& cluster, const MovePlan& plan,
-                                              bool placed, std::int64_t wall_ms, double now) {
+std::optional<DropReason> drop_reason_by_records(ClusterState& cluster, const MovePlan& plan,
+                                                 bool placed, std::int64_t wall_ms, double now) {
   // A clock of the day that is behind the former leader's makes a plan end late by as much.
   const double age_s = static_cast<double>(wall_ms - plan.begun_ms) / 1000;
-  if (age_s > longest_plan_s(cluster.settings())) return DropReason::too_slow;
+  if (age_s > max_plan_s(cluster.settings())) return DropReason::timed_out;
   if (placed) return std::nullopt;
   const sched::Job* waiting = cluster.job(plan.job);
-  if (waiting == nullptr || waiting->cancelled()) return DropReason::job_over;
-  if (!waits_for_room(cluster, *waiting, now)) return DropReason::gain_gone;
+  if (waiting == nullptr || waiting->cancelled()) return DropReason::job_ended;
+  if (!waits_for_room(cluster, *waiting, now)) return DropReason::no_gain;
   return std::nullopt;
 }
 
-std::optional<DropReason> why_drop_by_fleet(ClusterState& cluster, const MovePlan& plan,
-                                            bool placed, const MoveRules& rules, double now) {
-  if (is_target_lost(cluster, plan, placed)) return DropReason::target_lost;
+std::optional<DropReason> drop_reason_by_fleet(ClusterState& cluster, const MovePlan& plan,
+                                               bool placed, const MoveRules& rules, double now) {
+  if (is_target_unavailable(cluster, plan, placed)) return DropReason::target_unavailable;
   if (placed) return std::nullopt;
   const sched::Job& waiting = *cluster.job(plan.job);
-  if (room_is_coming(cluster, waiting)) return DropReason::gain_gone;
-  const bool place_lost = std::any_of(
-      plan.places.begin(), plan.places.end(),
-      [&](const PlannedPlace& place) { return is_place_lost(cluster, plan, waiting, place); });
-  if (place_lost) return DropReason::place_lost;
-  const bool dear = plan.boot_s > 0 && remaining_cost(cluster, plan, rules, now) >= plan.boot_s;
-  if (dear) return DropReason::too_dear;
+  if (room_is_coming(cluster, waiting)) return DropReason::no_gain;
+  const bool any_host_unavailable =
+      std::any_of(plan.places.begin(), plan.places.end(), [&](const PlannedPlace& place) {
+        return is_host_unavailable(cluster, plan, waiting, place);
+      });
+  if (any_host_unavailable) return DropReason::host_unavailable;
+  const bool too_expensive =
+      plan.boot_s > 0 && remaining_cost(cluster, plan, rules, now) >= plan.boot_s;
+  if (too_expensive) return DropReason::too_expensive;
   return std::nullopt;
 }
 
--- /dev/null
+++ b/src/defrag/plan_reservations.cpp
@@ -0,0 +1,30 @@
+#include "defrag/plan_reservations.hpp"
+
+#include <optional>
+#include <string>
+
+namespace cranklock::defrag {
+
+std::vector<sched::Reservation> reservations_for(sched::ClusterState& cluster, const MovePlan& plan,
+                                                 bool placed) {
+  std::vector<sched::Reservation> reservations;
+  const sched::Job* waiting = cluster.job(plan.job);
+  if (!placed && waiting != nullptr) {
+    for (const auto& place : plan.places) {
+      reservations.push_back(
+          {place.machine, plan.job, std::nullopt, waiting->spec.resources * place.tasks, ""});
+    }
+  }
+  for (const auto& move : plan.moves) {
+    const sched::Job* job = cluster.job(move.task.job);
+    const bool needed = is_interrupted(move.step) || (!placed && !is_over(move.step));
+    if (job == nullptr || !needed) continue;
+    // Guards against a job that waits though other work has ended on the target meanwhile.
+    const std::string yields_to = is_interrupted(move.step) ? "" : plan.job;
+    reservations.push_back(
+        {move.target, move.task.job, move.task.index, job->spec.resources, yields_to});
+  }
+  return reservations;
+}
+
+}  // namespace cranklock::defrag
--- /dev/null
+++ b/src/defrag/plan_reservations.hpp
@@ -0,0 +1,17 @@
+// The resources that a stored plan of moves holds. Pure: no I/O.
+#pragma once
+
+#include <vector>
+
+#include "defrag/move_plan.hpp"
+#include "sched/cluster_state.hpp"
+#include "sched/reservations.hpp"
+
+namespace cranklock::defrag {
+
+/// What the plan holds on machines: for the waiting job until it is placed, and on the target of
+/// each move that is under way or may still begin.
+std::vector<sched::Reservation> reservations_for(sched::ClusterState& cluster, const MovePlan& plan,
+                                                 bool placed);
+
+}  // namespace cranklock::defrag
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -127,4 +127,26 @@
   return std::nullopt;
 }
 
+MovePlan make_move_plan(const FoundPlan& found, const std::string& id, std::int64_t wall_ms,
+                        sched::ClusterState& cluster) {
+  MovePlan plan;
+  plan.id = id;
+  plan.job = found.job->spec.id;
+  plan.begun_ms = wall_ms;
+  plan.cost_s = found.plan.cost_s;
+  plan.boot_s = found.boot_s;
+  std::map<std::size_t, std::uint32_t> tasks_by_host;
+  for (const auto host : found.plan.places) ++tasks_by_host[host];
+  for (const auto& [host, tasks] : tasks_by_host) {
+    plan.places.push_back({found.hosts[host].id, tasks});
+  }
+  for (const auto& move : found.plan.moves) {
+    const Host& source = found.hosts[move.from];
+    const auto& task = source.residents[move.resident].task;
+    const auto* placement = cluster.job(task.job)->live_placement(task.index);
+    plan.moves.push_back({task, placement->attempt, source.id, found.hosts[move.to].id});
+  }
+  return plan;
+}
+
 }  // namespace cranklock::defrag
--- a/src/defrag/plan_search.hpp
+++ b/src/defrag/plan_search.hpp
@@ -1,12 +1,15 @@
 // For whom moves would make room, and which. Pure: no I/O, time passed in.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <optional>
 #include <string>
 #include <vector>
 
 #include "defrag/fleet_view.hpp"
+#include "defrag/move_plan.hpp"
 #include "defrag/planner.hpp"
 #include "sched/cluster_state.hpp"
 
@@ -40,4 +43,8 @@
                                    const std::function<bool(const sched::Job&)>& eligible,
                                    double now);
 
+/// The found plan in names, with all its moves still to begin. `id` is unique in the region.
+MovePlan make_move_plan(const FoundPlan& found, const std::string& id, std::int64_t wall_ms,
+                        sched::ClusterState& cluster);
+
 }  // namespace cranklock::defrag
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -123,7 +123,7 @@
   bool is_settled() { return !has_plan() && !reservations_held() && w.running(kSmall) == 4; }
   /// The bound on a plan's life, and what nodes need to notice it.
   double longest() const {
-    return defrag::longest_plan_s(w.base_settings) + 2 * w.base_settings.lease_s;
+    return defrag::max_plan_s(w.base_settings) + 2 * w.base_settings.lease_s;
   }
 
  private:
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -60,13 +60,13 @@
   MoveExecutor executor(bool services = false) {
     return {fleet.cluster, kFencingToken, services, 0};
   }
-  void look(MoveExecutor& executor) { executor.look(kAnySize, wall_ms(), now); }
+  void search(MoveExecutor& executor) { executor.search(kAnySize, wall_ms(), now); }
   void advance(MoveExecutor& executor) { executor.advance(wall_ms(), now); }
   /// What a successful write would do.
   static void store(MoveExecutor& executor) {
-    const auto record = executor.to_store();
+    const auto record = executor.pending_write();
     ASSERT_TRUE(record);
-    executor.note_stored(*record);
+    executor.record_stored(*record);
   }
   sched::Placement& source(const PlannedMove& move) {
     return *job(move.task.job).find(move.task.index, move.attempt);
@@ -76,7 +76,7 @@
 TEST(MoveExecutor, StopsOnlyWhatIsWrittenDown) {
   Halves halves;
   auto executor = halves.executor();
-  halves.look(executor);
+  halves.search(executor);
   ASSERT_TRUE(executor.has_plan());
   const auto move = executor.wanted().plan->moves.at(0);
   halves.advance(executor);
@@ -86,9 +86,9 @@
   EXPECT_EQ(halves.fleet.cluster.reservations().all().size(), 2U);
   halves.advance(executor);  // wants the stop stored
   EXPECT_FALSE(halves.source(move).stop);
-  ASSERT_TRUE(executor.to_store());
-  EXPECT_EQ(executor.to_store()->plan->moves.at(0).step, MoveStep::stopping);
-  EXPECT_EQ(executor.to_store()->past.size(), 1U);
+  ASSERT_TRUE(executor.pending_write());
+  EXPECT_EQ(executor.pending_write()->plan->moves.at(0).step, MoveStep::stopping);
+  EXPECT_EQ(executor.pending_write()->past.size(), 1U);
   Halves::store(executor);
   halves.advance(executor);
   EXPECT_TRUE(halves.source(move).stop);
@@ -100,7 +100,7 @@
   MoveRecord stored;
   {
     auto former = halves.executor();
-    halves.look(former);
+    halves.search(former);
     Halves::store(former);
     halves.advance(former);
     Halves::store(former);
@@ -127,7 +127,7 @@
 TEST(MoveExecutor, ASuccessorWaitsUntilMachinesHaveReported) {
   Halves halves;
   auto former = halves.executor();
-  halves.look(former);
+  halves.search(former);
   Halves::store(former);
   MoveExecutor successor(halves.fleet.cluster, kFencingToken, false, halves.now);
   successor.load(former.wanted(), halves.wall_ms(), halves.now);
@@ -135,7 +135,7 @@
     halves.fleet.cluster.machine(id)->heartbeat_received = false;
   halves.advance(successor);
   EXPECT_TRUE(successor.has_plan());
-  EXPECT_FALSE(successor.to_store());
+  EXPECT_FALSE(successor.pending_write());
   halves.now += 4 * halves.fleet.settings.heartbeat_interval_s;
   halves.advance(successor);
   EXPECT_FALSE(successor.has_plan());
@@ -144,26 +144,26 @@
 TEST(MoveExecutor, EveryPlanEndsWithinItsBound) {
   Halves halves;
   auto executor = halves.executor();
-  halves.look(executor);
+  halves.search(executor);
   Halves::store(executor);
   halves.advance(executor);
   Halves::store(executor);
-  halves.now += longest_plan_s(halves.fleet.settings) - 1;
+  halves.now += max_plan_s(halves.fleet.settings) - 1;
   halves.advance(executor);
   EXPECT_TRUE(executor.has_plan());
   halves.now += 2;
   halves.advance(executor);
   EXPECT_FALSE(executor.has_plan());
   EXPECT_TRUE(halves.fleet.cluster.reservations().empty());
-  ASSERT_TRUE(executor.to_store());
-  EXPECT_FALSE(executor.to_store()->plan);
+  ASSERT_TRUE(executor.pending_write());
+  EXPECT_FALSE(executor.pending_write()->plan);
 }
 
 // Its start may still be carried out, or its place is not certain: it is not stopped for a plan.
 TEST(MoveExecutor, WhatIsInDoubtDoesNotBeginToMove) {
   Halves halves;
   auto executor = halves.executor();
-  halves.look(executor);
+  halves.search(executor);
   Halves::store(executor);
   auto& source = halves.source(executor.wanted().plan->moves.at(0));
   source.unconfirmed_start_epoch = 1;
@@ -182,7 +182,7 @@
     halves.job(id).find(0, 1)->running_since = halves.now - 10;
   }
   auto executor = halves.executor();
-  halves.look(executor);
+  halves.search(executor);
   ASSERT_TRUE(executor.has_plan());
   halves.now += 30;
   halves.advance(executor);
@@ -195,9 +195,9 @@
 TEST(MoveExecutor, ALongerRecordThanAValueIsNotBegun) {
   Halves halves;
   auto executor = halves.executor();
-  executor.look(200, halves.wall_ms(), halves.now);
+  executor.search(200, halves.wall_ms(), halves.now);
   EXPECT_FALSE(executor.has_plan());
-  halves.look(executor);
+  halves.search(executor);
   EXPECT_TRUE(executor.has_plan());
 }
 
@@ -214,11 +214,11 @@
   };
   auto spent = halves.executor();
   spent.load(past_moves(3500), halves.wall_ms(), halves.now);
-  halves.look(spent);
+  halves.search(spent);
   EXPECT_FALSE(spent.has_plan());
   auto renewed = halves.executor();
   renewed.load(past_moves(3700), halves.wall_ms(), halves.now);
-  halves.look(renewed);
+  halves.search(renewed);
   ASSERT_TRUE(renewed.has_plan());
   EXPECT_TRUE(renewed.wanted().past.empty());  // and are forgotten after it
 }
@@ -226,12 +226,12 @@
 TEST(MoveExecutor, ADroppedPlanIsNotBegunAnewAtOnce) {
   Halves halves;
   auto executor = halves.executor();
-  halves.look(executor);
-  executor.drop(DropReason::gain_gone, halves.now);
-  halves.look(executor);
+  halves.search(executor);
+  executor.drop(DropReason::no_gain, halves.now);
+  halves.search(executor);
   EXPECT_FALSE(executor.has_plan());
   halves.now += 46;  // as long as a machine boots
-  halves.look(executor);
+  halves.search(executor);
   EXPECT_TRUE(executor.has_plan());
 }
 
@@ -243,7 +243,7 @@
   MoveExecutor executor = halves.executor(true);
 
   Drains() {
-    halves.look(executor);
+    halves.search(executor);
     EXPECT_TRUE(executor.has_plan());
     Halves::store(executor);
     halves.advance(executor);
@@ -257,8 +257,8 @@
     return due.at(0);
   }
   void answer(const DrainRequest& request, DrainState state, double sent) {
-    executor.drain_answered(request, DrainAnswer{request.task, request.attempt, state, 0}, sent,
-                            halves.now);
+    executor.record_drain_answer(request, DrainAnswer{request.task, request.attempt, state, 0},
+                                 sent, halves.now);
     halves.advance(executor);
   }
   /// Drained, and the stop written down.
@@ -352,7 +352,7 @@
   Drains drains;
   const auto request = drains.ask();
   const DrainAnswer other{request.task, request.attempt + 1, DrainState::drained, 0};
-  drains.executor.drain_answered(request, other, drains.halves.now, drains.halves.now);
+  drains.executor.record_drain_answer(request, other, drains.halves.now, drains.halves.now);
   EXPECT_FALSE(drains.executor.has_plan());
 }
 
@@ -361,7 +361,8 @@
   for (int i = 0; i < 50 && drains.executor.has_plan(); ++i) {
     const auto request = drains.ask();
     drains.halves.now += 1;
-    drains.executor.drain_answered(request, std::nullopt, drains.halves.now - 1, drains.halves.now);
+    drains.executor.record_drain_answer(request, std::nullopt, drains.halves.now - 1,
+                                        drains.halves.now);
     drains.halves.advance(drains.executor);
     EXPECT_FALSE(drains.executor.has_plan() && drains.source().stop);
   }
@@ -393,8 +394,8 @@
   EXPECT_FALSE(drains.source().stop);
   const auto due = successor.take_due_drains(drains.halves.now);
   ASSERT_EQ(due.size(), 1U);
-  successor.drain_answered(due[0], DrainAnswer{due[0].task, 1, DrainState::drained, 0},
-                           drains.halves.now, drains.halves.now);
+  successor.record_drain_answer(due[0], DrainAnswer{due[0].task, 1, DrainState::drained, 0},
+                                drains.halves.now, drains.halves.now);
   drains.halves.advance(successor);
   EXPECT_TRUE(drains.source().stop);
 }
@@ -402,7 +403,7 @@
 TEST(MoveExecutor, WithoutARouterReplicasStay) {
   Halves halves(wire::JobKind::service);
   auto executor = halves.executor(false);
-  halves.look(executor);
+  halves.search(executor);
   EXPECT_FALSE(executor.has_plan());
 }
 
