--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -68,7 +68,7 @@
 
 TEST(Preemption, WhatIsNotDurableIsNotStopped) {
   FullMachine full;
-  for (auto& placement : full.victim.placements) placement.durable = false;
+  for (auto& placement : full.victim.placements) placement.write = PlacementWrite::pending;
   EXPECT_EQ(full.preempt(), 0);
 }
 
