--- a/tests/record_reloader_test.cpp
+++ b/tests/record_reloader_test.cpp
@@ -4,31 +4,12 @@
 #include <gtest/gtest.h>
 
 #include "control/outcome_reader.hpp"
-#include "stored_jobs.hpp"
+#include "leader_part.hpp"
 
 namespace cranklock::control {
 namespace {
 
-/// What a leader term gives its parts.
-class LeaderPartTest : public testing::StoredJobsTest {
- protected:
-  static constexpr std::uint64_t kFencingToken = 7;
-
-  cloud::Client cloud_{reactor_, transport_, settings_};
-  net::Signal lost_{reactor_};
-  net::Signal work_{reactor_};
-  LeaderLease lease_{settings_, kFencingToken, reactor_.now()};
-  LeadershipStatus leadership_{kFencingToken, lost_};
-  sched::ClusterState cluster_{settings_, kFencingToken, reactor_.now()};
-  LeaderContext context_{{reactor_, transport_, settings_, store_, cloud_},
-                         lease_,
-                         leadership_,
-                         cluster_,
-                         work_,
-                         reactor_.now()};
-};
-
-class RecordReloaderTest : public LeaderPartTest {
+class RecordReloaderTest : public testing::LeaderPartTest {
  protected:
   /// A job as the leader holds it, at a revision that is not that of the store.
   sched::Job& hold(const std::string& id, std::uint64_t revision) {
@@ -108,7 +89,7 @@
   EXPECT_NE(cluster_.job(kJob), nullptr);
 }
 
-class OutcomeReaderTest : public LeaderPartTest {
+class OutcomeReaderTest : public testing::LeaderPartTest {
  protected:
   static constexpr const char* kDependent = "j-000002";
 
