--- a/src/control/leader_term_passes.cpp
+++ b/src/control/leader_term_passes.cpp
@@ -36,7 +36,7 @@
       last_pass = now();
       const bool job_came = std::exchange(pass_awaited_, false);
       auto result = sched::place_waiting(cluster_, scaler_.refused_until(), last_pass);
-      if (result.cut_short) cluster_.mark_changed();
+      if (result.incomplete) cluster_.mark_changed();
       if (shares_ && job_came) shares_->look_again();
       if (scaler_.shortfall().wanted.empty() && !result.shortfall.wanted.empty()) {
         const auto& [kind, count] = *result.shortfall.wanted.begin();
@@ -46,11 +46,11 @@
       // Guards reports, users and the renewal of the leader lease against a fleet so large, or a
       // processor so slow, that passes would fill the time.
       next_pass_at_ = last_pass + std::max(kPassEvery, kRestAfterPass * (now() - last_pass));
-      if (!result.cut_short) scaler_.set_shortfall(std::move(result.shortfall));
+      if (!result.incomplete) scaler_.set_shortfall(std::move(result.shortfall));
       // Here alone: passes keep a distance, so that neither wakes the other without end.
       if (moves_) moves_->wake();
-      if (result.placed > 0 || result.stopped > 0) {
-        spdlog::debug("placed {} tasks, stopping {}", result.placed, result.stopped);
+      if (result.placed > 0 || result.preempted > 0) {
+        spdlog::debug("placed {} tasks, stopping {}", result.placed, result.preempted);
       }
     }
     advise_on_moves();
--- /dev/null
+++ b/src/sched/candidates.cpp
@@ -0,0 +1,89 @@
+#include "sched/candidates.hpp"
+
+#include <algorithm>
+#include <map>
+
+#include "sched/availability.hpp"
+#include "sched/entitlement.hpp"
+
+namespace cranklock::sched {
+namespace {
+
+/// What tasks that are being stopped still hold, by machine; few are at any time.
+std::map<std::string, wire::Resources> releasing_by_machine(ClusterState& cluster) {
+  std::map<std::string, wire::Resources> releasing;
+  for (const auto& [id, job] : cluster.jobs()) {
+    for (const auto& placement : job.placements) {
+      const bool stopping = !placement.ended && (placement.stop || job.cancelled());
+      if (stopping) releasing[placement.machine] += job.spec.resources;
+    }
+  }
+  return releasing;
+}
+
+}  // namespace
+
+CandidateSet::CandidateSet(ClusterState& cluster) : cluster_(cluster) {
+  const auto releasing = releasing_by_machine(cluster);
+  for (auto& [id, machine] : cluster.machines()) {
+    const auto* type = cluster.type(machine.kind.type);
+    if (type == nullptr) continue;
+    const wire::Resources free = type->resources - machine.allocated;
+    if (is_schedulable(cluster, machine)) {
+      const auto released = releasing.find(id);
+      schedulable_.push_back({machine.kind, free, &machine,
+                              released == releasing.end() ? wire::Resources{} : released->second,
+                              nullptr, type, cluster.reservations().any_on(id)});
+    } else if (is_starting(cluster, machine)) {
+      starting_.push_back({machine.kind, free, nullptr, {}, nullptr, type});
+    }
+  }
+  for (const auto& reservation : cluster.reservations().all()) {
+    if (cluster.in_force(reservation)) reservations_.push_back(&reservation);
+  }
+}
+
+Candidate* CandidateSet::find(const std::string& machine) {
+  const auto found =
+      std::find_if(schedulable_.begin(), schedulable_.end(),
+                   [&](const Candidate& candidate) { return candidate.machine->id == machine; });
+  return found == schedulable_.end() ? nullptr : &*found;
+}
+
+// What is reserved there for others, save for those whose resources the job is entitled to:
+// enforces, for placement, that a reservation never stands against work entitled to preempt its
+// holder (invariant 19).
+wire::Resources CandidateSet::reserved_against(const Job& job, const Candidate& candidate) {
+  wire::Resources reserved;
+  for (const Reservation* reservation : reservations_) {
+    if (reservation->machine != candidate.machine->id) continue;
+    const Job& holder = *cluster_.job(reservation->job);
+    if (&holder == &job && !reservation->task) continue;
+    if (reservation->yields_to == job.spec.id) continue;
+    if (&holder != &job && may_preempt(job, holder)) continue;
+    reserved += reservation->resources;
+  }
+  return reserved;
+}
+
+wire::Resources CandidateSet::unreserved_for(const Job& job, const Candidate& candidate) {
+  const wire::Resources available = candidate.free - reserved_against(job, candidate);
+  if (job.spec.resources.fits_in(candidate.free + candidate.releasing) &&
+      !job.spec.resources.fits_in(available + candidate.releasing)) {
+    blocked_by_reservation_ = true;
+  }
+  return available;
+}
+
+std::vector<std::string> gang_zones(const CandidateSet& candidates, const wire::JobSpec& spec) {
+  if (!spec.one_zone) return {""};
+  std::vector<std::string> zones;
+  for (const auto& candidate : candidates.schedulable()) {
+    if (std::find(zones.begin(), zones.end(), candidate.kind.zone) == zones.end()) {
+      zones.push_back(candidate.kind.zone);
+    }
+  }
+  return zones;
+}
+
+}  // namespace cranklock::sched
--- /dev/null
+++ b/src/sched/nomination.cpp
@@ -0,0 +1,84 @@
+#include "sched/nomination.hpp"
+
+#include <algorithm>
+
+#include "sched/best_fit.hpp"
+
+namespace cranklock::sched {
+namespace {
+
+/// Whether one task takes at least half of a machine of the type.
+bool is_large(const Job& job, const wire::MachineType& type) {
+  return job.spec.resources.fits_in(type.resources) &&
+         2 * dominant_share(job.spec.resources, type.resources) >= 1;
+}
+
+/// Whether what is available and what is being released will do for a task.
+bool fits_after_release(CandidateSet& candidates, const Job& job, const Candidate& candidate) {
+  return job.spec.resources.fits_in(candidates.available_to(job, candidate) + candidate.releasing);
+}
+
+/// Machines that could be kept for a gang.
+struct GangMachines {
+  std::vector<Candidate*> machines;  ///< those that will do as soon as they are released first
+  std::size_t fitting = 0;           ///< how many those are
+};
+
+GangMachines machines_for_gang(CandidateSet& candidates, const Job& job,
+                               const std::string& only_zone, double now) {
+  std::vector<Candidate*> fitting, others;
+  for (auto& candidate : candidates.schedulable()) {
+    if (candidate.nominated_for != nullptr || !allows(job.spec, candidate.kind)) continue;
+    if (!only_zone.empty() && candidate.kind.zone != only_zone) continue;
+    const bool waited_for_boot = now - job.known_since > candidate.type->ready_s;
+    if (fits_after_release(candidates, job, candidate)) {
+      fitting.push_back(&candidate);
+    } else if (waited_for_boot && is_large(job, *candidate.type)) {
+      others.push_back(&candidate);
+    }
+  }
+  std::sort(others.begin(), others.end(),
+            [](const Candidate* a, const Candidate* b) { return a->free.gpus > b->free.gpus; });
+  const std::size_t fitting_count = fitting.size();
+  fitting.insert(fitting.end(), others.begin(), others.end());
+  return {std::move(fitting), fitting_count};
+}
+
+}  // namespace
+
+// Guards against small work that takes for ever what a large task waits for.
+void nominate_machine(CandidateSet& candidates, const Job& job, double now) {
+  if (candidates.cluster().reservations().any_for_waiting(job.spec.id)) return;
+  Candidate* best = nullptr;
+  for (auto& candidate : candidates.schedulable()) {
+    if (candidate.nominated_for != nullptr) continue;
+    // What is preempted for a job is for that job.
+    const bool being_released = candidate.releasing.gpus + candidate.releasing.cpus > 0 &&
+                                fits_after_release(candidates, job, candidate);
+    const bool waited_for_boot = now - job.known_since >= candidate.type->ready_s;
+    const bool frees_most = waited_for_boot && is_large(job, *candidate.type) &&
+                            (best == nullptr || candidate.free.gpus > best->free.gpus);
+    if (!(being_released || frees_most) || !allows(job.spec, candidate.kind)) continue;
+    best = &candidate;
+    if (being_released) break;
+  }
+  if (best != nullptr) best->nominated_for = &job;
+}
+
+// Guards against a gang of large tasks that never finds all its machines free at once: those of one
+// zone are kept for it as soon as what they release will do, or once it has waited as long as a
+// boot.
+void nominate_gang_machines(CandidateSet& candidates, const Job& job, double now) {
+  if (candidates.cluster().reservations().any_for_waiting(job.spec.id)) return;
+  GangMachines best;
+  for (const auto& zone : gang_zones(candidates, job.spec)) {
+    GangMachines found = machines_for_gang(candidates, job, zone, now);
+    if (found.machines.size() < job.spec.tasks) continue;
+    if (!best.machines.empty() && found.fitting <= best.fitting) continue;
+    best = std::move(found);
+  }
+  const std::size_t count = std::min<std::size_t>(best.machines.size(), job.spec.tasks);
+  for (std::size_t i = 0; i < count; ++i) best.machines[i]->nominated_for = &job;
+}
+
+}  // namespace cranklock::sched
--- /dev/null
+++ b/src/sched/shortfall_estimator.cpp
@@ -0,0 +1,146 @@
+#include "sched/shortfall_estimator.hpp"
+
+#include <limits>
+#include <utility>
+
+#include "sched/availability.hpp"
+#include "sched/best_fit.hpp"
+
+namespace cranklock::sched {
+
+void ShortfallEstimator::add_pending(const Job& job) {
+  add({job, count_zones(candidates_.cluster(), job)}, job.pending_count(), Need::pending);
+}
+
+void ShortfallEstimator::add_unreachable() {
+  ClusterState& cluster = candidates_.cluster();
+  if (!cluster.any_unreachable()) return;
+  for (const auto& [id, job] : cluster.jobs()) {
+    if (job.cancelled()) continue;
+    ZoneCount reachable;
+    std::uint32_t unreachable = 0;
+    for (const auto& placement : job.placements) {
+      const Machine* machine = placement.ended ? nullptr : cluster.machine(placement.machine);
+      if (machine == nullptr) continue;
+      if (cluster.is_unreachable(machine->kind.zone)) {
+        ++unreachable;
+      } else {
+        reachable.add(machine->kind.zone);
+      }
+    }
+    if (unreachable > 0) add({job, std::move(reachable)}, unreachable, Need::replacement);
+  }
+}
+
+void ShortfallEstimator::add(Search search, std::uint32_t missing, Need need) {
+  const Job& job = search.job;
+  if (job.failures > 0) return;
+  for (; missing > 0; --missing) {
+    if (need == Need::pending && !within_limit(job)) return;
+    Candidate* candidate = find_candidate(search, need);
+    if (candidate == nullptr) candidate = add_machine(search);
+    if (candidate == nullptr) return;
+    shortfall_.waiting[pool_of(candidate->kind)] += job.spec.resources;
+    candidate->free -= job.spec.resources;
+    search.zones.add(candidate->kind.zone);
+  }
+}
+
+/// Counts one more task of the team, unless that would exceed its limit.
+bool ShortfallEstimator::within_limit(const Job& job) {
+  wire::Resources& planned = by_team_[job.spec.team];
+  const wire::Resources more = planned + job.spec.resources;
+  if (!within_quota_limit(candidates_.cluster(), job.spec.team, more)) return false;
+  planned += job.spec.resources;
+  return true;
+}
+
+/// A machine that is there, starts, or is to be added already; null if none has room.
+Candidate* ShortfallEstimator::find_candidate(Search& search, Need need) {
+  // Part of a gang, or of what will be lost, may find room; only the rest is missing.
+  if (need == Need::replacement || search.job.spec.kind == wire::JobKind::gang) {
+    auto* ready = advance(candidates_.schedulable(), search.schedulable, search);
+    if (ready != nullptr) return ready;
+  }
+  auto* starting = advance(candidates_.starting(), search.starting, search);
+  if (starting != nullptr) return starting;
+  return advance(added_, search.added, search);
+}
+
+/// The first candidate from the position on that has room for a task; leaves the position there.
+Candidate* ShortfallEstimator::advance(std::vector<Candidate>& list, std::size_t& position,
+                                       const Search& search) {
+  const wire::JobSpec& spec = search.job.spec;
+  for (; position < list.size(); ++position) {
+    Candidate& candidate = list[position];
+    if (spec.resources.fits_in(candidates_.available_to(search.job, candidate)) &&
+        allows(spec, candidate.kind) && zone_rules_allow(spec, search.zones, candidate.kind.zone)) {
+      return &candidate;
+    }
+  }
+  return nullptr;
+}
+
+/// A new machine for a task of the job; null if no kind will do now. Valid until the next call.
+Candidate* ShortfallEstimator::add_machine(const Search& search) {
+  const auto kind = cheapest_kind(search);
+  if (!kind) return nullptr;
+  ++shortfall_.wanted[*kind];
+  const auto* type = candidates_.cluster().type(kind->type);
+  added_.push_back({*kind, type->resources, nullptr, {}, nullptr, type});
+  return &added_.back();
+}
+
+/// Whether a machine of this kind may be requested now, for a task of the job.
+bool ShortfallEstimator::may_scale_out(const Search& search, const MachineKind& kind) const {
+  const wire::JobSpec& spec = search.job.spec;
+  if (!allows(spec, kind) || !zone_rules_allow(spec, search.zones, kind.zone)) return false;
+  const auto refused = refused_until_.find(kind);
+  return refused == refused_until_.end() || refused->second <= now_;
+}
+
+/// The price of the share of such a machine that one task takes, weighted by what speaks against
+/// the zone. Small weights spread equal choices over zones and kinds.
+double ShortfallEstimator::price_of(const Search& search, const MachineKind& kind,
+                                    const wire::MachineType& type) const {
+  constexpr double kSameZoneWeight = 0.01;   // for each task of the job there
+  constexpr double kSameKindWeight = 0.001;  // for each machine of the kind wanted already
+  const ClusterState& cluster = candidates_.cluster();
+  const Job& job = search.job;
+  double price = (kind.spot ? type.spot_price : type.price) *
+                 dominant_share(job.spec.resources, type.resources);
+  if (is_exposed(cluster, job, kind.zone)) price *= 1 + kExposureWeight;
+  // Where boots are late the task waits for longer, and more is paid for machines that never come.
+  price *= cluster.boot_penalty(type, kind.zone, now_);
+  price *= 1 + kSameZoneWeight * search.zones.in(kind.zone);
+  const auto wanted = shortfall_.wanted.find(kind);
+  if (wanted != shortfall_.wanted.end()) price *= 1 + kSameKindWeight * wanted->second;
+  return price;
+}
+
+/// The kind that costs least for the share of it that one task takes; spot before ordinary, and the
+/// first of equals.
+std::optional<MachineKind> ShortfallEstimator::cheapest_kind(const Search& search) const {
+  const ClusterState& cluster = candidates_.cluster();
+  std::optional<MachineKind> best;
+  double best_price = std::numeric_limits<double>::infinity();
+  const auto consider = [&](const MachineKind& kind, const wire::MachineType& type) {
+    if (!may_scale_out(search, kind)) return;
+    const double price = price_of(search, kind, type);
+    if (price < best_price) {
+      best = kind;
+      best_price = price;
+    }
+  };
+  for (const auto& [name, type] : cluster.types()) {
+    if (!search.job.spec.resources.fits_in(type.resources)) continue;
+    for (const auto& zone : type.zones) {
+      if (cluster.is_unreachable(zone)) continue;
+      consider({name, zone, true}, type);
+      consider({name, zone, false}, type);
+    }
+  }
+  return best;
+}
+
+}  // namespace cranklock::sched
--- /dev/null
+++ b/src/sched/waiting_queue.cpp
@@ -0,0 +1,70 @@
+#include "sched/waiting_queue.hpp"
+
+#include <algorithm>
+#include <map>
+#include <string>
+#include <tuple>
+
+#include "sched/priority_inheritance.hpp"
+
+namespace cranklock::sched {
+namespace {
+
+/// Whether so much of the team's work, its oldest first, is within its guarantee here.
+bool within_guarantee(const ClusterState& cluster, const base::Team& team,
+                      const wire::Resources& sum) {
+  const wire::Resources guarantee = cluster.guarantee_for(team);
+  return (team.gpus > 0 || team.cpus > 0) && (team.gpus <= 0 || sum.gpus <= guarantee.gpus) &&
+         (team.cpus <= 0 || sum.cpus <= guarantee.cpus);
+}
+
+/// The unfinished jobs that may run, the oldest first. A job that waits for others is none of them:
+/// it holds no part of its team's guarantee.
+std::vector<Job*> runnable_jobs_by_age(ClusterState& cluster) {
+  std::vector<Job*> runnable;
+  for (auto& [id, job] : cluster.jobs()) {
+    if (!job.cancelled() && !job.complete() && job.dependencies_met) runnable.push_back(&job);
+  }
+  std::sort(runnable.begin(), runnable.end(), [](const Job* a, const Job* b) {
+    return std::tie(a->ready_ms, a->spec.id) < std::tie(b->ready_ms, b->spec.id);
+  });
+  return runnable;
+}
+
+/// Gives the team's guarantee to its oldest jobs, as far as it goes.
+void assign_guarantees(const ClusterState& cluster, const std::vector<Job*>& jobs_by_age) {
+  std::map<std::string, wire::Resources> requested;  // by team, of its jobs up to this one
+  for (Job* job : jobs_by_age) {
+    wire::Resources& sum = requested[job->spec.team];
+    sum += job->spec.resources * job->spec.tasks;
+    const auto* team = cluster.settings().team(job->spec.team);
+    job->guaranteed = team != nullptr && within_guarantee(cluster, *team, sum);
+  }
+}
+
+/// The time of day from which a job's place in the queue counts: what is late by its deadline goes
+/// before the rest, the latest first.
+std::int64_t queued_since_ms(const Job& job) {
+  return std::min(job.ready_ms, job.urgency.start_by_ms);
+}
+
+}  // namespace
+
+WaitingQueue queue_waiting_jobs(ClusterState& cluster, double now) {
+  inherit_urgency(cluster);
+  const std::vector<Job*> jobs_by_age = runnable_jobs_by_age(cluster);
+  assign_guarantees(cluster, jobs_by_age);
+  WaitingQueue queue;
+  for (Job* job : jobs_by_age) {
+    if (job->live() > 0) queue.placed.add(*job);
+    if (job->backoff_until > now || job->pending_count() == 0) continue;
+    queue.jobs.push_back(job);
+  }
+  std::stable_sort(queue.jobs.begin(), queue.jobs.end(), [](const Job* a, const Job* b) {
+    return std::tuple(!a->guaranteed, a->urgency.priority, queued_since_ms(*a)) <
+           std::tuple(!b->guaranteed, b->urgency.priority, queued_since_ms(*b));
+  });
+  return queue;
+}
+
+}  // namespace cranklock::sched
--- /dev/null
+++ b/tests/best_fit_test.cpp
@@ -0,0 +1,172 @@
+// Choosing machines: bin packing, gangs, failed searches and nominations.
+#include "sched/best_fit.hpp"
+
+#include <gtest/gtest.h>
+
+#include <utility>
+#include <vector>
+
+#include "fixtures.hpp"
+#include "sched/failed_searches.hpp"
+#include "sched/gang_placement.hpp"
+#include "sched/nomination.hpp"
+
+namespace cranklock::sched {
+namespace {
+
+using testing::Fleet;
+using testing::make_job;
+using wire::JobKind;
+
+constexpr double kNow = 1;
+
+TEST(BestFit, TheDominantShareIsTheLargestOfAllResources) {
+  EXPECT_DOUBLE_EQ(dominant_share({1, 0, 6}, {4, 0, 8}), 0.75);
+  EXPECT_DOUBLE_EQ(dominant_share({1, 2, 0}, {4, 0, 8}), 0.25);  // none of the whole: not counted
+}
+
+TEST(BestFit, TheFullerMachineIsTaken) {
+  Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
+  Job& running = fleet.add(make_job("j-000001", JobKind::job_array, 1, 4));
+  fleet.cluster.add_placement(running, 0, 1, "n-2", 0);
+  Job& job = fleet.add(make_job("j-000002", JobKind::job_array, 1, 4));
+  CandidateSet candidates(fleet.cluster);
+  const Candidate* best = find_best_fit(candidates, job, {});
+  ASSERT_NE(best, nullptr);
+  EXPECT_EQ(best->machine->id, "n-2");
+  EXPECT_EQ(candidates.examined(), 2U);
+}
+
+TEST(BestFit, AMachineNominatedForAnotherJobIsPassedOver) {
+  Fleet fleet({{"n-1", "a"}});
+  Job& holder = fleet.add(make_job("j-000001", JobKind::job_array, 1, 4));
+  Job& job = fleet.add(make_job("j-000002", JobKind::job_array, 1, 4));
+  CandidateSet candidates(fleet.cluster);
+  candidates.schedulable()[0].nominated_for = &holder;
+  EXPECT_EQ(find_best_fit(candidates, job, {}), nullptr);
+  EXPECT_NE(find_best_fit(candidates, holder, {}), nullptr);
+}
+
+TEST(BestFit, OneMachineThatFailedAJobIsAvoidedAndTwoAreNot) {
+  Fleet fleet({{"n-1", "a"}});
+  Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 1, 4));
+  CandidateSet candidates(fleet.cluster);
+  job.failed_machines = {"n-1"};
+  EXPECT_EQ(find_best_fit(candidates, job, {}), nullptr);
+  job.failed_machines = {"n-1", "n-2"};
+  EXPECT_NE(find_best_fit(candidates, job, {}), nullptr);
+}
+
+TEST(FailedSearches, WhatAsksForNoLessIsRuledOut) {
+  Fleet fleet;
+  const CandidateSet candidates(fleet.cluster);
+  const Job failed = make_job("j-000001", JobKind::job_array, 1, 4);
+  FailedSearches searches;
+  EXPECT_FALSE(searches.rule_out(fleet.cluster, failed));
+  searches.record(candidates, failed);
+  EXPECT_TRUE(searches.rule_out(fleet.cluster, make_job("j-000002", JobKind::service, 1, 4)));
+  EXPECT_FALSE(searches.rule_out(fleet.cluster, make_job("j-000003", JobKind::service, 1, 3)));
+  Job spot = make_job("j-000004", JobKind::job_array, 1, 4);
+  spot.spec.spot = true;  // it may go to more machines
+  EXPECT_FALSE(searches.rule_out(fleet.cluster, spot));
+}
+
+TEST(FailedSearches, AFailureForAReasonOfTheJobsOwnIsNotRecorded) {
+  Fleet fleet;
+  const CandidateSet candidates(fleet.cluster);
+  Job spread = make_job("j-000001", JobKind::service, 1, 4);
+  spread.spec.spread = true;
+  Job one_zone = make_job("j-000002", JobKind::service, 1, 4);
+  one_zone.spec.one_zone = true;
+  Job failed_once = make_job("j-000003", JobKind::service, 1, 4);
+  failed_once.failed_machines = {"n-1"};
+  FailedSearches searches;
+  for (const Job* job : {&spread, &one_zone, &failed_once}) searches.record(candidates, *job);
+  EXPECT_FALSE(searches.rule_out(fleet.cluster, make_job("j-000004", JobKind::service, 1, 4)));
+}
+
+TEST(FailedSearches, AFailureForAReservationIsNotRecorded) {
+  Fleet fleet;
+  Job& holder = fleet.add(make_job("j-000001", JobKind::job_array, 1, 6));
+  fleet.cluster.set_reservations(Reservations(
+      std::vector<Reservation>{{"n-1", holder.spec.id, std::nullopt, holder.spec.resources, ""}}));
+  CandidateSet candidates(fleet.cluster);
+  const Job job = make_job("j-000002", JobKind::job_array, 1, 4, "blue");
+  ASSERT_EQ(find_best_fit(candidates, job, {}), nullptr);
+  FailedSearches searches;
+  searches.record(candidates, job);
+  EXPECT_FALSE(searches.rule_out(fleet.cluster, job));
+}
+
+TEST(GangPlacement, ATrialLeavesTheCandidatesExactlyAsTheyWere) {
+  Fleet fleet({{"n-1", "a"}, {"n-2", "b"}});
+  Job gang = make_job("j-000001", JobKind::gang, 3, 0.1);
+  gang.spec.resources.gpus = 2.7;
+  CandidateSet candidates(fleet.cluster);
+  const wire::Resources before = candidates.schedulable()[0].free;
+  EXPECT_EQ(fit_gang(candidates, gang).size(), 3U);
+  EXPECT_EQ(candidates.schedulable()[0].free, before);
+  gang.spec.tasks = 9;
+  EXPECT_TRUE(fit_gang(candidates, gang).empty());
+  EXPECT_EQ(candidates.schedulable()[0].free, before);
+  EXPECT_EQ(candidates.schedulable()[1].free, before);
+}
+
+TEST(GangPlacement, TheFirstZoneThatHoldsAllOfItIsTaken) {
+  Fleet fleet({{"n-1", "a"}, {"n-2", "b"}, {"n-3", "b"}});
+  Job gang = make_job("j-000001", JobKind::gang, 2, 8);
+  gang.spec.one_zone = true;
+  CandidateSet candidates(fleet.cluster);
+  const auto chosen = fit_gang(candidates, gang);
+  ASSERT_EQ(chosen.size(), 2U);
+  for (const Candidate* candidate : chosen) EXPECT_EQ(candidate->kind.zone, "b");
+  EXPECT_NE(chosen[0], chosen[1]);
+}
+
+TEST(Nomination, AMachineThatReleasesEnoughIsKeptAtOnce) {
+  Fleet fleet;
+  Job& running = fleet.add(make_job("j-000001", JobKind::job_array, 1, 8));
+  ASSERT_EQ(fleet.pass().placed, 1);
+  const Job& small = fleet.add(make_job("j-000002", JobKind::job_array, 1, 1));
+  CandidateSet before(fleet.cluster);
+  nominate_machine(before, small, kNow);
+  EXPECT_EQ(before.schedulable()[0].nominated_for, nullptr);
+  ClusterState::request_stop(running.placements[0], 0, kNow);
+  CandidateSet after(fleet.cluster);
+  nominate_machine(after, small, kNow);
+  EXPECT_EQ(after.schedulable()[0].nominated_for, &small);
+}
+
+TEST(Nomination, ALargeTaskGetsAMachineOnceItHasWaitedAsLongAsABoot) {
+  Fleet fleet;
+  const Job& large = fleet.add(make_job("j-000001", JobKind::job_array, 1, 4));
+  const Job& small = fleet.add(make_job("j-000002", JobKind::job_array, 1, 3));
+  const double boot_s = testing::machine_type().ready_s;
+  CandidateSet candidates(fleet.cluster);
+  nominate_machine(candidates, small, boot_s);
+  nominate_machine(candidates, large, boot_s - 1);
+  EXPECT_EQ(candidates.schedulable()[0].nominated_for, nullptr);
+  nominate_machine(candidates, large, boot_s);
+  EXPECT_EQ(candidates.schedulable()[0].nominated_for, &large);
+}
+
+TEST(Nomination, AGangGetsMachinesOnlyIfThereAreEnough) {
+  Fleet fleet({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}});
+  Job& gang = fleet.add(make_job("j-000001", JobKind::gang, 4, 8));
+  CandidateSet candidates(fleet.cluster);
+  const auto nominated = [&] {
+    std::size_t count = 0;
+    for (const auto& candidate : candidates.schedulable()) {
+      if (candidate.nominated_for == &gang) ++count;
+    }
+    return count;
+  };
+  nominate_gang_machines(candidates, gang, kNow);
+  EXPECT_EQ(nominated(), 0U);
+  gang.spec.tasks = 2;
+  nominate_gang_machines(candidates, gang, kNow);
+  EXPECT_EQ(nominated(), 2U);
+}
+
+}  // namespace
+}  // namespace cranklock::sched
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -120,7 +120,7 @@
   waits.spec.dependencies = {"j-000009"};
   s.add(std::move(waits));
   const auto result = s.pass(2);
-  EXPECT_EQ(result.stopped, 0);
+  EXPECT_EQ(result.preempted, 0);
   EXPECT_TRUE(result.shortfall.waiting.empty());
   // It takes all of the guarantee, were it counted: this one would have none.
   Job& later = s.add(make_job("j-000003", JobKind::service, 1, 1));
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -124,19 +124,19 @@
   add(1000, 600, 18, wire::Priority::standard, "blue");
   std::size_t looked = 0;
   int passes = 0;
-  for (PassResult r; passes == 0 || r.cut_short; ++passes) {
+  for (PassResult r; passes == 0 || r.incomplete; ++passes) {
     r = s.pass();
-    looked += r.looked_at;
+    looked += r.candidates_examined;
   }
   EXPECT_GT(passes, 10);  // 10,400 tasks find a placement
   EXPECT_LT(looked, 3000 * kMachines);
   for (auto& [id, job] : s.cluster.jobs()) s.written(job);
   add(2000, 400, 18, wire::Priority::best_effort, "blue");
-  EXPECT_LT(s.pass().looked_at, 10 * kMachines);
+  EXPECT_LT(s.pass().candidates_examined, 10 * kMachines);
   add(3000, 100, 8, wire::Priority::production, "red");
   const auto r = s.pass();
-  EXPECT_GT(r.stopped, 50);
-  EXPECT_LT(r.looked_at, 120 * kMachines);
+  EXPECT_GT(r.preempted, 50);
+  EXPECT_LT(r.candidates_examined, 120 * kMachines);
 }
 
 TEST(Placement, AGangIsPlacedWholeOrNotAtAll) {
@@ -177,13 +177,13 @@
   s.pass();
   s.written(running);
   s.add(make_job("j-000002", JobKind::service, 1, 1, "blue"));
-  EXPECT_EQ(s.pass().stopped, 0);
+  EXPECT_EQ(s.pass().preempted, 0);
   auto high = make_job("j-000003", JobKind::service, 1, 2, "blue");
   high.spec.priority = wire::Priority::high;
   s.add(std::move(high));
-  EXPECT_EQ(s.pass().stopped, 2);
+  EXPECT_EQ(s.pass().preempted, 2);
   // The room is on its way; nothing more is stopped for the same job.
-  EXPECT_EQ(s.pass().stopped, 0);
+  EXPECT_EQ(s.pass().preempted, 0);
 }
 
 TEST(Placement, GuaranteedWorkIsNotStoppedForRankAlone) {
@@ -194,7 +194,7 @@
   auto high = make_job("j-000002", JobKind::service, 2, 8, "blue");  // beyond blue's guarantee
   high.spec.priority = wire::Priority::high;
   s.add(std::move(high));
-  EXPECT_EQ(s.pass().stopped, 0);
+  EXPECT_EQ(s.pass().preempted, 0);
 }
 
 TEST(Placement, ALargeTaskDoesNotStarveBehindSmallOnes) {
@@ -275,9 +275,9 @@
   spec.spec.priority = wire::Priority::high;
   spec.spec.one_zone = true;
   Job& gang = s.add(std::move(spec));
-  EXPECT_EQ(s.pass().stopped, 4);
+  EXPECT_EQ(s.pass().preempted, 4);
   for (const auto& p : batch.placements) EXPECT_EQ(p.stop, p.machine != "n-1");
-  EXPECT_EQ(s.pass().stopped, 0);  // what leaves will do
+  EXPECT_EQ(s.pass().preempted, 0);  // what leaves will do
   // The first machine is free: what waits behind the gang does not get it.
   for (auto& p : batch.placements) {
     if (p.machine == "n-2") s.cluster.end_placement(batch, p, 2);
@@ -301,7 +301,7 @@
   spec.spec.priority = wire::Priority::high;
   spec.spec.one_zone = true;
   s.add(std::move(spec));
-  EXPECT_EQ(s.pass().stopped, 0);
+  EXPECT_EQ(s.pass().preempted, 0);
 }
 
 }  // namespace
