--- a/src/control/leader_term_passes.cpp
+++ b/src/control/leader_term_passes.cpp
@@ -4,6 +4,7 @@
 #include <algorithm>
 
 #include "control/leader_term.hpp"
+#include "sched/placement.hpp"
 
 namespace cranklock::control {
 
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -66,15 +66,15 @@
       spdlog::debug("pool {}: score {:.2f}, {} machines, {} wanted, change {}", name, reading.score,
                     reading.machines, reading.wanted, change);
       if (change > 0 && leader_lease_.valid(at)) {
-        // Stamped now: a refused scale-out request waits a cooldown like any other.
-        pool.stamp(reading.machines + change, wall);
+        // Recorded now: a refused scale-out request waits a cooldown like any other.
+        pool.record_scaling(reading.machines + change, wall);
         spdlog::info("pool {} grows by {} from {}: score {:.2f}", name, change, reading.machines,
                      reading.score);
         scale_out(id, change);
       } else if (change < 0 && leader_lease_.valid(at)) {
         const int given = scale_in(id, -change);
         if (given > 0) {
-          pool.stamp(reading.machines - given, wall);
+          pool.record_scaling(reading.machines - given, wall);
           spdlog::info("pool {} shrinks by {} from {}: score {:.2f}", name, given, reading.machines,
                        reading.score);
         }
--- a/tests/scaler_test.cpp
+++ b/tests/scaler_test.cpp
@@ -27,7 +27,7 @@
     now += settings.every_s;
     const auto wall = static_cast<std::int64_t>(1'000'000 + now * 1000);
     const int change = pool.decide({score, machines, wanted, 0}, settled, wall, now);
-    if (change != 0) pool.stamp(machines + change, wall);
+    if (change != 0) pool.record_scaling(machines + change, wall);
     return change;
   }
   int steps(int n, double score, int machines, int wanted = 2) {
@@ -37,6 +37,36 @@
   }
 };
 
+TEST(ScoreHistory, AWindowCountsOnlyOnceItIsCovered) {
+  ScoreHistory history;
+  EXPECT_FALSE(history.stayed_above(0.9, 10, 0));
+  history.add(0.95, 0);
+  history.add(0.95, 5);
+  EXPECT_FALSE(history.stayed_above(0.9, 10, 5));
+  history.add(0.95, 10);
+  EXPECT_TRUE(history.stayed_above(0.9, 10, 10));
+  EXPECT_FALSE(history.stayed_below(0.9, 10, 10));
+}
+
+TEST(ScoreHistory, AScoreAtTheThresholdIsNeitherAboveNorBelowIt) {
+  ScoreHistory history;
+  history.add(0.9, 0);
+  history.add(0.9, 10);
+  EXPECT_FALSE(history.stayed_above(0.9, 10, 10));
+  EXPECT_FALSE(history.stayed_below(0.9, 10, 10));
+}
+
+TEST(ScoreHistory, WhatIsOlderThanTheWindowDoesNotCount) {
+  ScoreHistory history;
+  history.add(0.1, 0);
+  history.add(0.95, 5);
+  history.add(0.95, 10);
+  EXPECT_TRUE(history.stayed_above(0.9, 5, 10));
+  EXPECT_FALSE(history.stayed_above(0.9, 10, 10));
+  history.forget_before(6);
+  EXPECT_FALSE(history.stayed_above(0.9, 5, 10));  // no longer covered
+}
+
 TEST(Scaler, GrowsOnlyWhenTheWholeUpWindowWasHigh) {
   PoolScenario s;
   EXPECT_EQ(s.step(0.95, 10), 0);
