--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -7,29 +7,33 @@
 std::size_t max_live_tasks(const base::Settings& settings) {
   constexpr double kTaskBytes = 44;   // its number, attempt and machine, and a range of done tasks
   constexpr double kValueBytes = 80;  // what stands around the lists, and does not fill up, in each
-  constexpr double kTxnBytes = 60.0 * 1024;
-  const double value = settings.value_kb * 1024 - kValueBytes;
-  // The description takes up to a value's worth.
-  const double resources = std::min(value * (settings.txn_ops - 1), kTxnBytes - value);
-  return static_cast<std::size_t>(std::max(resources / kTaskBytes, 1.0));
+  constexpr double kTransactionBytes = 60.0 * 1024;
+  const double value_bytes = settings.value_kb * 1024 - kValueBytes;
+  // The job's description takes up to one value.
+  const double task_bytes =
+      std::min(value_bytes * (settings.txn_ops - 1), kTransactionBytes - value_bytes);
+  return static_cast<std::size_t>(std::max(task_bytes / kTaskBytes, 1.0));
 }
 
 bool within_quota_limit(const ClusterState& cluster, const std::string& team,
                         const wire::Resources& more) {
-  const auto* settings = cluster.settings().team(team);
-  if (settings == nullptr) return false;
+  constexpr double kSlack = 1e-6;  // sums of decimal amounts
+  const auto* team_settings = cluster.settings().team(team);
+  if (team_settings == nullptr) return false;
   const wire::Resources sum = cluster.team_allocation(team) + more;
-  const wire::Resources limit = cluster.limit_for(*settings);
-  constexpr double kSlack = 1e-6;
-  return (settings->gpus_max <= 0 || sum.gpus <= limit.gpus + kSlack) &&
-         (settings->cpus_max <= 0 || sum.cpus <= limit.cpus + kSlack);
+  const wire::Resources limit = cluster.limit_for(*team_settings);
+  return (team_settings->gpus_max <= 0 || sum.gpus <= limit.gpus + kSlack) &&
+         (team_settings->cpus_max <= 0 || sum.cpus <= limit.cpus + kSlack);
 }
 
 namespace {
+
+/// Whether nothing speaks against the machine, once it is up.
 bool is_healthy(const ClusterState& cluster, const Machine& machine) {
   return !cluster.is_unreachable(machine.kind.zone) && !machine.lease_expired &&
          !machine.terminating && !machine.failed && !machine.quarantined && !machine.reclaim_at;
 }
+
 }  // namespace
 
 bool is_schedulable(const ClusterState& cluster, const Machine& machine) {
@@ -42,29 +46,45 @@
          (!machine.heartbeat_received || (!machine.confirmed() && machine.unresponsive_until == 0));
 }
 
+namespace {
+
+/// Whether the agent should be sending heartbeats.
+bool should_be_heard(const Machine& machine) {
+  return machine.heartbeat_received && !machine.lease_expired && !machine.terminating &&
+         !machine.reclaim_at;
+}
+
+}  // namespace
+
 std::map<std::string, ZoneWorkers> count_workers(ClusterState& cluster, double now) {
+  constexpr double kHeardWithinIntervals = 2;
   std::map<std::string, ZoneWorkers> zones;
   for (const auto& [id, machine] : cluster.machines()) {
-    if (!machine.heartbeat_received || machine.lease_expired || machine.terminating ||
-        machine.reclaim_at)
-      continue;
-    auto& zone = zones[machine.kind.zone];
+    if (!should_be_heard(machine)) continue;
+    ZoneWorkers& zone = zones[machine.kind.zone];
     ++zone.workers;
-    if (now - machine.last_heartbeat < 2 * cluster.settings().heartbeat_interval_s) ++zone.heard;
+    const double quiet_s = now - machine.last_heartbeat;
+    if (quiet_s < kHeardWithinIntervals * cluster.settings().heartbeat_interval_s) ++zone.heard;
   }
   return zones;
 }
 
 bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
                   const std::map<std::string, ZoneWorkers>& zones, double now) {
-  const double heartbeat_interval_s = cluster.settings().heartbeat_interval_s;
+  constexpr double kQuietIntervalsAfterNotice = 1.5;
+  constexpr double kQuietIntervals = 3;  // one or two heartbeats may be lost
+  constexpr double kHeardShare = 0.9;    // of the other agents of the zone
   if (!machine.kind.spot || !machine.heartbeat_received || machine.terminating) return false;
-  const double quiet = now - machine.last_heartbeat;
-  if (machine.reclaim_at && now > *machine.reclaim_at) return quiet > 1.5 * heartbeat_interval_s;
+  const double interval_s = cluster.settings().heartbeat_interval_s;
+  const double quiet_s = now - machine.last_heartbeat;
+  if (machine.reclaim_at && now > *machine.reclaim_at) {
+    return quiet_s > kQuietIntervalsAfterNotice * interval_s;
+  }
+  if (quiet_s < kQuietIntervals * interval_s) return false;
   const auto zone = zones.find(machine.kind.zone);
-  if (quiet < 3 * heartbeat_interval_s || zone == zones.end()) return false;
-  const int others = zone->second.workers - (machine.lease_expired || machine.reclaim_at ? 0 : 1);
-  return others > 0 && zone->second.heard >= 0.9 * others;
+  if (zone == zones.end()) return false;
+  const int others = zone->second.workers - (should_be_heard(machine) ? 1 : 0);
+  return others > 0 && zone->second.heard >= kHeardShare * others;
 }
 
 }  // namespace cranklock::sched
--- a/src/sched/availability.hpp
+++ b/src/sched/availability.hpp
@@ -10,28 +10,33 @@
 
 namespace cranklock::sched {
 
-/// Tasks of one job that may be on machines at a time: its record is written whole in one
-/// transaction, so the limits of the state service bound it.
+/// How many tasks of one job may be placed at a time, at least one: its record is written whole in
+/// one transaction, so the limits of the key-value store bound it.
 std::size_t max_live_tasks(const base::Settings& settings);
 
-/// Whether the team may use this much more.
+/// Whether the team may use this much beside what it uses now, which counts every placement that is
+/// not proven free (invariant 9). False for a team that the settings do not name.
 bool within_quota_limit(const ClusterState& cluster, const std::string& team,
                         const wire::Resources& more);
 
-/// Whether new work may be put on this machine.
+/// Whether new tasks may be placed on the machine.
 bool is_schedulable(const ClusterState& cluster, const Machine& machine);
 
-/// Whether it boots, or has only to show our fencing token, to become usable.
+/// Whether the machine boots, or has only to show our fencing token, to become schedulable.
 bool is_starting(const ClusterState& cluster, const Machine& machine);
 
+/// The agents of one zone that should send heartbeats.
 struct ZoneWorkers {
-  int workers = 0, heard = 0;  ///< heard: within two heartbeats
+  int workers = 0;
+  int heard = 0;  ///< those whose last heartbeat is younger than two intervals
 };
-/// The workers of each zone that should report.
+/// Counts them by zone. Zones without any are left out.
 std::map<std::string, ZoneWorkers> count_workers(ClusterState& cluster, double now);
 
-/// A spot machine that has gone quiet after its notice, or for three heartbeats while the other
-/// workers of its zone are heard. Those whose zone is quiet too may only be cut off.
+/// Whether the cloud has certainly reclaimed a spot machine: it is quiet after its preemption
+/// notice, or has been for three heartbeats while the other agents of its zone are heard. One whose
+/// zone is quiet too may only be cut off. The machine is then deleted, which proves its tasks gone
+/// (invariant 4) long before its lease would.
 bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
                   const std::map<std::string, ZoneWorkers>& zones, double now);
 
