--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -13,7 +13,9 @@
 #include <fstream>
 #include <iterator>
 #include <regex>
+#include <sstream>
 
+#include "base/event_log.hpp"
 #include "lab/chats.hpp"
 
 namespace cranklock::lab {
@@ -222,12 +224,11 @@
 }
 
 std::uint64_t Controllers::serving_fencing_token(const Controller& controller) const {
-  static const std::regex line_format("serving with token ([0-9]+)");
-  const std::string log = log_of(controller);
+  std::istringstream log(log_of(controller));
   std::uint64_t fencing_token = 0;
-  for (std::sregex_iterator match(log.begin(), log.end(), line_format), end; match != end;
-       ++match) {
-    fencing_token = std::max<std::uint64_t>(fencing_token, std::stoull((*match)[1]));
+  for (std::string line; std::getline(log, line);) {
+    const auto served = base::read_log_field(line, base::kLeadershipServing, "fencing_token");
+    if (served) fencing_token = std::max<std::uint64_t>(fencing_token, std::stoull(*served));
   }
   return fencing_token;
 }
@@ -245,7 +246,7 @@
   std::vector<Usage> out;
   for (const auto& controller : controllers_) {
     out.push_back(controller.usage);
-    out.back().led = log_of(controller).find("serving with token") != std::string::npos;
+    out.back().led = serving_fencing_token(controller) != 0;
   }
   return out;
 }
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -78,8 +78,9 @@
   peer::Links links(
       reactor, settings, control::Node::peer_heartbeat_interval(settings),
       [&] { return node.peer_heartbeat(); },
-      [&](const std::string& from, peer::Frame frame) { node.heard(from, std::move(frame)); });
-  node.set_send([&](const std::string& to, const peer::Frame& frame) { links.send(to, frame); });
+      [&](const std::string& from, const peer::Frame& frame) { node.on_peer_frame(from, frame); });
+  node.set_send_frame(
+      [&](const std::string& to, const peer::Frame& frame) { links.send(to, frame); });
   if (!links.listen()) {
     spdlog::error("{} can't be listened on", settings.peer_listen);
     return 1;
@@ -108,9 +109,7 @@
 
   net::Scope routines;
   routines.spawn(server.run());
-  routines.spawn(node.learn_types());
-  routines.spawn(node.probe_state_service());
-  routines.spawn(node.run());
+  node.start(routines);
   routines.spawn(links.accept());
   for (const auto& other : settings.others) routines.spawn(links.keep_link(other));
   if (region_links) region_links->start(routines);
--- /dev/null
+++ b/src/control/heartbeat_handler.cpp
@@ -0,0 +1,149 @@
+#include "control/heartbeat_handler.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "base/event_log.hpp"
+#include "control/heartbeat_forwarder.hpp"
+
+namespace cranklock::control {
+
+using net::Response;
+using sched::Machine;
+using Freshness = sched::ClusterState::Freshness;
+
+namespace {
+
+/// A response that prolongs no lease.
+Response refusal(int status, std::string body = "") {
+  Response response;
+  response.status = status;
+  response.body = std::move(body);
+  return response;
+}
+
+}  // namespace
+
+Response HeartbeatHandler::handle(const wire::Heartbeat& heartbeat) {
+  // The leader lease is judged at the moment of responding: the process may have been held up
+  // since the heartbeat came (invariant 10).
+  const double now = context_.now();
+  if (heartbeat.fencing_token > context_.lease.fencing_token()) {
+    context_.leadership.step_down(LeadershipLoss::agent_saw_higher_token);
+    return refusal(421, wire::redirect_response(""));
+  }
+  if (context_.leadership.is_lost() || !context_.lease.may_respond(now)) return refusal(503);
+  if (machines_.is_deleted(heartbeat.machine)) return refusal(503);
+
+  const Machine* known = context_.cluster.machine(heartbeat.machine);
+  const bool was_quarantined = known != nullptr && known->quarantined;
+  const auto freshness = context_.cluster.reconcile_heartbeat(heartbeat, true, now);
+  if (!was_quarantined && context_.cluster.machine(heartbeat.machine)->quarantined) {
+    base::log_info("machine quarantined", base::field("machine", heartbeat.machine),
+                   base::field("reason", "tasks of several jobs failed on it"));
+  }
+  if (freshness == Freshness::late_copy) return refusal(503);
+
+  last_agent_message_at_ = now;
+  log_started_tasks(heartbeat, now);
+  std::vector<wire::Command> commands;
+  if (freshness == Freshness::fresh) {
+    commands = context_.cluster.commands_for(heartbeat, context_.lease.may_start(now), now);
+  }
+  context_.cluster.record_response(heartbeat.machine, now);
+  context_.work.set();
+  Response response;
+  response.body = wire::heartbeat_response(context_.lease.fencing_token(), commands);
+  return response;
+}
+
+// Tasks that this heartbeat was the first to show as running.
+void HeartbeatHandler::log_started_tasks(const wire::Heartbeat& heartbeat, double now) const {
+  if (!spdlog::should_log(spdlog::level::debug)) return;
+  for (const auto& status : heartbeat.tasks) {
+    sched::Job* job = context_.cluster.job(status.task.job);
+    const auto* placement = job != nullptr ? job->find(status.task.index, status.attempt) : nullptr;
+    if (placement == nullptr || placement->running_since != now) continue;
+    base::log_debug("task running", base::field("task", wire::to_string(status.task)),
+                    base::field("class", job->spec.job_class),
+                    base::field("machine", heartbeat.machine),
+                    base::field("since_decision_s", now - placement->decided_at),
+                    base::field("since_accepted_s", now - job->known_since));
+  }
+}
+
+peer::ForwardedResponse HeartbeatHandler::handle_forwarded(const wire::Heartbeat& heartbeat,
+                                                           const std::string& forwarder,
+                                                           std::uint64_t request_id) {
+  const auto response = handle(heartbeat);
+  peer::ForwardedResponse forwarded{request_id, static_cast<std::uint16_t>(response.status),
+                                    context_.lease.fencing_token(), 0, response.body};
+  if (response.status != 200) return forwarded;
+  Machine* machine = context_.cluster.machine(heartbeat.machine);
+  if (machine == nullptr || response.body.size() > peer::kMaxText) {
+    forwarded.status = 503;
+    return forwarded;
+  }
+  // Guards against a forwarder that prolongs the lease of a machine on which a task is to be
+  // stopped: the stop may not have arrived yet, be it with this very response.
+  if (context_.cluster.stopping(*machine)) return forwarded;
+  if (!is_forwarder_of_zone(forwarder, machine->kind.zone)) return forwarded;
+  const double until = context_.lease.may_respond_until();
+  const double now = context_.now();
+  if (until <= now) return forwarded;
+  forwarded.delegation_ms = static_cast<std::uint32_t>((until - now) * 1000);
+  double& delegated_until = machine->delegated_until[forwarder];
+  delegated_until = std::max(delegated_until, until);
+  return forwarded;
+}
+
+bool HeartbeatHandler::is_forwarder_of_zone(const std::string& forwarder,
+                                            const std::string& zone) const {
+  const auto& others = context_.services.settings.others;
+  return std::any_of(others.begin(), others.end(), [&](const base::Peer& peer) {
+    return peer.name == forwarder && peer.zone == zone;
+  });
+}
+
+void HeartbeatHandler::on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
+  // The forwarder keeps silent until its timeout after the moment that it echoes; a little less is
+  // counted on, since the two clocks differ.
+  constexpr double kCountedOn = 0.98;
+  constexpr double kNever = -1;
+  const auto& settings = context_.services.settings;
+  const double now = context_.now();
+  const bool echoes_us = peer_heartbeat.echoed_fencing_token == context_.lease.fencing_token();
+  double silent_until = 0;
+  if (echoes_us) {
+    silent_until = static_cast<double>(peer_heartbeat.echoed_clock_ms) / 1000 +
+                   HeartbeatForwarder::leader_timeout(settings) * kCountedOn;
+  }
+  double responded_at = kNever;
+  if (peer_heartbeat.delegate_responded_ms != peer::kNever) {
+    responded_at = now - peer_heartbeat.delegate_responded_ms / 1000.0;
+  }
+  context_.cluster.record_forwarder(peer_heartbeat.name, peer_heartbeat.incarnation, silent_until,
+                                    responded_at, now);
+}
+
+bool HeartbeatHandler::try_redirect(const std::string& machine_id, const std::string& forwarder) {
+  Machine* machine = context_.cluster.machine(machine_id);
+  const double now = context_.now();
+  if (machine == nullptr || !machine->token_acknowledged) return false;
+  if (!context_.cluster.is_forwarder_reachable(forwarder, now)) return false;
+  // Guards against an agent that is redirected to and fro: one that is back here so soon could not
+  // reach its forwarder.
+  const double min_interval_s = 2 * context_.services.settings.lease_s;
+  if (machine->redirected_at > 0 && now - machine->redirected_at < min_interval_s) return false;
+  machine->redirected_at = now;
+  return true;
+}
+
+bool HeartbeatHandler::agents_silent() const {
+  const auto& settings = context_.services.settings;
+  const double max_silence_s = std::max(3 * settings.heartbeat_interval_s, settings.lease_s / 3);
+  return context_.now() > last_agent_message_at_ + max_silence_s;
+}
+
+}  // namespace cranklock::control
--- a/src/control/leader_term.hpp
+++ b/src/control/leader_term.hpp
@@ -1,13 +1,13 @@
-// One term of leadership: everything the leader knows and does, from the transaction that took the
-// leadership until it is lost. Destroying it cancels its routines.
+// One leader term: what the leader knows and does, from the write that took the leadership until it
+// is lost.
 #pragma once
 
 #include <memory>
 #include <string>
-#include <vector>
 
-#include "base/settings.hpp"
 #include "control/command_sender.hpp"
+#include "control/decision_loop.hpp"
+#include "control/heartbeat_handler.hpp"
 #include "control/job_watcher.hpp"
 #include "control/leader_context.hpp"
 #include "control/machine_lifecycle.hpp"
@@ -17,7 +17,6 @@
 #include "control/record_reloader.hpp"
 #include "control/record_writer.hpp"
 #include "control/services.hpp"
-#include "defrag/advisor.hpp"
 #include "net/reactor.hpp"
 #include "net/task.hpp"
 #include "peer/frames.hpp"
@@ -26,74 +25,78 @@
 
 namespace cranklock::control {
 
+/// Owns the cluster state and wires the parts that act on it. Made by the election when it has
+/// acquired the leadership, loaded once, then started; destroying it ends all that its parts have
+/// under way.
 class LeaderTerm {
  public:
-  /// `lost` is set when a higher fencing token or a failed condition shows that the leadership is
-  /// gone. `regions` reaches the leaders of other regions; nullptr where the settings name none.
+  /// What has become of loading.
+  enum class LoadOutcome {
+    loaded,
+    store_unavailable,  ///< a read was refused or not answered; another try may succeed
+    ineligible,         ///< this controller's settings don't let it lead
+  };
+
+  /// `lost` is set when the leadership is found to be lost. `regions` reaches the leaders of other
+  /// regions; nullptr where the settings name none. All that is referred to outlives the term.
   LeaderTerm(Services services, LeaderLease& lease, net::Signal& lost,
-             regions::RegionNetwork* regions = nullptr);
+             regions::RegionNetwork* regions);
 
-  /// Reads pools, machine types and live jobs; false when the state service did not let it.
-  net::Task<bool> load();
-  /// Starts the duties.
+  /// The failover: reads quota shares, machine types, pools, live jobs and the plan of moves.
+  net::Task<LoadOutcome> load();
+  /// Starts the routines of all parts, after load(). The scope is cleared before the term goes.
   void start(net::Scope& scope);
 
-  net::Response handle_heartbeat(const wire::Heartbeat& heartbeat);
-  /// The same for a heartbeat that another node has forwarded here.
-  peer::ForwardedResponse handle_forwarded_heartbeat(const wire::Heartbeat& heartbeat,
-                                                     const std::string& forwarder,
-                                                     std::uint64_t id);
-  void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat);
-  /// The same of another region's leader.
-  void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
-  /// Nullptr where the settings name no regions.
-  const regions::ShareService* shares() const { return shares_.get(); }
-  /// Whether the worker may be sent to report to this node of its own zone.
-  bool may_redirect(const std::string& machine, const std::string& forwarder);
   bool is_lost() const { return status_.is_lost(); }
-  /// This node's settings don't let it lead, and loading again will not change that.
-  bool is_ineligible() const { return is_ineligible_; }
   void step_down(LeadershipLoss loss) { status_.step_down(loss); }
-  /// Nothing was heard of any worker for so long that this node may be cut off from them.
-  bool hears_no_agent() const;
+
+  /// Responds to agents and forwarders.
+  HeartbeatHandler& heartbeats() { return heartbeats_; }
+  void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
+    heartbeats_.on_peer_heartbeat(peer_heartbeat);
+  }
+  /// Takes a frame from another region's leader.
+  void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
+  /// No agent has been heard for so long that this controller may be cut off from them.
+  bool agents_silent() const { return heartbeats_.agents_silent(); }
+
   sched::ClusterState& cluster() { return cluster_; }
+  /// Quota shared with other regions; nullptr where the settings name no regions.
+  const regions::ShareService* shares() const { return quota_shares_.get(); }
 
  private:
-  /// Changes, placement, writing and starts, for ever.
-  net::Task<void> decide();
-
-  net::Task<void> write_jobs();
-  void advise_on_moves();
-  MoveService::Callbacks move_callbacks();
-  /// Whether shares of other regions bind this node, and it knows them.
-  net::Task<bool> load_shares();
-  regions::ShareService::Callbacks share_callbacks();
+  std::unique_ptr<regions::ShareService> make_quota_shares(regions::RegionNetwork* regions);
+  std::unique_ptr<MoveService> make_moves();
+  net::Task<LoadOutcome> load_quota_shares();
+  net::Task<LoadOutcome> load_machine_types();
+  /// What the decision loop and the command sender are told of jobs.
   JobWatcher::Callbacks job_callbacks();
+  /// What the scaler asks of this leadership and of the machines.
   PoolScaler::Callbacks scaler_callbacks();
-  double now() const { return services_.reactor.now(); }
+  /// What moves ask of this leadership.
+  MoveService::Callbacks move_callbacks();
+  /// What quota shares ask of the cluster state and tell the decision loop.
+  regions::ShareService::Callbacks quota_callbacks();
 
   Services services_;
-  LeaderLease& leader_lease_;
+  LeaderLease& lease_;
   LeadershipStatus status_;
-  bool is_ineligible_ = false;
   sched::ClusterState cluster_;
   net::Signal work_;
   LeaderContext context_;
-  double last_heard_;
 
+  // The parts. Each may refer to those above it, and to those below it only once the term runs.
   MachineLifecycle machines_;
+  HeartbeatHandler heartbeats_;
   OutcomeReader outcomes_;
   RecordReloader reloader_;
   JobWatcher jobs_;
   RecordWriter writer_;
   CommandSender commands_;
   PoolScaler scaler_;
-  std::unique_ptr<regions::ShareService> shares_;
-  std::unique_ptr<defrag::Advisor> advisor_;  ///< where the operator asks for advice
-  std::unique_ptr<MoveService> moves_;        ///< where the operator lets moves be carried out
-  double next_pass_at_ = 0;                   ///< no placement pass before
-  /// Since the last pass a job has come, or one that others need has ended.
-  bool pass_awaited_ = false;
+  std::unique_ptr<regions::ShareService> quota_shares_;
+  std::unique_ptr<MoveService> moves_;  ///< nullptr: the operator allows no moves
+  DecisionLoop decisions_;
 };
 
 }  // namespace cranklock::control
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -1,5 +1,25 @@
-// Coroutine tasks. A Task owns its frame: destroying it destroys every frame it waits for, and the
-// awaiters in them take their timers and watchers along. That is how a routine is cancelled.
+// Coroutine tasks, and who owns and cancels them. The rules, which all coroutines of the project
+// follow:
+//
+// - A Task owns its coroutine frame. It starts when it is awaited, or spawned into a Scope.
+// - Whoever awaits a task keeps it in a local variable of its own frame, so that the callee's frame
+//   lives inside the caller's: `auto reading = store.read(key); const auto found = co_await
+//   reading;`
+// - A task that nobody awaits is spawned into a Scope, which owns it until it ends.
+// - Cancelling is destroying. Destroying a Task or a Scope destroys the frames that it owns, the
+//   tasks that these await, and with them the awaiters (Sleep, Signal::Wait and Ready in
+//   net/reactor.hpp), whose destructors take their timers and watchers along. No coroutine is told
+//   of it: after a cancellation it just does not go on, and only destructors run. What must be
+//   undone therefore stands in a destructor.
+// - A cancelled request may have been sent, and may still be carried out by whoever receives it.
+// - A class that spawns keeps its Scope as the last member, so that its coroutines end before the
+//   members that they use. The routines of a leader term are cancelled before the term is destroyed
+//   (control/leader_election.hpp).
+// - Parameters of a coroutine are values, or references to what outlives its frame.
+// - Everything runs on one thread. A coroutine runs without interruption from one co_await to the
+//   next; after each co_await whatever it knew of shared state may have changed.
+// - A Signal (net/reactor.hpp) wakes one waiting coroutine, from the loop and never from within the
+//   caller of set(). Signals that are set while nobody waits are kept, as one.
 #pragma once
 
 #include <coroutine>
@@ -19,7 +39,7 @@
 namespace detail {
 
 struct PromiseBase {
-  std::coroutine_handle<> continuation = std::noop_coroutine();
+  std::coroutine_handle<> continuation = std::noop_coroutine();  ///< whoever awaits it
   Scope* scope = nullptr;             ///< of a routine that nobody awaits
   std::uint64_t number_in_scope = 0;  ///< by which its scope knows it
 
@@ -50,18 +70,19 @@
 
 }  // namespace detail
 
+/// A coroutine that yields a T when awaited, and owns its frame. Awaited once at most.
 template <typename T = void>
 class [[nodiscard]] Task {
  public:
   using promise_type = detail::Promise<T>;
   using Handle = std::coroutine_handle<promise_type>;
 
-  explicit Task(Handle h) : handle_(h) {}
-  Task(Task&& o) noexcept : handle_(std::exchange(o.handle_, nullptr)) {}
-  Task& operator=(Task&& o) noexcept {
-    if (this != &o) {
+  explicit Task(Handle handle) : handle_(handle) {}
+  Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, nullptr)) {}
+  Task& operator=(Task&& other) noexcept {
+    if (this != &other) {
       if (handle_) handle_.destroy();
-      handle_ = std::exchange(o.handle_, nullptr);
+      handle_ = std::exchange(other.handle_, nullptr);
     }
     return *this;
   }
@@ -80,7 +101,9 @@
     if constexpr (!std::is_void_v<T>) return std::move(*handle_.promise().value);
   }
 
+  /// Whether it has ended, or was moved from.
   bool done() const { return !handle_ || handle_.done(); }
+  /// Runs a task that nobody awaits until it waits for the first time; only tests use it.
   void start() { handle_.resume(); }
   /// The result of a finished task; only tests and the process's entry use it.
   T take() {
@@ -110,6 +133,7 @@
   Scope& operator=(const Scope&) = delete;
   ~Scope() { clear(); }
 
+  /// Starts the task and owns it until it ends.
   void spawn(Task<void> task) {
     const auto number = next_number_++;
     const auto handle = task.handle_;
@@ -118,12 +142,14 @@
     routines_.emplace(number, std::move(task));
     handle.resume();  // it may have ended, and be gone, when this returns
   }
+  /// Cancels all routines; the scope can be used again.
   void clear() {
     while (!routines_.empty()) {
       // The newest first; whatever it ends in its turn is found gone.
       auto last = routines_.extract(std::prev(routines_.end()));
     }
   }
+  /// How many have not ended.
   std::size_t size() const { return routines_.size(); }
 
  private:
--- /dev/null
+++ b/tests/leadership_status_test.cpp
@@ -0,0 +1,59 @@
+// A leadership that is lost stays lost, and wakes whoever renews its lease.
+#include "control/leadership_status.hpp"
+
+#include <gtest/gtest.h>
+
+#include <set>
+#include <string_view>
+
+#include "test_cluster.hpp"
+
+namespace cranklock::control {
+namespace {
+
+constexpr double kTimeout = 10;
+
+net::Task<bool> wait_for(net::Signal& signal) {
+  net::Signal::Wait wait(signal, kTimeout);
+  const bool signalled = co_await wait;
+  co_return signalled;
+}
+
+TEST(LeadershipStatus, StepsDownOnceAndForGood) {
+  testing::FakeReactor reactor;
+  net::Signal lost(reactor);
+  LeadershipStatus leadership(7, lost);
+  EXPECT_FALSE(leadership.is_lost());
+
+  leadership.step_down(LeadershipLoss::leader_key_changed);
+  leadership.step_down(LeadershipLoss::agent_saw_higher_token);
+
+  EXPECT_TRUE(leadership.is_lost());
+}
+
+TEST(LeadershipStatus, WakesWhoeverRenewsTheLease) {
+  testing::FakeReactor reactor;
+  net::Signal lost(reactor);
+  LeadershipStatus leadership(7, lost);
+  auto waiting = wait_for(lost);
+  waiting.start();
+
+  leadership.step_down(LeadershipLoss::peer_has_higher_token);
+  EXPECT_FALSE(waiting.done());  // woken from the loop, never from within the caller
+  reactor.run_until(reactor.now() + 0.1);
+
+  ASSERT_TRUE(waiting.done());
+  EXPECT_TRUE(waiting.take());
+}
+
+TEST(LeadershipStatus, EachReasonReadsDifferently) {
+  const std::set<std::string_view> reasons{to_string(LeadershipLoss::agent_saw_higher_token),
+                                           to_string(LeadershipLoss::peer_has_higher_token),
+                                           to_string(LeadershipLoss::leader_key_changed),
+                                           to_string(LeadershipLoss::lease_ended)};
+  EXPECT_EQ(reasons.size(), 4u);
+  EXPECT_FALSE(reasons.contains(""));
+}
+
+}  // namespace
+}  // namespace cranklock::control
--- /dev/null
+++ b/tests/services_fixture.hpp
@@ -0,0 +1,66 @@
+// A controller's services in simulated time, with a key-value store in memory: for tests of single
+// parts.
+#pragma once
+
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "control/api_responses.hpp"
+#include "control/services.hpp"
+#include "fixtures.hpp"
+#include "state_stand_in.hpp"
+#include "test_cluster.hpp"
+
+namespace cranklock::testing {
+
+/// Carries calls to the store and to the cloud's machine types. Agents and routers answer nothing.
+struct OutsideTransport : net::Transport {
+  static constexpr double kOneWay = 0.001;  ///< seconds
+  static constexpr const char* kMachineTypesPath = "/machine_types";
+
+  FakeReactor& reactor;
+  StateStandIn& state;
+  bool store_reachable = true;
+  bool cloud_reachable = true;
+  std::vector<wire::MachineType> machine_types{machine_type()};
+
+  OutsideTransport(FakeReactor& loop, StateStandIn& store) : reactor(loop), state(store) {}
+
+  net::Task<net::Reply> call(std::string, net::Request request, double) override {
+    net::Sleep there(reactor, kOneWay);
+    co_await there;
+    const bool is_cloud = request.path == kMachineTypesPath;
+    if (is_cloud ? !cloud_reachable : !store_reachable) co_return net::Reply{};
+    auto response = is_cloud ? list_machine_types() : state.handle(request);
+    net::Sleep back(reactor, kOneWay);
+    co_await back;
+    co_return net::Reply{net::Reply::Kind::answered, std::move(response)};
+  }
+
+ private:
+  net::Response list_machine_types() const {
+    wire::JsonWriter writer;
+    wire::write_machine_types(writer, machine_types);
+    return control::make_response(200, writer.take());
+  }
+};
+
+struct ServicesFixture {
+  FakeReactor reactor;
+  base::Settings settings = small_settings();
+  StateStandIn state{reactor};
+  OutsideTransport transport{reactor, state};
+  store::Client store{reactor, transport, settings};
+  cloud::Client cloud{reactor, transport, settings};
+  control::Services services{reactor, transport, settings, store, cloud};
+
+  void run_for(double seconds) { reactor.run_until(reactor.now() + seconds); }
+  /// Stores a value without a lease, as somebody else.
+  void store_value(const std::string& key, const std::string& text) {
+    const std::vector<wire::Mutation> mutations{{key, text, 0}};
+    state.handle({"POST", "/txn", "", wire::compare_and_swap_request({}, mutations), true});
+  }
+};
+
+}  // namespace cranklock::testing
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -76,9 +76,7 @@
         run(number),
         connections(base::public_connections(settings)) {
     node.set_connection_load([this] { return connections.load(); });
-    scope.spawn(node.learn_types());
-    scope.spawn(node.probe_state_service());
-    scope.spawn(node.run());
+    node.start(scope);
   }
 };
 
@@ -177,7 +175,7 @@
   host = std::make_unique<Host>(*this, i, std::move(settings), ++last_run_);
   if (host->settings.operators.regions.enabled()) host->node.set_region_network(region_network);
   if (zones_.empty()) return;
-  host->node.set_send([this, i](const std::string& to, const peer::Frame& frame) {
+  host->node.set_send_frame([this, i](const std::string& to, const peer::Frame& frame) {
     scope_.spawn(deliver(i, to[1] - '0', frame));
   });
   host->scope.spawn(link(i));
@@ -221,7 +219,7 @@
   const auto& host = hosts_[static_cast<std::size_t>(to)];
   if (cut_from_peers.contains(from) || cut_from_peers.contains(to)) co_return;
   if (host && !apart(zone_of(from), zone_of(to))) {
-    host->node.heard("n" + std::to_string(from), std::move(frame));
+    host->node.on_peer_frame("n" + std::to_string(from), frame);
   }
 }
 
