--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -20,9 +20,7 @@
       run(run_number),
       connections(base::public_connections(settings)) {
   node.set_connection_load([this] { return connections.load(); });
-  scope.spawn(node.learn_types());
-  scope.spawn(node.probe_state_service());
-  scope.spawn(node.run());
+  node.start(scope);
 }
 
 TestCluster::TestCluster(int nodes, std::vector<std::string> zones, base::Settings settings,
@@ -72,7 +70,7 @@
   host = std::make_unique<Host>(*this, node, std::move(settings), ++last_run_);
   if (host->settings.operators.regions.enabled()) host->node.set_region_network(region_network);
   if (zones_.empty()) return;
-  host->node.set_send([this, node](const std::string& to, const peer::Frame& frame) {
+  host->node.set_send_frame([this, node](const std::string& to, const peer::Frame& frame) {
     scope_.spawn(deliver(node, to[1] - '0', frame));
   });
   host->scope.spawn(send_peer_heartbeats(node));
--- a/tests/test_cluster_peers.cpp
+++ b/tests/test_cluster_peers.cpp
@@ -38,7 +38,7 @@
   const auto& host = hosts_[static_cast<std::size_t>(to)];
   if (cut_from_peers.contains(from) || cut_from_peers.contains(to)) co_return;
   if (host && !apart(zone_of(from), zone_of(to))) {
-    host->node.heard("n" + std::to_string(from), std::move(frame));
+    host->node.on_peer_frame("n" + std::to_string(from), frame);
   }
 }
 
