--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -13,7 +13,9 @@
 #include <fstream>
 #include <iterator>
 #include <regex>
+#include <sstream>
 
+#include "base/event_log.hpp"
 #include "lab/chats.hpp"
 
 namespace cranklock::lab {
@@ -251,17 +253,16 @@
 }
 
 std::vector<Controllers::Shortage> Controllers::shortages() const {
-  static const std::regex line_format(
-      "no longer lacks share: after ([0-9.]+) s, asked ([0-9]+) times");
-  std::vector<Shortage> out;
+  std::vector<Shortage> shortages;
   for (const auto& controller : controllers_) {
-    const std::string log = log_of(controller);
-    for (std::sregex_iterator match(log.begin(), log.end(), line_format), end; match != end;
-         ++match) {
-      out.push_back({std::stod((*match)[1]), std::stoi((*match)[2])});
+    std::istringstream log(log_of(controller));
+    for (std::string line; std::getline(log, line);) {
+      const auto seconds = base::read_log_field(line, base::kQuotaShortageOver, "seconds");
+      const auto requests = base::read_log_field(line, base::kQuotaShortageOver, "requests");
+      if (seconds && requests) shortages.push_back({std::stod(*seconds), std::stoi(*requests)});
     }
   }
-  return out;
+  return shortages;
 }
 
 Controllers::Moves Controllers::moves(const std::string& region) const {
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -89,12 +89,12 @@
     : client(reactor, static_cast<std::size_t>(kMaxBody), 2) {}
 
 Region::Region(net::EvReactor& reactor, const LabPlan& plan, const RegionPlan& region, int index,
-               testing::WorkerStandIn::Surroundings& surroundings, unsigned seed)
+               testing::WorkerStandIn::TaskEnvironment& environment, unsigned seed)
     : reactor_(reactor),
       plan_(plan),
       region_(region),
       index_(index),
-      surroundings_(surroundings),
+      environment_(environment),
       random_(seed),
       state_(reactor) {
   state_.limits_writes = true;
@@ -244,7 +244,7 @@
 Task<Response> Region::serve_worker(Worker& worker, Request request) {
   if (worker.gone) co_return answer(503);
   if (request.path == "/commands" || !replica_server_) {
-    co_return worker.stand_in.commands(request, surroundings_, reactor_.now());
+    co_return worker.stand_in.commands(request, environment_, reactor_.now());
   }
   auto serving = replica_server_(worker.stand_in, std::move(request));
   auto response = co_await serving;
@@ -262,7 +262,7 @@
   worker.scope.spawn(worker.server->run());
   stand_in.answered_sent = reactor_.now();
   while (!worker.gone) {
-    worker.changed = stand_in.progress(surroundings_, reactor_.now()) || worker.changed;
+    worker.changed = stand_in.progress(environment_, reactor_.now()) || worker.changed;
     const auto agent_epoch = stand_in.agent_epoch;
     stand_in.end_lease(plan_.lease_s, reactor_.now());
     ended_leases_ += stand_in.agent_epoch == agent_epoch ? 0 : 1;
@@ -309,7 +309,7 @@
     stand_in.answered_sent = sent;
     const auto& commands = document.root()["Orders"];
     worker.changed = worker.changed || commands.Size() > 0;
-    stand_in.execute(commands, surroundings_, reactor_.now());
+    stand_in.execute(commands, environment_, reactor_.now());
     return;
   }
   const auto named = wire::read_text(document.root(), "Foreman").value_or("");
--- a/lab/region.hpp
+++ b/lab/region.hpp
@@ -49,7 +49,7 @@
  public:
   /// `index` decides on addresses: workers have 127.<10 + index>.x.y each.
   Region(net::EvReactor& reactor, const LabPlan& plan, const RegionPlan& region, int index,
-         testing::WorkerStandIn::Surroundings& surroundings, unsigned seed);
+         testing::WorkerStandIn::TaskEnvironment& environment, unsigned seed);
 
   bool start(net::Scope& scope);
   const RegionPlan& plan() const { return region_; }
@@ -105,7 +105,7 @@
   const LabPlan& plan_;
   const RegionPlan& region_;
   int index_;
-  testing::WorkerStandIn::Surroundings& surroundings_;
+  testing::WorkerStandIn::TaskEnvironment& environment_;
   std::mt19937 random_;
   testing::StateStandIn state_;
   bool state_down_ = false;
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -1,4 +1,5 @@
-// One run of the lab: users, what they see, what the fleet does, faults, and the report.
+// One run of the lab. run.cpp has its course, the fleet and the faults; run_users.cpp the users;
+// run_report.cpp the verdict and the report.
 #pragma once
 
 #include <map>
@@ -10,14 +11,15 @@
 
 #include "lab/controllers.hpp"
 #include "lab/fragments.hpp"
+#include "lab/quota_audit.hpp"
 #include "lab/region.hpp"
 #include "lab/settings.hpp"
-#include "regions/amounts.hpp"
 #include "rule_checker.hpp"
 
 namespace cranklock::lab {
 
-class Run : public testing::WorkerStandIn::Surroundings {
+/// Plays a plan around real controllers, with the rules checked.
+class Run : public testing::WorkerStandIn::TaskEnvironment {
  public:
   Run(const LabPlan& plan, const std::string& program, const std::string& folder);
 
@@ -38,8 +40,8 @@
   bool is_completed(const wire::TaskName& task) const override {
     return rules_.is_completed(task.job, task.index);
   }
-  void told_to_start(const wire::TaskName& task) override {
-    rules_.told_to_start(task.job, reactor_.now());
+  void on_start_command(const wire::TaskName& task) override {
+    rules_.on_start_command(task.job, reactor_.now());
   }
   bool starts(const testing::WorkerStandIn& worker, const wire::TaskName& task) override;
   bool gang_complete(const wire::TaskName& task, std::uint64_t attempt) const override;
@@ -73,12 +75,13 @@
   std::unique_ptr<Fragments> make_fragments();
   void end();
   double rate_factor() const;
-  void look();
-  /// Adds up what all regions hold of each team and what is under way; counts teams for which that
-  /// is not the limit.
-  int count_wrong_sums();
-  regions::Amounts under_way_to(const std::string& region, const std::string& team);
+  /// Has the rule checker look at all that machines hold.
+  void check_rules();
   void show_progress() const;
+  void write_classes(wire::JsonWriter& writer) const;
+  void write_starts(wire::JsonWriter& writer) const;
+  void write_regions(wire::JsonWriter& writer) const;
+  void write_controllers(wire::JsonWriter& writer) const;
   bool lease_over(const testing::WorkerStandIn& worker) const;
   double now() const { return reactor_.now() - began_; }
 
@@ -99,8 +102,7 @@
   std::vector<double> takeover_s_;
   bool played_ = false;
   std::vector<Controllers::Usage> usage_;
-  std::map<std::string, std::vector<double>> held_gpus_;  ///< by region, of each team, at the end
-  int wrong_sums_ = 0;
+  QuotaAudit quotas_;                     ///< at the end, where there are several regions
   std::unique_ptr<Fragments> fragments_;  ///< where the plan asks for it
   net::Scope scope_;                      ///< last, so that its routines end before what they use
 };
--- a/src/regions/share_service.cpp
+++ b/src/regions/share_service.cpp
@@ -1,7 +1,6 @@
 #include "regions/share_service.hpp"
 
-#include <spdlog/spdlog.h>
-
+#include "base/event_log.hpp"
 #include "regions/records.hpp"
 
 namespace cranklock::regions {
@@ -107,8 +106,8 @@
     if (book_.finish_transaction(result)) callbacks_.shares_changed();
     if (!founded_ && book_.all_founded()) {
       founded_ = true;
-      spdlog::info("the shares of {} teams are made: {:.1f} s after the term began",
-                   settings_.teams.size(), now() - began_);
+      base::log_info("quotas bootstrapped", base::field("teams", settings_.teams.size()),
+                     base::field("seconds", fmt::format("{:.1f}", now() - began_)));
     }
     to_tell_.set();
     const bool decided =
@@ -162,8 +161,9 @@
     const Amounts missing = missing_share(book_.held(team.name), demand, whole_amounts(team));
     const auto shortage = schedule_.shortage(team.name);
     if (shortage && missing.is_zero()) {
-      spdlog::info("team {} no longer lacks share: after {:.3f} s, asked {} times", team.name,
-                   now() - shortage->since, shortage->requests);
+      base::log_info(base::kQuotaShortageOver, base::field("team", team.name),
+                     base::field("seconds", fmt::format("{:.3f}", now() - shortage->since)),
+                     base::field("requests", shortage->requests));
     }
     if (!schedule_.take_due(team.name, missing, now())) continue;
     const ShareRequest request{team.name, part_of(missing, regions.size()),
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -28,7 +28,7 @@
   EXPECT_EQ(boots.expected(kPlace, kReady, 5), kReady);
 }
 
-// Guards against boots of a second, as some troubles bring: were all others expected to take so
+// Guards against boots of a second, as some faults bring: were all others expected to take so
 // little, each would be taken for late.
 TEST(BootTimes, AreNeverLessThanTheCloudSays) {
   BootTimes boots;
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -41,7 +41,7 @@
   explicit Fragments(base::Settings settings = settings_with_moves(), int nodes = 3,
                      const wire::JobSpec& small = small_spec())
       : w(nodes, {}, std::move(settings)) {
-    w.cloud_full = true;
+    w.cloud_without_capacity = true;
     w.run_s = 1e6;
     for (int task = 0; task < 4; ++task)
       w.run_s_of[std::string(kShort) + "/" + std::to_string(task)] = 8;
@@ -61,7 +61,7 @@
 
   void ask_for_large() {
     ASSERT_EQ(w.running(kSmall), 4);
-    ASSERT_EQ(w.held(kShort), 0);
+    ASSERT_EQ(w.live_tasks(kShort), 0);
     w.submit(1, large_spec());
   }
   std::optional<defrag::MoveRecord> record() const {
--- a/tests/moves_cluster_test.cpp
+++ b/tests/moves_cluster_test.cpp
@@ -111,7 +111,7 @@
       auto& w = fragments.w;
       ASSERT_TRUE(fragments.run_into_plan(at));
       const int old = w.leader();
-      w.stop_node(old);
+      w.pause_node(old);
       ASSERT_TRUE(fragments.until(10, [&] { return w.leader() >= 0; }));
       if (cancelled) w.cancel(w.leader(), kLarge);
       EXPECT_TRUE(fragments.until(fragments.longest(), [&] {
@@ -119,7 +119,7 @@
       })) << at;
       fragments.run(30);
       const auto starts = w.starts;
-      w.wake_node(old);
+      w.resume_node(old);
       fragments.run(20);
       EXPECT_EQ(w.starts, starts) << at;
       EXPECT_TRUE(fragments.is_settled()) << at;
@@ -175,9 +175,9 @@
       w.random.seed(seed);
       fragments.ask_for_large();
       fragments.run(kBoot - 1);
-      (late ? w.late_txns : w.lost_txns) = 0.6;
+      (late ? w.late_write_share : w.lost_write_response_share) = 0.6;
       fragments.run(10);
-      w.late_txns = w.lost_txns = 0;
+      w.late_write_share = w.lost_write_response_share = 0;
       EXPECT_TRUE(fragments.until(fragments.longest() + 2 * kBoot,
                                   [&] { return fragments.large_runs() && fragments.is_settled(); }))
           << seed << (late ? " late" : " lost");
@@ -195,13 +195,13 @@
     w.random.seed(seed);
     fragments.ask_for_large();
     fragments.run(kBoot - 1);
-    w.late_nodes = {w.leader()};
-    w.late_txns = 1;
+    w.late_write_nodes = {w.leader()};
+    w.late_write_share = 1;
     fragments.run(2.5);
     ASSERT_FALSE(fragments.record());
     w.cancel((w.leader() + 1) % w.nodes(), kLarge);
     stored_late += fragments.until(15, [&] { return fragments.has_plan(); }) ? 1 : 0;
-    w.late_txns = 0;
+    w.late_write_share = 0;
     EXPECT_TRUE(fragments.until(20, [&] { return fragments.is_settled(); }));
     fragments.run(20);
     EXPECT_FALSE(fragments.has_plan());
@@ -219,8 +219,8 @@
     fragments.ask_for_large();
     fragments.run(kBoot - 1);
     const int first = w.leader();
-    w.late_nodes = {first};
-    w.late_txns = 1;
+    w.late_write_nodes = {first};
+    w.late_write_share = 1;
     fragments.run(2);
     ASSERT_FALSE(fragments.record());
     w.crash_node(first);
@@ -237,11 +237,11 @@
 void make_trouble(TestCluster::Worker& worker, Trouble trouble, bool on) {
   switch (trouble) {
     case Trouble::dies:
-      worker.gone = worker.hangs = true;
+      worker.gone = worker.is_hung = true;
       worker.tasks.clear();
       break;
     case Trouble::hangs:
-      worker.hangs = on;
+      worker.is_hung = on;
       break;
     case Trouble::deaf:
       worker.cannot_receive = on;
@@ -271,7 +271,7 @@
     make_trouble(worker, trouble, true);
     fragments.run(25);
     EXPECT_FALSE(fragments.has_plan()) << at;  // long before its bound
-    if (trouble == Trouble::hangs && !worker.gone) w.wake(worker);
+    if (trouble == Trouble::hangs && !worker.gone) w.resume_worker(worker);
     if (trouble != Trouble::dies) make_trouble(worker, trouble, false);
     // With a machine less, not all of both fit.
     EXPECT_TRUE(fragments.until(fragments.longest() + kBoot, [&] {
@@ -282,7 +282,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Troubles, MovesMachines,
+INSTANTIATE_TEST_SUITE_P(MachineFaults, MovesMachines,
                          ::testing::Combine(::testing::Values(Trouble::dies, Trouble::hangs,
                                                               Trouble::deaf, Trouble::mute,
                                                               Trouble::notice),
@@ -295,8 +295,8 @@
     Fragments fragments;
     auto& w = fragments.w;
     w.random.seed(seed);
-    w.late_heartbeats = 0.7;
-    w.keeps_heartbeats = true;
+    w.late_heartbeat_share = 0.7;
+    w.replays_heartbeats = true;
     fragments.ask_for_large();
     ASSERT_TRUE(fragments.reach_plan());
     fragments.run(0.1 * seed);
@@ -325,7 +325,7 @@
     EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); })) << at;
     EXPECT_EQ(fragments.moves_begun(), begun) << at;
     fragments.run(w.base_settings.cancel_s);
-    EXPECT_EQ(w.held(kLarge), 0);
+    EXPECT_EQ(w.live_tasks(kLarge), 0);
   }
 }
 
@@ -341,7 +341,7 @@
       return !fragments.has_plan() && !fragments.reservations_held();
     })) << at;
     fragments.run(w.base_settings.cancel_s);
-    EXPECT_EQ(w.held(kSmall), 0);
+    EXPECT_EQ(w.live_tasks(kSmall), 0);
   }
 }
 
@@ -356,7 +356,7 @@
     w.submit(w.leader(), urgent);
     // Of a gang that was placed before nothing is stopped; then two replicas find room beside it.
     EXPECT_TRUE(fragments.until(8, [&] {
-      return w.running(urgent.id) >= (w.held(kLarge) > 0 ? 2 : 4);
+      return w.running(urgent.id) >= (w.live_tasks(kLarge) > 0 ? 2 : 4);
     })) << at;
     EXPECT_TRUE(fragments.until(fragments.longest(), [&] {
       return !fragments.has_plan() && !fragments.reservations_held();
@@ -401,11 +401,11 @@
   ASSERT_TRUE(fragments.reach_plan());
   const auto moves = fragments.record()->plan->moves;
   auto& second_source = *w.workers.at(moves.back().source);
-  second_source.hangs = true;
+  second_source.is_hung = true;
   fragments.run(8);
   EXPECT_TRUE(w.workers.at(moves.front().source)->tasks.empty());
   EXPECT_TRUE(w.deleted.empty());
-  w.wake(second_source);
+  w.resume_worker(second_source);
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.large_runs(); }));
 }
 
@@ -414,7 +414,7 @@
 TEST(Moves, ASpreadJobMovesWithinItsZonesOrNotAtAll) {
   for (const bool in_one_zone : {false, true}) {
     TestCluster w(3, {}, settings_with_moves());
-    w.cloud_full = true;
+    w.cloud_without_capacity = true;
     w.run_s = 1e6;
     for (const char* zone : {"a", "a", "b", "b"}) w.add_worker(zone);
     for (int task = 0; task < 4; ++task) w.run_s_of["j-000001/" + std::to_string(task)] = 8;
--- a/tests/moves_property_test.cpp
+++ b/tests/moves_property_test.cpp
@@ -1,4 +1,4 @@
-// Random fleets and troubles around plans of moves on the in-memory cluster: controllers that end,
+// Random fleets and faults around plans of moves on the in-memory cluster: controllers that end,
 // stand still or lose the state service, writes without answers, machines that hang or die, jobs
 // that come and are cancelled.
 #include <gtest/gtest.h>
@@ -71,11 +71,11 @@
         if (leader >= 0) w.crash_node(leader);
         break;
       case Action::stop_leader:
-        if (leader >= 0) w.stop_node(leader);
+        if (leader >= 0) w.pause_node(leader);
         break;
       case Action::wake_nodes:
         each_node([&](int node) {
-          if (w.stands_still(node)) w.wake_node(node);
+          if (w.is_paused(node)) w.resume_node(node);
         });
         break;
       case Action::start_nodes:
@@ -94,25 +94,25 @@
         w.state_down = false;
         break;
       case Action::lose_answers:
-        w.lost_txns = 0.5;
+        w.lost_write_response_share = 0.5;
         break;
       case Action::late_writes:
-        w.late_txns = 0.5;
+        w.late_write_share = 0.5;
         break;
       case Action::prompt_writes:
-        w.lost_txns = w.late_txns = 0;
+        w.lost_write_response_share = w.late_write_share = 0;
         break;
       case Action::hang_machine:
-        if (machines_in_trouble() < kMaxInTrouble) machine(step.detail).hangs = true;
+        if (machines_in_trouble() < kMaxInTrouble) machine(step.detail).is_hung = true;
         break;
       case Action::kill_machine:
         if (machines_in_trouble() < kMaxInTrouble) kill(machine(step.detail));
         break;
       case Action::wake_machines:
-        for (auto& [id, worker] : w.workers) w.wake(*worker);
+        for (auto& [id, worker] : w.workers) w.resume_worker(*worker);
         break;
       case Action::late_heartbeats:
-        w.late_heartbeats = 0.5;
+        w.late_heartbeat_share = 0.5;
         break;
       case Action::submit_small:
         w.add_user(array_of(next_id(), 1 + step.detail % 2, 1 + step.detail % 5), habits(step));
@@ -122,7 +122,7 @@
         break;
       case Action::cancel_job:
         w.add_user(step.detail % 2 == 0 ? Fragments::small_spec() : Fragments::large_spec(),
-                   UserHabits{0, false, false});
+                   UserBehavior{0, false, false});
         break;
       case Action::end_task:
         w.run_s_of[std::string(kSmall) + "/" + std::to_string(step.detail % 4)] = 0;
@@ -134,13 +134,13 @@
   /// The most moves that stood in a record.
   std::size_t max_moves() const { return max_moves_; }
 
-  /// All troubles are over: no plan outlives its bound, and no room stays held.
+  /// All faults are over: no plan outlives its bound, and no room stays held.
   void heal() {
     for (const auto action : {Action::wake_nodes, Action::start_nodes, Action::serve_state,
                               Action::prompt_writes, Action::wake_machines}) {
       take({action, 0, 0});
     }
-    fragments_.w.late_heartbeats = 0;
+    fragments_.w.late_heartbeat_share = 0;
     run(fragments_.longest());
     // A plan that stands now was begun since.
     const auto record = fragments_.record();
@@ -161,15 +161,15 @@
   }
   int machines_in_trouble() const {
     int troubled = 0;
-    for (const auto& [id, worker] : fragments_.w.workers) troubled += worker->hangs ? 1 : 0;
+    for (const auto& [id, worker] : fragments_.w.workers) troubled += worker->is_hung ? 1 : 0;
     return troubled;
   }
   static void kill(TestCluster::Worker& worker) {
-    worker.gone = worker.hangs = true;
+    worker.gone = worker.is_hung = true;
     worker.tasks.clear();
   }
-  static UserHabits habits(const Step& step) {
-    return UserHabits{step.detail % 3 == 0 ? 0.01 * step.detail : -1, false, false};
+  static UserBehavior habits(const Step& step) {
+    return UserBehavior{step.detail % 3 == 0 ? 0.01 * step.detail : -1, false, false};
   }
   std::string next_id() { return name(++jobs_); }
 
@@ -202,8 +202,8 @@
   // Whoever leads and hears the state service ends a plan in time.
   void check_age(const defrag::MovePlan& plan) {
     auto& w = fragments_.w;
-    const bool served =
-        !w.state_down && w.refused_by_state.empty() && w.late_txns + w.lost_txns == 0;
+    const bool served = !w.state_down && w.refused_by_state.empty() &&
+                        w.late_write_share + w.lost_write_response_share == 0;
     served_since_ = served && w.leader() >= 0 ? served_since_ : w.reactor.now();
     const double age_s = static_cast<double>(w.reactor.wall_ms() - plan.begun_ms) / 1000;
     const double served_s = w.reactor.now() - served_since_;
--- a/tests/moves_replicas_test.cpp
+++ b/tests/moves_replicas_test.cpp
@@ -178,14 +178,14 @@
 // The leader stands still, or is cut from the state service and its peers, and believes that it
 // leads; its successor goes on. Stops of both rest on drains that still hold.
 TEST(MovesReplicas, TwoControllersBelieveThatTheyLead) {
-  for (const bool stands_still : {false, true}) {
+  for (const bool is_paused : {false, true}) {
     for (const double at : drain_moments()) {
       Chats chats;
       auto& w = chats.w;
       ASSERT_TRUE(chats.fragments.run_into_plan(at));
       const int old = w.leader();
-      if (stands_still) {
-        w.stop_node(old);
+      if (is_paused) {
+        w.pause_node(old);
       } else {
         w.cut_from_state = {old};
         w.cut_from_peers = {old};
@@ -193,7 +193,7 @@
       chats.fragments.run(20);
       w.cut_from_state.clear();
       w.cut_from_peers.clear();
-      if (stands_still) w.wake_node(old);
+      if (is_paused) w.resume_node(old);
       EXPECT_TRUE(chats.fragments.recovers()) << at;
       EXPECT_EQ(chats.dropped, 0) << at;
     }
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -303,13 +303,13 @@
     submit_diamond(cluster);
     ASSERT_TRUE(wait_for(cluster, 30, [&] { return cluster.running(name(0)) == 1; }));
     if (late) {
-      cluster.late_txns = 1;
+      cluster.late_write_share = 1;
     } else {
-      cluster.lost_txns = 1;
+      cluster.lost_write_response_share = 1;
     }
     cluster.run(6);
     EXPECT_EQ(cluster.starts[task_name(1, 0)], 0);
-    cluster.late_txns = cluster.lost_txns = 0;
+    cluster.late_write_share = cluster.lost_write_response_share = 0;
     ASSERT_TRUE(wait_for(cluster, 60, [&] { return ended(cluster, 3); })) << late;
     EXPECT_TRUE(all_nodes_say(cluster, 3, "done"));
   }
@@ -528,7 +528,8 @@
     cluster.cut_from_state.clear();
   }
   EXPECT_TRUE(wait_for(cluster, 120, [&] {
-    return static_cast<int>(cluster.rules.accepted().size()) == submitted && all_over(cluster);
+    return static_cast<int>(cluster.rules.accepted().size()) == submitted &&
+           all_jobs_ended(cluster);
   }));
 }
 
--- a/tests/regions_cluster_test.cpp
+++ b/tests/regions_cluster_test.cpp
@@ -88,7 +88,7 @@
   }
 }
 
-// Random troubles of both regions and of what is between them, with work coming and going.
+// Random faults of both regions and of what is between them, with work coming and going.
 class RegionTroubles : public ::testing::TestWithParam<unsigned> {};
 
 TEST_P(RegionTroubles, NoLimitIsPassedAndAllWorkThatFitsIsServed) {
@@ -118,7 +118,7 @@
         }
         break;
       case 4:
-        cluster.lost_txns = draw(2) * 0.3;
+        cluster.lost_write_response_share = draw(2) * 0.3;
         break;
       default: {
         const std::string id = "j-0000" + std::to_string(10 + step);
@@ -132,7 +132,7 @@
   all.apart = false;
   for (auto* cluster : clusters) {
     cluster->state_down = false;
-    cluster->lost_txns = 0;
+    cluster->lost_write_response_share = 0;
     for (int node = 0; node < cluster->nodes(); ++node) {
       if (!cluster->is_up(node)) cluster->start_node(node);
     }
--- a/tests/rule_checker.cpp
+++ b/tests/rule_checker.cpp
@@ -138,14 +138,14 @@
   job.told = std::max(job.told, over ? 2 : 1);
 }
 
-void RuleChecker::told_to_start(const std::string& id, double now) {
+void RuleChecker::on_start_command(const std::string& id, double now) {
   const double at = cancelled_at(id);
   if (at < 0) return;
   ++late_starts;
   latest_start = std::max(latest_start, now - at);
 }
 
-void RuleChecker::starts(const Seen& task, const std::vector<Seen>& others, double now) {
+void RuleChecker::starts(const HeldTask& task, const std::vector<HeldTask>& others, double now) {
   const auto* job = spec(task.job);
   if (job == nullptr) return breaks("invented", task.job + " runs and was never submitted");
   const std::string name = task.job + "/" + std::to_string(task.task);
@@ -168,7 +168,7 @@
   if (job->spread && here > (job->tasks + 1) / 2) breaks("wrong_place", name + ": too many there");
 }
 
-void RuleChecker::look(const std::vector<Seen>& held, double now) {
+void RuleChecker::check_held_tasks(const std::vector<HeldTask>& held, double now) {
   std::map<std::string, wire::Resources> use;
   for (const auto& task : held) {
     const auto it = jobs_.find(task.job);
--- a/tests/rule_checker.hpp
+++ b/tests/rule_checker.hpp
@@ -14,7 +14,7 @@
 namespace cranklock::testing {
 
 /// A task as its machine has it.
-struct Seen {
+struct HeldTask {
   std::string job, machine;
   std::uint32_t task = 0;
   sched::MachineKind kind;
@@ -50,11 +50,11 @@
     return it != jobs_.end() && it->second.done.contains(task);
   }
   /// A task starts while these, the rest of what machines hold, are where they are.
-  void starts(const Seen& task, const std::vector<Seen>& others, double now);
+  void starts(const HeldTask& task, const std::vector<HeldTask>& others, double now);
   /// Everything that machines hold at this moment.
-  void look(const std::vector<Seen>& held, double now);
+  void check_held_tasks(const std::vector<HeldTask>& held, double now);
   /// A start command has reached a machine.
-  void told_to_start(const std::string& job, double now);
+  void on_start_command(const std::string& job, double now);
 
   const wire::JobSpec* spec(const std::string& job) const;
   std::vector<std::string> accepted() const;
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -47,7 +47,7 @@
   Broken w("wrong_place");
   auto s = spec("j-000002");
   s.zone = "a";
-  w.workers.at("n-1")->hangs = true;
+  w.workers.at("n-1")->is_hung = true;
   w.submit(0, s);
   w.smuggle(w.beside(), "j-000002/0");
   w.run(0.5);
@@ -99,7 +99,7 @@
   w.expected_broken.insert("wrong_place");
   w.run(1);
   EXPECT_EQ(w.rules.late_starts, 0);
-  w.rules.told_to_start("j-000001", w.reactor.now());
+  w.rules.on_start_command("j-000001", w.reactor.now());
   EXPECT_EQ(w.rules.late_starts, 1);
 }
 
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -1,103 +1,43 @@
-// A small cluster in simulated time: state service, cloud, workers and controllers in one process,
-// with no sockets. It plays PROTOCOL's troubles, and its rule checker counts what breaks the rules.
+// A small cluster in simulated time: state service, cloud, agents, users and controllers in one
+// process, without sockets. Tests set the faults of each outside system; a rule checker counts what
+// breaks the rules of PROTOCOL.
+//
+// One file per outside system: test_cluster_state_service.cpp, _cloud.cpp, _agents.cpp, _users.cpp,
+// _peers.cpp; _network.cpp passes the calls; test_cluster.cpp starts and stops the nodes.
 #pragma once
 
 #include <algorithm>
 #include <functional>
-#include <limits>
 #include <map>
 #include <memory>
 #include <optional>
 #include <random>
 #include <set>
 #include <string>
-#include <string_view>
 #include <vector>
 
 #include "control/node.hpp"
+#include "fake_reactor.hpp"
 #include "fixtures.hpp"
 #include "rule_checker.hpp"
 #include "state_stand_in.hpp"
+#include "traffic_event.hpp"
 #include "worker_stand_in.hpp"
 
 namespace cranklock::testing {
 
-class FakeReactor : public net::Reactor {
- public:
-  /// A loop that runs on this one's clock.
-  class Loop : public net::Reactor {
-   public:
-    explicit Loop(FakeReactor& clock) : clock_(clock) { clock_.loops_.push_back(this); }
-    ~Loop() override { std::erase(clock_.loops_, this); }
-    double now() const override { return clock_.now(); }
-    std::int64_t wall_ms() const override { return clock_.wall_ms(); }
-    bool stands_still = false;  ///< nothing of it runs meanwhile
-
-   private:
-    friend class FakeReactor;
-    double due() const {
-      return stands_still || timers().empty() ? kNever : timers().begin()->first.first;
-    }
-    void rearm() override {}
-    FakeReactor& clock_;
-  };
-
-  double now() const override { return now_; }
-  std::int64_t wall_ms() const override {
-    return 1'000'000 + static_cast<std::int64_t>(now_ * 1000);
-  }
-  void run_until(double t) {
-    for (;;) {
-      Loop* next = nullptr;
-      double due = timers().empty() ? kNever : timers().begin()->first.first;
-      for (Loop* loop : loops_) {
-        if (loop->due() < due) next = loop, due = loop->due();
-      }
-      if (due > t) break;
-      now_ = std::max(now_, due);
-      next != nullptr ? next->run_due() : run_due();
-    }
-    now_ = t;
-  }
-
- private:
-  static constexpr double kNever = std::numeric_limits<double>::infinity();
-  void rearm() override {}
-  double now_ = 0;
-  std::vector<Loop*> loops_;
-};
-
-/// A user submits, asks about twice a second at any node, and may cancel after a while or at the
-/// moment of the end; with `looks`, all nodes are asked, and the job is submitted again, within
-/// milliseconds after each change of state.
-struct UserHabits {
-  double cancels_after = -1;
-  bool cancels_at_end = false;
-  bool looks = false;
-};
-
-/// A message that a node sends or is answered with, as the node sees it. The views hold only during
-/// the call that passes the event on.
-struct TrafficEvent {
-  enum class Kind {
-    request,         ///< the node asks the state service, the cloud, a worker or the router
-    reply,           ///< what came of that
-    public_request,  ///< a user's request or a worker's heartbeat, which the node takes up
-    public_answer,   ///< what the node answers to it
-    peer_frame,      ///< the node sends to another of its region
-    region_frame     ///< the node hears from another region's leader
-  };
-  Kind kind = Kind::request;
-  double at_s = 0;          ///< simulated time
-  std::string_view region;  ///< of the node; empty where regions share no limits
-  int node = 0;
-  std::string_view address;              ///< the other side; empty: a user or a worker that asks
-  std::string_view method, path, query;  ///< of what is asked or answered
-  /// Of a reply or an answer; nothing for a request, a frame, or a reply that never came.
-  const net::Response* response = nullptr;
-  std::string_view body;  ///< of a request or an answer; the packed bytes of a frame
+/// How a user deals with a job: submits it until it is accepted, then asks about it at random nodes
+/// about twice a second until it has ended.
+struct UserBehavior {
+  /// Seconds after which the user cancels the job; below 0: never.
+  double cancel_after_s = -1;
+  /// Cancels the job at the moment when one of its tasks ends.
+  bool cancel_at_end = false;
+  /// Within milliseconds after each change of state, asks all nodes and submits the job again.
+  bool queries_all_nodes = false;
 };
 
+/// Nodes, and the outside systems around them, in one process.
 class TestCluster {
  public:
   /// Called with the traffic of every cluster in the process. Clusters send as soon as they are
@@ -110,36 +50,48 @@
                        regions::RegionNetwork* network = nullptr);
   /// Fails the test if a rule was broken that it did not expect.
   ~TestCluster();
+  TestCluster(const TestCluster&) = delete;
+  TestCluster& operator=(const TestCluster&) = delete;
 
   void run(double seconds) { reactor.run_until(reactor.now() + seconds); }
-  void start_node(int i);
-  void crash_node(int i);
-  /// The node stands still, as when its machine is held up: none of its timers, answers or requests
-  /// comes through. It wakes with all that it believed, and what waits for it comes then.
-  void stop_node(int i);
-  void wake_node(int i);
-  bool stands_still(int node) const;
-  /// The index of the node that serves as leader, or -1. One that stands still does not.
+
+  // ---- nodes ----
+  void start_node(int node);
+  void crash_node(int node);
+  /// None of the node's timers, answers or requests comes through, as when its machine is
+  /// suspended. It resumes with all that it believed, and receives then what waits for it.
+  void pause_node(int node);
+  void resume_node(int node);
+  bool is_paused(int node) const;
+  /// The index of the node that serves as leader, or -1. A paused node does not.
   int leader() const;
-  /// What the node's term knows; nullptr while it leads none.
+  /// The node's leader term; nullptr while it does not lead.
   control::LeaderTerm* term(int node);
   int nodes() const { return static_cast<int>(hosts_.size()); }
   bool is_up(int node) const { return hosts_[static_cast<std::size_t>(node)] != nullptr; }
+
+  // ---- users ----
   /// A user's request to one node; runs the cluster until it is answered.
   net::Response ask(int node, const std::string& method, const std::string& path,
                     const std::string& body = "");
-  /// Submits to a node and expects to be accepted.
+  /// Submits to a node and expects that the job is accepted.
   void submit(int node, const wire::JobSpec& spec);
+  /// The state of a job as the node tells it; the HTTP status where that is not 200.
   std::string state_of(int node, const std::string& id);
-  /// Cancels at a node and expects to be told so.
+  /// Cancels at a node and expects that this is confirmed.
   void cancel(int node, const std::string& id);
+  /// Adds a user who goes on by itself while the cluster runs.
+  void add_user(const wire::JobSpec& spec, UserBehavior behavior = {});
+
+  // ---- agents ----
+  /// Adds a machine that sends heartbeats, after it has booted.
   void add_worker(const std::string& zone = "a", double boots_for = 0);
+  /// Tasks of the job that run.
   int running(const std::string& job) const;
-  /// What tasks of it machines hold that may still go on, in any state but exited.
-  int held(const std::string& job) const;
+  /// Tasks of the job on machines that may still go on: in any state but exited.
+  int live_tasks(const std::string& job) const;
 
-  void add_user(const wire::JobSpec& spec, UserHabits habits = {});
-  /// Delivers to all nodes what the leader of another region says.
+  /// Delivers to all nodes what the leader of another region sends.
   void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
 
   FakeReactor reactor;
@@ -158,80 +110,87 @@
   std::set<std::string> expected_broken;  ///< rules that this cluster is made to break
   std::mt19937 random{1};
 
+  // ---- the state service and its faults ----
   StateStandIn state_service{reactor};
   bool state_down = false;
-  double state_slow_s = 0;
-  int state_requests = 0;          ///< that nodes have made, a watch counted once
-  std::set<int> refused_by_state;  ///< 503 for these alone; what they watch hangs
+  double state_slow_s = 0;         ///< requests take up to so long
+  int state_requests = 0;          ///< by nodes, a watch counted once
+  std::set<int> refused_by_state;  ///< nodes that get 503; their watches hang
   std::set<int> hanging_watches;   ///< nodes whose watches hang while all else is served
   std::set<int> cut_from_state;    ///< nodes whose requests get no answer and are not executed
+  int lost_write_responses = 0;    ///< the next transactions that are executed and not answered
+  double lost_write_response_share = 0;  ///< of transactions: executed at once and not answered
+  double late_write_share = 0;     ///< of transactions: executed 2 to 12 s later and not answered
+  std::set<int> late_write_nodes;  ///< whose writes may be late; empty: those of all
+
+  // ---- the network ----
   std::set<int> cut_from_peers;
-  std::set<int> cut_from_workers;
-  std::set<int> held_from_workers;  ///< the same, and workers wait in vain for their answers
-  std::set<std::string> cut_zones;  ///< cut off from everything outside, and working inside
-  int swallow_txn_answers = 0;      ///< so many transactions are executed, and not answered
-  double late_txns = 0;             ///< this share is executed 2 to 12 s later, and not answered
-  std::set<int> late_nodes;         ///< late_txns is of these alone; empty: of all
-  double lost_txns = 0;             ///< this share is executed at once, and not answered
+  std::set<int> cut_from_workers;         ///< agents are refused at once
+  std::set<int> unresponsive_to_workers;  ///< agents wait for these nodes until their timeout
+  std::set<std::string> cut_zones;        ///< cut off from everything outside, and working inside
 
   /// Answers what is sent to the address "router"; nothing: no answer.
   std::function<std::optional<net::Response>(const net::Request&)> router;
 
-  // The cloud.
-  int rented = 0;
+  // ---- the cloud and its faults ----
+  int machines_created = 0;
   bool cloud_down = false;
-  bool cloud_full = false;  ///< it has no machine to rent
-  int swallow_rental_answers = 0;
-  double unlisted_s = 0;                       ///< new machines are missing in the list for so long
-  std::vector<double> deletions;               ///< when requests of it came
-  std::map<std::string, std::string> rentals;  ///< by request name
-  double boot_s = 0;                           ///< of machines rented from now on
-  std::set<std::string> barren_zones;          ///< where machines that are rented never come up
-  std::vector<std::string> deleted;
-  std::set<std::string> undeletable;  ///< a deletion that names one of them is malformed
+  bool cloud_without_capacity = false;  ///< it refuses every scale-out request
+  int lost_scale_out_responses = 0;     ///< the next requests that are executed and not answered
+  double list_delay_s = 0;              ///< new machines are missing in the list for so long
+  std::vector<double> deletion_requests_at;                ///< when they came
+  std::map<std::string, std::string> scale_out_responses;  ///< by request name
+  double boot_s = 0;                            ///< of machines that are requested from now on
+  std::set<std::string> zones_that_never_boot;  ///< machines requested there never come up
+  std::vector<std::string> deleted;             ///< machines, in the order of their deletion
+  std::set<std::string> undeletable;            ///< a deletion that names one of them is malformed
   int list_requests = 0;
 
-  /// What troubles a worker may have.
+  // ---- agents and their faults ----
+  /// A machine with its agent.
   struct Worker : WorkerStandIn {
-    int target = 0;
-    /// The run of a node that holds this worker's connection; 0: none does.
-    int connected_to = 0;
-    bool turned_away = false;     ///< last time; it tries the next node a second later
-    bool gone = false;            ///< deleted
-    double up_at = 0;             ///< until then it boots
-    bool hangs = false;           ///< neither reports nor executes
-    bool cannot_receive = false;  ///< reports arrive, answers and commands don't
-    bool cannot_send = false;     ///< reaches no node, and executes commands
-    int swallow_commands = 0;     ///< so many are executed, and not answered
-    /// Commands arrive so much later, and are answered to nobody; what comes while it hangs is
-    /// executed when it goes on.
+    int target = 0;        ///< node that gets its next heartbeat
+    int connected_to = 0;  ///< run of the node that holds its connection; 0: none does
+    /// The last heartbeat was not answered with 200; the next one follows within a second.
+    bool last_heartbeat_failed = false;
+    bool gone = false;               ///< deleted
+    double up_at = 0;                ///< until then it boots
+    bool is_hung = false;            ///< neither sends heartbeats nor executes commands
+    bool cannot_receive = false;     ///< heartbeats arrive; responses and commands do not
+    bool cannot_send = false;        ///< reaches no node, and executes commands
+    int lost_command_responses = 0;  ///< the next commands that are executed and not answered
+    /// Commands arrive so much later and are answered to nobody.
     double commands_late_s = 0;
-    std::vector<net::Request> held;
+    /// Arrived while it was hung; executed when it resumes.
+    std::vector<net::Request> queued_commands;
   };
   std::map<std::string, std::unique_ptr<Worker>> workers;
-  /// A machine that hangs goes on.
-  void wake(Worker& w);
-  /// Heartbeats come so much of their interval sooner or later, and not all at the same moment.
+  /// Ends a hang: the lease may end first, then the queued commands are executed.
+  void resume_worker(Worker& worker);
+  /// Share of their interval by which heartbeats come sooner or later; the first one at random.
   double heartbeat_spread = 0;
-  /// Connections that workers could not open, or that were closed under them unannounced.
+  /// Connections that agents could not open, or that were closed under them unannounced.
   int refused_connections = 0, broken_connections = 0;
-  /// Of workers to this node.
+  /// Connections of agents to this node.
   std::size_t connections(int node) const;
-  double run_s = 5;                        ///< of tasks
+  double run_s = 5;                        ///< run time of tasks
   std::map<std::string, double> run_s_of;  ///< of single tasks, where it differs
   std::set<std::string> broken_jobs;       ///< their tasks fail on every machine
   std::set<std::string> faulty_machines;   ///< every task fails there
-  /// Of reports, this share comes once more from 2 s to one and a half leases later.
-  double late_heartbeats = 0;
-  bool keeps_heartbeats =
-      false;          ///< copies of heartbeats come to all nodes when a new leader begins
-  double kept_s = 0;  ///< or so long after
-  int ran_twice = 0;
-  int calls_under_way = 0, max_calls_in_flight = 0;  ///< to workers, from all nodes
+  /// Share of heartbeats that come once more, from 2 s to one and a half leases later.
+  double late_heartbeat_share = 0;
+  /// When a new leader begins, all nodes get a copy of each machine's first heartbeat since the
+  /// last change of leader, `replay_delay_s` later.
+  bool replays_heartbeats = false;
+  double replay_delay_s = 0;
+  int ran_twice = 0;                                 ///< starts of a task that runs elsewhere
+  int calls_in_flight = 0, max_calls_in_flight = 0;  ///< to agents, from all nodes
   std::map<std::string, int> starts;                 ///< by task
 
+  // ---- for the nodes' transports and for routines of tests ----
   /// Passes an event of one of its nodes to `on_traffic`, with its time and region filled in.
   void observe(TrafficEvent event) const;
+  /// A node's call to one of the outside systems.
   net::Task<net::Reply> call(int node, std::string address, net::Request request, double timeout_s);
   /// A request to a node's public address that outlives the node; nothing if it is not answered.
   net::Task<std::optional<net::Response>> exchange(int node, net::Request request,
@@ -239,70 +198,101 @@
   /// The same for a user, with the rule checker listening.
   net::Task<std::optional<net::Response>> user_asks(int node, std::string method, std::string path,
                                                     std::string body);
-  double chance() { return std::uniform_real_distribution<>(0, 1)(random); }
-  int any_node() { return static_cast<int>(chance() * nodes()) % nodes(); }
+  /// A random number from 0 to 1.
+  double random_fraction() { return std::uniform_real_distribution<>(0, 1)(random); }
+  int random_node() { return static_cast<int>(random_fraction() * nodes()) % nodes(); }
 
  private:
   struct Host;
   struct Exchange;
   struct CloudCall;
-  class Surroundings;
-  net::Task<net::Reply> call_state(int node, net::Request request, double timeout_s);
+  class AgentEnvironment;
+
+  // test_cluster.cpp
+  std::string zone_of(int node) const;
+  bool apart(const std::string& zone, const std::string& other) const;
+
+  // test_cluster_network.cpp
+  /// Waits, and answers as if the response were lost.
+  net::Task<net::Reply> lose(double timeout_s);
+  net::Task<net::Reply> call_router(net::Request request, double timeout_s);
+  net::Task<net::Response> handle(int node, net::Request request);
+  net::Task<void> serve(int node, net::Request request, std::shared_ptr<Exchange> exchange);
+  net::Task<void> serve_when_resumed(int node, net::Request request,
+                                     std::shared_ptr<Exchange> exchange);
+
+  // test_cluster_state_service.cpp
+  net::Task<net::Reply> call_state_service(int node, net::Request request, double timeout_s);
+  bool state_refuses(int node) const { return state_down || refused_by_state.contains(node); }
+  bool write_comes_late(int node);
+  bool write_response_is_lost();
+  net::Task<void> apply_late(net::Request request, double delay_s);
+
+  // test_cluster_cloud.cpp
   net::Task<void> serve_cloud(net::Request request, double timeout_s,
                               std::shared_ptr<CloudCall> call);
   net::Task<net::Reply> call_cloud(net::Request request, double timeout_s);
-  net::Task<net::Reply> call_router(net::Request request, double timeout_s);
-  net::Task<net::Reply> call_worker(int node, std::string address, net::Request request,
-                                    double timeout_s);
-  net::Response cloud(const net::Request& r);
-  net::Task<void> boot_and_work(Worker& w);
-  net::Task<void> work(Worker& w);
+  net::Response handle_cloud_request(const net::Request& request);
+  net::Response delete_machines(const wire::Json& request);
+  net::Response create_machines(const wire::Json& request);
+  net::Response list_machines(const net::Request& request);
+
+  // test_cluster_agents.cpp
+  bool lease_over(const Worker& worker) const;
+  double run_time(const std::string& task) const;
+  std::vector<HeldTask> tasks_on_machines() const;
+  void progress(Worker& worker);
+  net::Task<net::Reply> call_agent(int node, std::string address, net::Request request,
+                                   double timeout_s);
+  bool commands_arrive(int node, const Worker& worker) const;
+  net::Task<void> execute_late(Worker& worker, net::Request request, double delay_s);
   /// Opens a connection to the node, or takes the one that is open; false when it has no room.
-  bool connect(Worker& w, int node);
+  bool connect(Worker& worker, int node);
   /// What the node does with the connection after an answer.
-  void keep_or_close(Worker& w, int node, bool answered);
-  net::Task<net::Response> handle(int node, net::Request request);
-  net::Task<void> serve(int node, net::Request request, std::shared_ptr<Exchange> exchange);
-  net::Task<void> serve_when_awake(int node, net::Request request,
-                                   std::shared_ptr<Exchange> exchange);
-  net::Task<void> arrive_late(Worker& w, net::Request request, double after);
-  net::Task<void> apply_late(net::Request request, double after);
-  net::Task<void> heartbeat_late(int node, std::string body, double after);
+  void keep_or_close(Worker& worker, int node, bool answered);
+  net::Task<void> boot_and_send_heartbeats(Worker& worker);
+  net::Task<void> send_heartbeats(Worker& worker);
+  net::Task<void> send_heartbeat(Worker& worker);
+  /// Draws whether the heartbeat comes once more later, and records it for replay.
+  void copy_heartbeat(const Worker& worker, const std::string& body);
+  void on_heartbeat_response(Worker& worker, const net::Response& response, double sent);
+  net::Task<void> deliver_late_heartbeat(int node, std::string body, double delay_s);
+  /// Ends leases, lets tasks go on, and has the rules checked.
   net::Task<void> watch_over();
-  net::Task<void> use(wire::JobSpec spec, UserHabits habits);
-  net::Task<void> look_closely(wire::JobSpec spec);
-  net::Task<void> look_once(int node, wire::JobSpec spec, bool submits);
-  void progress(Worker& w);
-  bool lease_over(const Worker& w) const;
-  double run_time(const std::string& task) const;
-  std::vector<Seen> everything() const;
-  std::string zone_of(int node) const;
-  bool apart(const std::string& zone, const std::string& other) const;
-  bool unserved(int node) const { return state_down || refused_by_state.contains(node); }
-  net::Task<void> link(int node);
+  void on_leader_change();
+
+  // test_cluster_users.cpp
+  net::Task<void> follow_job(wire::JobSpec spec, UserBehavior behavior);
+  void query_all_nodes(const wire::JobSpec& spec);
+  net::Task<void> query_once(int node, wire::JobSpec spec, bool submits);
+  bool has_ending_task(const std::string& job) const;
+
+  // test_cluster_peers.cpp
+  net::Task<void> send_peer_heartbeats(int node);
   net::Task<void> deliver(int from, int to, peer::Frame frame);
 
-  std::unique_ptr<Surroundings> surroundings_;
+  std::unique_ptr<AgentEnvironment> environment_;
   std::vector<std::string> zones_;
   std::vector<std::unique_ptr<Host>> hosts_;
-  std::map<std::string, std::string> kept_heartbeats_;  ///< by machine
+  std::map<std::string, std::string> recorded_heartbeats_;  ///< by machine
   int last_leader_ = -1;
   int last_run_ = 0;  ///< of any node
   net::Scope scope_;
 };
 
-/// Runs until it holds; false when that takes too long.
-template <typename Holds>
-bool wait_for(TestCluster& w, double timeout_s, Holds holds) {
-  for (double t = 0; t < timeout_s && !holds(); t += 0.25) w.run(0.25);
-  return holds();
+/// Runs until the condition holds; false when that takes too long.
+template <typename Condition>
+bool wait_for(TestCluster& cluster, double timeout_s, Condition condition) {
+  constexpr double kStep = 0.25;
+  for (double waited = 0; waited < timeout_s && !condition(); waited += kStep) cluster.run(kStep);
+  return condition();
 }
 
 /// Whether every accepted job has ended, as users were told.
-inline bool all_over(const TestCluster& w) {
-  const auto accepted = w.rules.accepted();
+inline bool all_jobs_ended(const TestCluster& cluster) {
+  const auto accepted = cluster.rules.accepted();
   return std::all_of(accepted.begin(), accepted.end(),
-                     [&](const std::string& id) { return !w.rules.outcome(id).empty(); });
+                     [&](const std::string& id) { return !cluster.rules.outcome(id).empty(); });
 }
 
 /// Ids of jobs by number.
--- /dev/null
+++ b/tests/test_cluster_state_service.cpp
@@ -0,0 +1,89 @@
+// The state service as nodes of the test cluster reach it: outages, refusals, slow and late writes,
+// and responses that are lost.
+#include "test_cluster_internals.hpp"
+
+namespace cranklock::testing {
+
+using net::Reply;
+using net::Request;
+using net::Response;
+using net::Sleep;
+
+namespace {
+
+constexpr double kWatchPollDelay = 0.02;  ///< seconds between checks whether a watch has changes
+
+/// Whether a watch was answered without changes.
+bool has_no_changes(const Response& response) {
+  return response.status == 200 && response.body.find("News\":[]") != std::string::npos;
+}
+
+}  // namespace
+
+net::Task<Reply> TestCluster::call_state_service(int node, Request request, double timeout_s) {
+  ++state_requests;
+  const bool watch = request.path == "/follow";
+  const bool write = request.path == "/txn";
+  const double opened = reactor.now();
+  const double until = opened + timeout_s;
+  const double hold_s = watch ? std::stod(net::query_field(request.query, "HoldMs")) / 1000 : 0;
+  if (state_slow_s > 0) {
+    Sleep slowness(reactor, state_slow_s * random_fraction());
+    co_await slowness;
+  }
+  if (state_refuses(node) && !cut_from_state.contains(node)) {
+    co_return Reply{Reply::Kind::answered, response_of(503)};
+  }
+  for (;;) {
+    if (cut_from_state.contains(node)) {
+      auto losing = lose(until - reactor.now());
+      co_return co_await losing;
+    }
+    if (write && write_comes_late(node)) {
+      constexpr double kMinDelay = 2, kMaxExtraDelay = 10;
+      scope_.spawn(apply_late(request, kMinDelay + kMaxExtraDelay * random_fraction()));
+      auto losing = lose(until - reactor.now());
+      co_return co_await losing;
+    }
+    const bool hangs = watch && (state_refuses(node) || hanging_watches.contains(node));
+    if (hangs && reactor.now() >= until) co_return Reply{};
+    if (!hangs) {
+      Response response = state_service.handle(request);
+      const bool waits = watch && has_no_changes(response) && reactor.now() < opened + hold_s;
+      if (!waits) {
+        if (write && response.status == 200 && write_response_is_lost()) {
+          auto losing = lose(until - reactor.now());
+          co_return co_await losing;
+        }
+        co_return Reply{Reply::Kind::answered, response};
+      }
+    }
+    Sleep pause(reactor, kWatchPollDelay);
+    co_await pause;
+  }
+}
+
+bool TestCluster::write_comes_late(int node) {
+  const bool may_be_late = late_write_nodes.empty() || late_write_nodes.contains(node);
+  return may_be_late && random_fraction() < late_write_share;
+}
+
+bool TestCluster::write_response_is_lost() {
+  if (lost_write_responses > 0) {
+    --lost_write_responses;
+    return true;
+  }
+  return random_fraction() < lost_write_response_share;
+}
+
+net::Task<void> TestCluster::apply_late(Request request, double delay_s) {
+  Sleep delay(reactor, delay_s);
+  co_await delay;
+  while (state_down) {
+    Sleep outage(reactor, 0.1);
+    co_await outage;
+  }
+  state_service.handle(request);
+}
+
+}  // namespace cranklock::testing
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -96,8 +96,8 @@
   for (int i = 0; i < 4; ++i) {
     cluster.add_user(job(i, 2, JobKind::job_array, 2, i % 2 == 0 ? "red" : "blue"));
   }
-  UserHabits cancels;
-  cancels.cancels_after = 40;
+  UserBehavior cancels;
+  cancels.cancel_after_s = 40;
   cluster.add_user(job(4, 2, JobKind::service, 1), cancels);
 }
 
@@ -129,9 +129,9 @@
   cluster.run(12 + 0.3 * seed);
   const int old = cluster.leader();
   ASSERT_GE(old, 0);
-  cluster.stop_node(old);
+  cluster.pause_node(old);
   cluster.run(25);
-  cluster.wake_node(old);
+  cluster.resume_node(old);
   cluster.run(30);
 }
 
@@ -142,12 +142,12 @@
   vary(cluster, seed);
   cluster.run_s = 1000;
   cluster.run(1);
-  UserHabits cancels;
-  cancels.cancels_after = 50;
+  UserBehavior cancels;
+  cancels.cancel_after_s = 50;
   for (int i = 0; i < 2; ++i) {
     auto in_zone = job(i, 2, JobKind::service, 2);
     in_zone.zone = "b";
-    cluster.add_user(in_zone, i == 0 ? cancels : UserHabits{});
+    cluster.add_user(in_zone, i == 0 ? cancels : UserBehavior{});
   }
   auto spread = job(2, 4, JobKind::service, 1, "blue");
   spread.spread = true;
@@ -186,24 +186,24 @@
 void play_late_messages(unsigned seed) {
   TestCluster cluster;
   vary(cluster, seed);
-  cluster.keeps_heartbeats = true;
-  cluster.kept_s = 1;
+  cluster.replays_heartbeats = true;
+  cluster.replay_delay_s = 1;
   cluster.state_service.limits_writes = true;
   cluster.run(1);
-  cluster.late_heartbeats = 0.4;
-  cluster.late_txns = 0.3;
-  cluster.lost_txns = 0.2;
+  cluster.late_heartbeat_share = 0.4;
+  cluster.late_write_share = 0.3;
+  cluster.lost_write_response_share = 0.2;
   for (int i = 0; i < 8; ++i) {
-    UserHabits habits;
-    if (i % 3 == 0) habits.cancels_after = 2.0 * i;
-    habits.cancels_at_end = i % 3 == 1;
+    UserBehavior habits;
+    if (i % 3 == 0) habits.cancel_after_s = 2.0 * i;
+    habits.cancel_at_end = i % 3 == 1;
     cluster.add_user(job(i, 1 + i % 2, JobKind::job_array, 2), habits);
     cluster.run(0.5);
   }
   cluster.run(20);
   crash_leader(cluster);
   cluster.run(20);
-  cluster.late_heartbeats = cluster.late_txns = cluster.lost_txns = 0;
+  cluster.late_heartbeat_share = cluster.late_write_share = cluster.lost_write_response_share = 0;
   for (int node = 0; node < cluster.nodes(); ++node) {
     if (!cluster.is_up(node)) cluster.start_node(node);
   }
@@ -217,7 +217,7 @@
   TestCluster cluster(3, {"a", "a", "b"}, settings_with_moves());
   vary(cluster, seed);
   cluster.run_s = 25;
-  cluster.cloud_full = true;
+  cluster.cloud_without_capacity = true;
   for (int i = 0; i < 8; ++i) {
     cluster.add_worker(i % 2 == 0 ? "a" : "b");
     cluster.workers.at("n-" + std::to_string(i + 1))->kind.spot = i < 6;
@@ -236,7 +236,7 @@
   cluster.run(9 + 0.5 * seed);
   for (const char* taken : {"n-1", "n-2", "n-3"}) {
     auto& worker = *cluster.workers.at(taken);
-    worker.gone = worker.hangs = true;
+    worker.gone = worker.is_hung = true;
     worker.tasks.clear();
   }
   cluster.run(80);
@@ -251,15 +251,15 @@
   for (int i = 0; i < 2; ++i) cluster.add_worker();
   cluster.run(2);
   for (int i = 0; i < 4; ++i) {
-    UserHabits habits;
-    if (i == 1) habits.cancels_after = 50;
+    UserBehavior habits;
+    if (i == 1) habits.cancel_after_s = 50;
     cluster.add_user(job(i, 2, JobKind::job_array, 4, i % 2 == 0 ? "red" : "blue"), habits);
   }
   cluster.run(20);
   auto& machine = *cluster.workers.at("n-2");
-  machine.hangs = true;
+  machine.is_hung = true;
   cluster.run(4 + 5 * seed);
-  cluster.wake(machine);
+  cluster.resume_worker(machine);
   machine.commands_late_s = 3;
   cluster.run(10);
   machine.commands_late_s = 0;
@@ -274,15 +274,15 @@
   vary(cluster, seed);
   cluster.run_s = 20;
   cluster.boot_s = 30;
-  cluster.unlisted_s = 5;
-  cluster.barren_zones = {"b"};
-  cluster.swallow_rental_answers = static_cast<int>(seed);
+  cluster.list_delay_s = 5;
+  cluster.zones_that_never_boot = {"b"};
+  cluster.lost_scale_out_responses = static_cast<int>(seed);
   cluster.run(1);
   for (int i = 0; i < 6; ++i) {
     auto wanted = job(i, 4, JobKind::job_array, 4);
     wanted.spread = i % 2 == 0;
     if (i == 5) wanted.zone = "a";
-    cluster.add_user(wanted, i % 2 == 0 ? UserHabits{60.0 + i, false, false} : UserHabits{});
+    cluster.add_user(wanted, i % 2 == 0 ? UserBehavior{60.0 + i, false, false} : UserBehavior{});
     cluster.run(2);
   }
   cluster.run(20);
@@ -307,8 +307,8 @@
     auto stage = job(i, 1, JobKind::job_array, 2);
     if (i > 0) stage.dependencies.push_back(name((i - 1) / 2));
     if (i > 4) stage.dependencies.push_back(name(i - 2));
-    UserHabits habits;
-    if (i == 5) habits.cancels_after = 14.0 + seed;
+    UserBehavior habits;
+    if (i == 5) habits.cancel_after_s = 14.0 + seed;
     cluster.add_user(stage, habits);
     cluster.run(0.4);
   }
@@ -320,15 +320,15 @@
   vary(cluster, seed);
   cluster.run(1);
   for (int i = 0; i < 12; ++i) {
-    UserHabits looks;
-    looks.looks = true;
+    UserBehavior looks;
+    looks.queries_all_nodes = true;
     cluster.add_user(job(i, 1, JobKind::job_array, 2, i % 2 == 0 ? "red" : "blue"), looks);
   }
   std::vector<net::Task<std::optional<net::Response>>> questions;
   for (int round = 0; round < 60; ++round) {
     for (int i = 0; i < 20; ++i) {
-      const auto id = name(static_cast<int>(20 * cluster.chance()));  // some are unknown
-      questions.push_back(cluster.user_asks(cluster.any_node(), "GET", "/v1/jobs/" + id, ""));
+      const auto id = name(static_cast<int>(20 * cluster.random_fraction()));  // some are unknown
+      questions.push_back(cluster.user_asks(cluster.random_node(), "GET", "/v1/jobs/" + id, ""));
       questions.back().start();
     }
     if (round == 30) crash_leader(cluster);
@@ -342,7 +342,7 @@
   TestCluster cluster(3, {"a", "a", "a"}, settings_with_moves());
   vary(cluster, seed);
   cluster.run_s = 25;
-  cluster.cloud_full = true;
+  cluster.cloud_without_capacity = true;
   for (int i = 0; i < 2; ++i) cluster.add_worker();
   cluster.run(3);
   for (int i = 0; i < 3; ++i) {
@@ -360,9 +360,9 @@
   cluster.run(15);
   // A gang that loses a machine is stopped whole.
   auto& machine = *cluster.workers.at("n-1");
-  machine.hangs = true;
+  machine.is_hung = true;
   cluster.run(15);
-  cluster.wake(machine);
+  cluster.resume_worker(machine);
   cluster.run(120);
   EXPECT_GT(cluster.starts[name(0) + "/0"], 1);  // stopped for the urgent gang
   EXPECT_GT(cluster.starts[name(3) + "/0"], 1);
@@ -434,8 +434,8 @@
   regions.run(0.3);
   crash_leader(regions.west);
   regions.run(15);
-  UserHabits cancels;
-  cancels.cancels_after = 10;
+  UserBehavior cancels;
+  cancels.cancel_after_s = 10;
   regions.east.add_user(job(1, 3, JobKind::service, 1), cancels);
   regions.run(15);
 }
--- a/tests/two_region_clusters.hpp
+++ b/tests/two_region_clusters.hpp
@@ -39,7 +39,7 @@
       const auto used = [](TestCluster& cluster) {
         double gpus = 0;
         for (const auto& id : cluster.rules.accepted()) {
-          gpus += cluster.held(id) * cluster.rules.spec(id)->resources.gpus;
+          gpus += cluster.live_tasks(id) * cluster.rules.spec(id)->resources.gpus;
         }
         return gpus;
       };
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -37,39 +37,39 @@
   answered_sent = now;
 }
 
-bool WorkerStandIn::progress(Surroundings& surroundings, double now) {
+bool WorkerStandIn::progress(TaskEnvironment& environment, double now) {
   bool changed = false;
   for (auto& [name, t] : tasks) {
     const auto task = *wire::parse_task(name);
-    if (t.state == TaskState::fetching && now - t.since > surroundings.fetch_s(task)) {
-      if (surroundings.is_completed(task)) {
+    if (t.state == TaskState::fetching && now - t.since > environment.fetch_s(task)) {
+      if (environment.is_completed(task)) {
         t = {t.attempt, TaskState::exited, ExitReason::completed, now};
         changed = true;
         continue;
       }
-      const bool runs = surroundings.starts(*this, task);
+      const bool runs = environment.starts(*this, task);
       t = {t.attempt, runs ? TaskState::running : TaskState::waiting, ExitReason::none, now};
       changed = true;
     }
-    if (t.state == TaskState::waiting && surroundings.gang_complete(task, t.attempt)) {
+    if (t.state == TaskState::waiting && environment.gang_complete(task, t.attempt)) {
       t = {t.attempt, TaskState::running, ExitReason::none, now};
       changed = true;
     }
-    if (t.state == TaskState::running && surroundings.fails(*this, task)) {
+    if (t.state == TaskState::running && environment.fails(*this, task)) {
       t = {t.attempt, TaskState::exited, ExitReason::error, now};
       changed = true;
       continue;
     }
-    if (t.state == TaskState::running && now - t.since > surroundings.run_s(task)) {
+    if (t.state == TaskState::running && now - t.since > environment.run_s(task)) {
       t = {t.attempt, TaskState::exited, ExitReason::completed, now};
-      surroundings.completed(task);
+      environment.completed(task);
       changed = true;
     }
   }
   return changed;
 }
 
-void WorkerStandIn::execute(const Json& commands, Surroundings& surroundings, double now) {
+void WorkerStandIn::execute(const Json& commands, TaskEnvironment& environment, double now) {
   for (const auto& command : commands.GetArray()) {
     const std::string command_kind = command["Verb"].GetString(),
                       name = command["Tooth"].GetString();
@@ -77,7 +77,7 @@
     const auto it = tasks.find(name);
     const bool held = it != tasks.end() && it->second.attempt == attempt;
     if (command_kind == "start" && !held) {
-      surroundings.told_to_start(*wire::parse_task(name));
+      environment.on_start_command(*wire::parse_task(name));
       tasks[name] = {attempt, TaskState::fetching, ExitReason::none, now};
     } else if (command_kind == "kill" && held && it->second.state != TaskState::exited) {
       it->second = {attempt, TaskState::exited, ExitReason::stopped, now};
@@ -109,16 +109,16 @@
   return j.take();
 }
 
-net::Response WorkerStandIn::commands(const net::Request& request, Surroundings& surroundings,
+net::Response WorkerStandIn::commands(const net::Request& request, TaskEnvironment& environment,
                                       double now) {
-  progress(surroundings, now);
+  progress(environment, now);
   const JsonDocument document(request.body);
   const auto told = document.root()["KeyTurn"].GetUint64();
   if (told < fencing_token || document.root()["Shift"].GetUint64() != agent_epoch) {
     return control::make_response(409, heartbeat());
   }
   fencing_token = told;
-  execute(document.root()["Orders"], surroundings, now);
+  execute(document.root()["Orders"], environment, now);
   return control::make_response(200, heartbeat());
 }
 
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -1,5 +1,5 @@
-// A hollow worker: leases, agent epochs, images and tasks as PROTOCOL describes them, and nothing
-// that computes. Whoever serves it carries its heartbeats, and decides what troubles it has.
+// An agent without computation: leases, agent epochs, images and tasks as PROTOCOL describes them.
+// The test cluster and the lab carry its messages and decide which faults it has.
 #pragma once
 
 #include <cstdint>
@@ -23,17 +23,17 @@
   };
 
   /// What its tasks are part of.
-  class Surroundings {
+  class TaskEnvironment {
    public:
-    Surroundings() = default;
-    Surroundings(const Surroundings&) = delete;
-    Surroundings& operator=(const Surroundings&) = delete;
-    virtual ~Surroundings() = default;
+    TaskEnvironment() = default;
+    TaskEnvironment(const TaskEnvironment&) = delete;
+    TaskEnvironment& operator=(const TaskEnvironment&) = delete;
+    virtual ~TaskEnvironment() = default;
     virtual double fetch_s(const wire::TaskName& task) const = 0;
     virtual double run_s(const wire::TaskName& task) const = 0;
     /// Its result was kept: it is over as soon as it has its image.
     virtual bool is_completed(const wire::TaskName& task) const = 0;
-    virtual void told_to_start(const wire::TaskName& task) = 0;
+    virtual void on_start_command(const wire::TaskName& task) = 0;
     /// It has its image. False: it waits for the rest of its gang.
     virtual bool starts(const WorkerStandIn& worker, const wire::TaskName& task) = 0;
     /// Whether all of the gang have come to wait.
@@ -52,15 +52,15 @@
   std::optional<double> preemption_notice_s;  ///< until the cloud takes it, as its heartbeats say
 
   /// Lets time pass: images arrive, tasks begin and complete. True when something has changed.
-  bool progress(Surroundings& surroundings, double now);
+  bool progress(TaskEnvironment& environment, double now);
   bool lease_over(double lease_s, double now) const { return now - answered_sent > lease_s; }
   /// Kills and forgets everything if its lease is over.
   void end_lease(double lease_s, double now);
-  void execute(const wire::Json& commands, Surroundings& surroundings, double now);
+  void execute(const wire::Json& commands, TaskEnvironment& environment, double now);
   /// The next heartbeat's body.
   std::string heartbeat();
   /// Answers POST /commands.
-  net::Response commands(const net::Request& request, Surroundings& surroundings, double now);
+  net::Response commands(const net::Request& request, TaskEnvironment& environment, double now);
 };
 
 }  // namespace cranklock::testing
