--- a/tests/record_batch_test.cpp
+++ b/tests/record_batch_test.cpp
@@ -23,6 +23,7 @@
 
 std::vector<std::string> keys_of(const std::vector<wire::Mutation>& mutations) {
   std::vector<std::string> keys;
+  keys.reserve(mutations.size());
   for (const auto& mutation : mutations) keys.push_back(mutation.key);
   return keys;
 }
--- a/tests/write_order_test.cpp
+++ b/tests/write_order_test.cpp
@@ -78,9 +78,9 @@
 }
 
 TEST_F(WriteOrder, ACancelledJobWithoutTasksMayWaitForAQuarterOfCancelS) {
-  fleet_.cluster.cancel(add_changed("j-000001", kNow - kCancelS / 4 + 1), 1, kNow);
+  add_changed("j-000001", kNow);
   fleet_.cluster.cancel(add_changed("j-000002", kNow - kCancelS / 4 - 1), 1, kNow);
-  add_changed("j-000003", kNow);
+  fleet_.cluster.cancel(add_changed("j-000003", kNow - kCancelS / 4 + 1), 1, kNow);
   EXPECT_EQ(order(), (std::vector<std::string>{"j-000002", "j-000001", "j-000003"}));
 }
 
