--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -130,12 +130,18 @@
   max_mutations_ = std::max(max_mutations_ / 2, kMinMutations);
 }
 
-Client::Charge Client::urgent() {
+Client::Charge Client::urgent_charge() {
   Charge charge;
   charge.urgent = true;
   return charge;
 }
 
+Client::Charge Client::lease_charge() {
+  Charge charge;
+  charge.request_overdraft = 1;
+  return charge;
+}
+
 Client::Charge Client::charge_of(std::size_t mutations, Priority priority) const {
   Charge charge;
   charge.mutations = static_cast<double>(mutations);
@@ -228,14 +234,14 @@
 net::Task<RangeResult> Client::changes_since(std::string prefix, std::uint64_t since,
                                              double timeout_s) {
   net::Request request{"GET", "/follow", wire::watch_query(prefix, since, 0), "", true};
-  auto sending = send(std::move(request), timeout_s, urgent());
+  auto sending = send(std::move(request), timeout_s, urgent_charge());
   const auto reply = co_await sending;
   co_return watch_result(reply);
 }
 
 net::Task<std::optional<std::uint64_t>> Client::grant_lease(double life_s, double timeout_s) {
   net::Request request{"POST", "/leases", "", wire::lease_request(milliseconds(life_s)), true};
-  auto sending = send(std::move(request), timeout_s, urgent());
+  auto sending = send(std::move(request), timeout_s, lease_charge());
   const auto reply = co_await sending;
   if (reply.status() != 200) co_return std::nullopt;
   co_return wire::parse_lease_id(reply.response.body);
@@ -243,14 +249,14 @@
 
 net::Task<Status> Client::renew_lease(std::uint64_t lease, double timeout_s) {
   net::Request request{"POST", "/leases/" + std::to_string(lease) + "/renew", "", "{}", true};
-  auto sending = send(std::move(request), timeout_s, urgent());
+  auto sending = send(std::move(request), timeout_s, lease_charge());
   const auto reply = co_await sending;
   co_return status_of_reply(reply, Status::not_found);
 }
 
 net::Task<void> Client::revoke_lease(std::uint64_t lease, double timeout_s) {
   net::Request request{"DELETE", "/leases/" + std::to_string(lease), "", "", true};
-  auto sending = send(std::move(request), timeout_s, urgent());
+  auto sending = send(std::move(request), timeout_s, lease_charge());
   co_await sending;
 }
 
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -76,7 +76,7 @@
   net::Task<RangeResult> watch(std::string prefix, std::uint64_t since, double wait_s);
 
   /// A new lease's id; none if there was no answer that grants one. A lease that was granted all
-  /// the same ends by itself. Requests about leases do not wait for the limits.
+  /// the same ends by itself. Requests about leases may overdraw the request limit by one.
   net::Task<std::optional<std::uint64_t>> grant_lease(double life_s, double timeout_s);
   /// `not_found` proves that the lease has ended.
   net::Task<Status> renew_lease(std::uint64_t lease, double timeout_s);
@@ -98,8 +98,10 @@
     double request_overdraft = 0;
     bool urgent = false;  ///< does not wait for the limits
   };
-  /// A request that does not wait for the limits.
-  static Charge urgent();
+  /// Of a request that does not wait for the limits.
+  static Charge urgent_charge();
+  /// Of a request about a lease: it may overdraw the request limit by one request.
+  static Charge lease_charge();
   Charge charge_of(std::size_t mutations, Priority priority) const;
   /// Sends once the limits allow it; `not_sent` if that takes longer than the time limit.
   net::Task<net::Reply> send(net::Request request, double timeout_s, Charge charge);
