--- a/tests/record_reloader_test.cpp
+++ b/tests/record_reloader_test.cpp
@@ -14,7 +14,7 @@
   /// A job as the leader holds it, at a revision that is not that of the store.
   sched::Job& hold(const std::string& id, std::uint64_t revision) {
     sched::Job& job = cluster_.upsert_job(make_service(id), reactor_.now());
-    job.revision = revision;
+    job.record.revision = revision;
     return job;
   }
   std::uint64_t stored_revision(const std::string& id) const {
@@ -37,7 +37,7 @@
   EXPECT_EQ(await(reloader_.reload(kJob)), RecordRead::complete);
   ASSERT_NE(cluster_.job(kJob), nullptr);
   EXPECT_TRUE(cluster_.job(kJob)->cancelled());
-  EXPECT_EQ(cluster_.job(kJob)->revision, stored_revision(kJob));
+  EXPECT_EQ(cluster_.job(kJob)->record.revision, stored_revision(kJob));
 }
 
 // Guards against a read that is taken for the last word on a write without an answer.
