--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -58,7 +58,7 @@
   }
   std::string joined = own.zones[0];
   for (std::size_t i = 1; i < own.zones.size(); ++i) joined += "\",\"" + own.zones[i];
-  const double part = regions > 1 ? 1 : own.first_share;  // alone, a region has its part for good
+  const double part = regions > 1 ? 1 : own.initial_share;  // alone, a region has its part for good
   for (int i = 0; i < plan_.teams; ++i) {
     teams += fmt::format(
         "[[facts.teams]]\nname = \"team-{}\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = {}\n"
@@ -108,7 +108,7 @@
   for (int to = 0; to < static_cast<int>(regions.size()); ++to) {
     const Region& other = *regions[static_cast<std::size_t>(to)];
     named +=
-        fmt::format("<region name='{}' share='{}'>", other.plan().name, other.plan().first_share);
+        fmt::format("<region name='{}' share='{}'>", other.plan().name, other.plan().initial_share);
     for (int i = 0; i < other.plan().controllers; ++i) {
       named +=
           fmt::format("<controller member='{}' address='{}'/>", member_name(other.plan().name, i),
--- a/lab/quota_audit.cpp
+++ b/lab/quota_audit.cpp
@@ -1,14 +1,14 @@
 #include "lab/quota_audit.hpp"
 
-#include "regions/amounts.hpp"
+#include "regions/quota_amounts.hpp"
 #include "regions/records.hpp"
 
 namespace cranklock::lab {
 namespace {
 
 /// What was sent from one region to the other and is not recorded there yet.
-regions::Amounts in_transit(Region& from, Region& to, const std::string& team) {
-  regions::Amounts sum;
+regions::QuotaAmounts in_transit(Region& from, Region& to, const std::string& team) {
+  regions::QuotaAmounts sum;
   const auto& received = to.state().values;
   const auto counter = received.find(regions::received_key(from.plan().name));
   const auto last_received =
@@ -19,18 +19,18 @@
     if (!it->first.starts_with(prefix)) break;
     const auto transfer = regions::read_transfer(it->second.data);
     if (transfer && transfer->team == team && transfer->sequence > last_received) {
-      sum += transfer->amounts;
+      sum += transfer->quota;
     }
   }
   return sum;
 }
 
 /// What the region's state service records for the team; nothing where no record is readable.
-regions::Amounts held_by(Region& region, const std::string& team) {
+regions::QuotaAmounts held_by(Region& region, const std::string& team) {
   const auto& values = region.state().values;
-  const auto stored = values.find(regions::share_key(team));
+  const auto stored = values.find(regions::quota_key(team));
   if (stored == values.end()) return {};
-  return regions::read_share(stored->second.data).value_or(regions::Amounts{});
+  return regions::read_quota(stored->second.data).value_or(regions::QuotaAmounts{});
 }
 
 }  // namespace
@@ -39,15 +39,15 @@
                         const std::vector<base::Team>& teams) {
   QuotaAudit audit;
   for (const auto& team : teams) {
-    regions::Amounts sum;
+    regions::QuotaAmounts sum;
     for (const auto& region : regions) {
       const auto held = held_by(*region, team.name);
       sum += held;
       for (const auto& from : regions) sum += in_transit(*from, *region, team.name);
       audit.held_gpus[region->plan().name].push_back(
-          static_cast<double>(held[regions::Resource::gpus]) / regions::Amounts::kUnit);
+          static_cast<double>(held[regions::Resource::gpus]) / regions::QuotaAmounts::kUnit);
     }
-    audit.teams_with_wrong_sums += sum == regions::whole_amounts(team) ? 0 : 1;
+    audit.teams_with_wrong_sums += sum == regions::full_quota(team) ? 0 : 1;
   }
   return audit;
 }
--- a/lab/settings.cpp
+++ b/lab/settings.cpp
@@ -31,7 +31,7 @@
   if (region.zones.empty()) in.fail("zones", "at least one zone");
   region.controllers = in.count("controllers", 1);
   region.workers = in.count("workers", 1);
-  region.first_share = in.number("share", 0);
+  region.initial_share = in.number("share", 0);
   return region;
 }
 
--- a/lab/settings.hpp
+++ b/lab/settings.hpp
@@ -15,7 +15,7 @@
   std::string name;
   std::vector<std::string> zones;
   int controllers = 1, workers = 1;
-  double first_share = 0;  ///< of each team's limit
+  double initial_share = 0;  ///< of each team's limit
 };
 
 /// Jobs of one class, submitted in every region by its part of the fleet.
--- a/src/base/region_settings.cpp
+++ b/src/base/region_settings.cpp
@@ -46,8 +46,8 @@
   return name;
 }
 
-double read_first_share(const pugi::xml_node& element, const std::string& path,
-                        const std::string& where) {
+double read_initial_share(const pugi::xml_node& element, const std::string& path,
+                          const std::string& where) {
   const auto attribute = element.attribute("share");
   if (!attribute) return 0;
   char* end = nullptr;
@@ -63,7 +63,7 @@
   Region region;
   region.name = read_name(element, "name", path, "region");
   const std::string where = "region " + region.name;
-  region.first_share = read_first_share(element, path, where);
+  region.initial_share = read_initial_share(element, path, where);
   for (const auto& child : element.children()) {
     if (child.type() != pugi::node_element) continue;
     if (std::string_view(child.name()) != "controller") {
@@ -89,11 +89,11 @@
 void check_whole(const RegionSettings& settings, const std::string& path) {
   if (settings.regions.empty()) fail(path, "regions", "at least one region");
   if (settings.find(settings.self) == nullptr) fail(path, "regions/self", "one of the regions");
-  if (settings.find(settings.founder) == nullptr) {
+  if (settings.find(settings.bootstrap_region) == nullptr) {
     fail(path, "regions/founder", "one of the regions");
   }
   double sum = 0;
-  for (const auto& region : settings.regions) sum += region.first_share;
+  for (const auto& region : settings.regions) sum += region.initial_share;
   if (sum > 1 + kSlack) fail(path, "region/share", "shares that add up to at most 1");
 }
 
@@ -118,7 +118,7 @@
   check_attributes(element, path, "regions", {"self", "founder"});
   RegionSettings settings;
   settings.self = read_name(element, "self", path, "regions");
-  settings.founder = read_name(element, "founder", path, "regions");
+  settings.bootstrap_region = read_name(element, "founder", path, "regions");
   for (const auto& child : element.children()) {
     if (child.type() != pugi::node_element) continue;
     if (std::string_view(child.name()) != "region") {
--- a/src/base/region_settings.hpp
+++ b/src/base/region_settings.hpp
@@ -17,17 +17,17 @@
 
 struct Region {
   std::string name;
-  /// Part of each team's guarantee and limit that the founder gives it at first, from 0 to 1. A
+  /// Part of each team's guarantee and limit that the bootstrap region gives it at first, from 0 to 1. A
   /// region that is added later has 0 and asks for what it needs.
-  double first_share = 0;
+  double initial_share = 0;
   std::vector<RegionController> controllers;
 };
 
 /// Empty unless the operator's XML names regions; then team limits are shared between them
 /// (docs/regions.md).
 struct RegionSettings {
-  std::string self;     ///< the region of this controller
-  std::string founder;  ///< the only one that ever makes shares out of the teams' limits
+  std::string self;              ///< the region of this controller
+  std::string bootstrap_region;  ///< the only one that ever makes quotas out of the teams' limits
   std::vector<Region> regions;
 
   bool enabled() const { return !regions.empty(); }
@@ -37,7 +37,7 @@
   std::string listen_address(const std::string& member) const;
 };
 
-/// Reads `<regions self founder><region name share><controller member address/>...`.
+/// Reads `<regions self bootstrap region><region name quota><controller member address/>...`.
 /// Throws SettingsError naming `path`, the field and what was expected.
 RegionSettings read_region_settings(const pugi::xml_node& element, const std::string& path);
 
--- a/src/control/decision_loop.cpp
+++ b/src/control/decision_loop.cpp
@@ -58,7 +58,7 @@
   auto result =
       sched::place_waiting(context_.cluster, parts_.scaler.refused_until(), last_pass_at_);
   if (result.incomplete) context_.cluster.mark_changed();
-  if (parts_.quota_shares != nullptr && expedited) parts_.quota_shares->look_again();
+  if (parts_.quota_shares != nullptr && expedited) parts_.quota_shares->on_new_work();
   log_shortfall(result.shortfall);
   // Guards heartbeats, clients and the renewal of the leader lease against a fleet so large, or a
   // processor so slow, that passes would take all the time.
--- a/src/control/decision_loop.hpp
+++ b/src/control/decision_loop.hpp
@@ -12,7 +12,7 @@
 #include "control/record_writer.hpp"
 #include "defrag/advisor.hpp"
 #include "net/task.hpp"
-#include "regions/share_service.hpp"
+#include "regions/quota_service.hpp"
 
 namespace cranklock::control {
 
@@ -28,7 +28,7 @@
     RecordWriter& writer;
     CommandSender& commands;
     PoolScaler& scaler;
-    regions::ShareService* quota_shares;  ///< nullptr: quota is not shared between regions
+    regions::QuotaService* quota_shares;  ///< nullptr: quota is not shared between regions
     MoveService* moves;                   ///< nullptr: the operator allows no moves
   };
 
--- a/src/control/heartbeat_handler.cpp
+++ b/src/control/heartbeat_handler.cpp
@@ -135,7 +135,8 @@
   // Guards against an agent that is redirected to and fro: one that is back here so soon could not
   // reach its forwarder.
   const double min_interval_s = 2 * context_.services.settings.lease_s;
-  if (machine->lease.redirected_at > 0 && now - machine->lease.redirected_at < min_interval_s) return false;
+  if (machine->lease.redirected_at > 0 && now - machine->lease.redirected_at < min_interval_s)
+    return false;
   machine->lease.redirected_at = now;
   return true;
 }
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -35,14 +35,14 @@
       decisions_(context_, {jobs_, outcomes_, writer_, commands_, scaler_, quota_shares_.get(),
                             moves_.get()}) {}
 
-std::unique_ptr<regions::ShareService> LeaderTerm::make_quota_shares(
+std::unique_ptr<regions::QuotaService> LeaderTerm::make_quota_shares(
     regions::RegionNetwork* regions) {
   if (regions == nullptr) return nullptr;
-  auto shares = std::make_unique<regions::ShareService>(
+  auto quotas = std::make_unique<regions::QuotaService>(
       services_.reactor, services_.settings, services_.store, *regions,
       wire::Compare{kLeaderKey, lease_.fencing_token()}, quota_callbacks());
-  cluster_.set_team_shares(&shares->book());
-  return shares;
+  cluster_.set_team_shares(&quotas->ledger());
+  return quotas;
 }
 
 std::unique_ptr<MoveService> LeaderTerm::make_moves() {
@@ -54,9 +54,9 @@
   return {[this] { decisions_.expedite_pass(); }, [this] { commands_.send_commands(); }};
 }
 
-regions::ShareService::Callbacks LeaderTerm::quota_callbacks() {
-  return {[this] { return regions::waiting_demands(cluster_, context_.now()); },
-          [this](const std::string& team) { return regions::used_share(cluster_, team); },
+regions::QuotaService::Callbacks LeaderTerm::quota_callbacks() {
+  return {[this] { return regions::demands_of_waiting_work(cluster_, context_.now()); },
+          [this](const std::string& team) { return regions::allocated_quota(cluster_, team); },
           [this] {
             cluster_.mark_changed();
             work_.set();
@@ -91,7 +91,7 @@
     const bool loaded = co_await loading;
     co_return loaded ? LoadOutcome::loaded : LoadOutcome::store_unavailable;
   }
-  auto reading = services_.store.read(regions::kFounderKey, kStoreTimeout);
+  auto reading = services_.store.read(regions::kBootstrapRegionKey, kStoreTimeout);
   const auto found = co_await reading;
   if (found.status == Status::not_found) co_return LoadOutcome::loaded;  // quota is not shared
   if (found.status != Status::ok) co_return LoadOutcome::store_unavailable;
--- a/src/control/leader_term.hpp
+++ b/src/control/leader_term.hpp
@@ -20,7 +20,7 @@
 #include "net/reactor.hpp"
 #include "net/task.hpp"
 #include "peer/frames.hpp"
-#include "regions/share_service.hpp"
+#include "regions/quota_service.hpp"
 #include "sched/cluster_state.hpp"
 
 namespace cranklock::control {
@@ -62,17 +62,17 @@
 
   sched::ClusterState& cluster() { return cluster_; }
   /// Quota shared with other regions; nullptr where the settings name no regions.
-  const regions::ShareService* shares() const { return quota_shares_.get(); }
+  const regions::QuotaService* quotas() const { return quota_shares_.get(); }
 
  private:
-  std::unique_ptr<regions::ShareService> make_quota_shares(regions::RegionNetwork* regions);
+  std::unique_ptr<regions::QuotaService> make_quota_shares(regions::RegionNetwork* regions);
   std::unique_ptr<MoveService> make_moves();
   net::Task<LoadOutcome> load_quota_shares();
   net::Task<LoadOutcome> load_machine_types();
   /// What the decision loop and the command sender are told of jobs.
   JobWatcher::Callbacks job_callbacks();
   /// What quota shares ask of the cluster state and tell the decision loop.
-  regions::ShareService::Callbacks quota_callbacks();
+  regions::QuotaService::Callbacks quota_callbacks();
 
   Services services_;
   LeaderLease& lease_;
@@ -90,7 +90,7 @@
   RecordWriter writer_;
   CommandSender commands_;
   PoolScaler scaler_;
-  std::unique_ptr<regions::ShareService> quota_shares_;
+  std::unique_ptr<regions::QuotaService> quota_shares_;
   std::unique_ptr<MoveService> moves_;  ///< nullptr: the operator allows no moves
   DecisionLoop decisions_;
 };
--- a/src/regions/demand.cpp
+++ b/src/regions/demand.cpp
@@ -20,7 +20,8 @@
 
 }  // namespace
 
-std::map<std::string, TeamDemand> waiting_demands(sched::ClusterState& cluster, double now) {
+std::map<std::string, TeamDemand> demands_of_waiting_work(sched::ClusterState& cluster,
+                                                          double now) {
   std::map<std::string, TeamDemand> demands;
   const std::size_t max_live = sched::max_live_tasks(cluster.settings());
   for (const auto& [id, job] : cluster.jobs()) {
@@ -30,16 +31,16 @@
     if (tasks == 0) continue;
     const auto [entry, first] = demands.try_emplace(job.spec.team);
     TeamDemand& demand = entry->second;
-    demand.waiting += used_amounts(job.spec.resources * static_cast<double>(tasks));
+    demand.waiting += quota_used_by(job.spec.resources * static_cast<double>(tasks));
     demand.waiting_since_ms =
         first ? job.ready_ms : std::min(demand.waiting_since_ms, job.ready_ms);
   }
-  for (auto& [team, demand] : demands) demand.used = used_share(cluster, team);
+  for (auto& [team, demand] : demands) demand.used = allocated_quota(cluster, team);
   return demands;
 }
 
-Amounts used_share(const sched::ClusterState& cluster, const std::string& team) {
-  return used_amounts(cluster.team_allocation(team));
+QuotaAmounts allocated_quota(const sched::ClusterState& cluster, const std::string& team) {
+  return quota_used_by(cluster.team_allocation(team));
 }
 
 }  // namespace cranklock::regions
--- a/src/regions/session.cpp
+++ b/src/regions/frame_reader.cpp
@@ -1,21 +1,21 @@
-#include "regions/session.hpp"
+#include "regions/frame_reader.hpp"
 
 namespace cranklock::regions {
 
-Session::Arrived Session::feed(std::string_view bytes) {
+FrameReader::Arrived FrameReader::feed(std::string_view bytes) {
   buffer_.append(bytes);
   Arrived arrived;
   for (;;) {
     RegionFrame frame;
-    const FrameResult result = unpack(buffer_, frame);
-    if (result == FrameResult::more) return arrived;
-    arrived.error = result == FrameResult::frame ? check(frame) : describe(result);
+    const UnpackResult result = unpack(buffer_, frame);
+    if (result == UnpackResult::incomplete) return arrived;
+    arrived.error = result == UnpackResult::frame ? check(frame) : describe(result);
     if (!arrived.error.empty()) return arrived;
     arrived.frames.push_back(std::move(frame));
   }
 }
 
-std::string Session::check(const RegionFrame& frame) {
+std::string FrameReader::check(const RegionFrame& frame) {
   const auto* heartbeat = std::get_if<RegionHeartbeat>(&frame);
   if (heartbeat == nullptr) return region_.empty() ? "it did not begin with a hello" : "";
   if (heartbeat->region == settings_.self || settings_.find(heartbeat->region) == nullptr) {
@@ -24,9 +24,9 @@
   if (!region_.empty() && heartbeat->region != region_) {
     return "region " + region_ + " calls itself " + heartbeat->region;
   }
-  if (heartbeat->founder != settings_.founder) {
-    return "region " + heartbeat->region + " names " + heartbeat->founder +
-           " as the founder, not " + settings_.founder;
+  if (heartbeat->bootstrap_region != settings_.bootstrap_region) {
+    return "region " + heartbeat->region + " names " + heartbeat->bootstrap_region +
+           " as the founder, not " + settings_.bootstrap_region;
   }
   region_ = heartbeat->region;
   return {};
--- a/src/regions/session.hpp
+++ b/src/regions/frame_reader.hpp
@@ -1,4 +1,4 @@
-// What arrives on one connection between regions, taken apart and checked. Pure.
+// Splits the bytes of one connection between regions into frames and checks them. Pure.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 namespace cranklock::regions {
 
-/// One connection as its reader sees it. It begins with a heartbeat, which names the region that
-/// all its frames are from.
-class Session {
+/// Reads one connection. Its first frame must be a heartbeat, which names the region that all its
+/// frames come from.
+class FrameReader {
  public:
-  explicit Session(const base::RegionSettings& settings) : settings_(settings) {}
+  explicit FrameReader(const base::RegionSettings& settings) : settings_(settings) {}
 
   struct Arrived {
     std::vector<RegionFrame> frames;  ///< in their order, heartbeats too
--- a/src/regions/links.cpp
+++ b/src/regions/links.cpp
@@ -19,11 +19,11 @@
 }  // namespace
 
 Links::Links(net::EvReactor& reactor, const base::Settings& settings,
-             std::function<std::uint64_t()> fencing_token, FrameHandler heard)
+             std::function<std::uint64_t()> fencing_token, FrameHandler on_frame)
     : reactor_(reactor),
       settings_(settings),
       fencing_token_(std::move(fencing_token)),
-      heard_(std::move(heard)) {
+      on_frame_(std::move(on_frame)) {
   const auto& regions = settings.operators.regions;
   for (const auto& region : regions.regions) {
     if (region.name == regions.self) continue;
@@ -45,16 +45,16 @@
 
 RegionHeartbeat Links::heartbeat() const {
   const auto& regions = settings_.operators.regions;
-  return {regions.self, settings_.name, regions.founder, fencing_token_()};
+  return {regions.self, settings_.name, regions.bootstrap_region, fencing_token_()};
 }
 
-Task<std::optional<std::vector<RegionFrame>>> Links::receive(int fd, Session& session) {
+Task<std::optional<std::vector<RegionFrame>>> Links::receive(int fd, FrameReader& reader) {
   char bytes[4096];
-  const double until = reactor_.now() + kPatience * peer_heartbeat_interval(settings_);
+  const double until = reactor_.now() + kPatience * heartbeat_interval(settings_);
   auto reading = net::read_some(reactor_, fd, bytes, sizeof bytes, until);
   const auto count = co_await reading;
   if (count <= 0) co_return std::nullopt;
-  auto arrived = session.feed({bytes, static_cast<std::size_t>(count)});
+  auto arrived = reader.feed({bytes, static_cast<std::size_t>(count)});
   if (!arrived.error.empty()) {
     spdlog::error("a connection between regions was closed: {}", arrived.error);
     co_return std::nullopt;
@@ -79,9 +79,9 @@
 }
 
 Task<void> Links::serve(Fd fd) {
-  Session session(settings_.operators.regions);
+  FrameReader reader(settings_.operators.regions);
   for (;;) {
-    auto receiving = receive(fd.get(), session);
+    auto receiving = receive(fd.get(), reader);
     const auto frames = co_await receiving;
     if (!frames) co_return;
     bool answer = false;
@@ -89,13 +89,13 @@
       if (std::holds_alternative<RegionHeartbeat>(frame)) {
         answer = true;
       } else {
-        heard_(session.region(), frame);
+        on_frame_(reader.region(), frame);
       }
     }
     if (!answer) continue;
     const std::string bytes = pack(heartbeat());
-    auto writing = net::write_all(reactor_, fd.get(), bytes,
-                                  reactor_.now() + peer_heartbeat_interval(settings_));
+    auto writing =
+        net::write_all(reactor_, fd.get(), bytes, reactor_.now() + heartbeat_interval(settings_));
     if (!co_await writing) co_return;
   }
 }
@@ -104,7 +104,7 @@
 
 Task<void> Links::connect(Link& link) {
   auto connecting = net::connect_to(reactor_, link.controller.address,
-                                    reactor_.now() + peer_heartbeat_interval(settings_));
+                                    reactor_.now() + heartbeat_interval(settings_));
   Fd fd = co_await connecting;
   if (!fd.valid()) co_return;
   link.fd = std::make_shared<Fd>(std::move(fd));
@@ -114,9 +114,9 @@
 }
 
 Task<void> Links::read_heartbeats(Link& link, SharedFd fd) {
-  Session session(settings_.operators.regions);
+  FrameReader reader(settings_.operators.regions);
   for (;;) {
-    auto receiving = receive(fd->get(), session);
+    auto receiving = receive(fd->get(), reader);
     const auto frames = co_await receiving;
     if (link.fd != fd) co_return;  // another connection has taken its place
     if (!frames) break;
@@ -141,7 +141,7 @@
   std::string out;
   if (reactor_.now() >= link.next_heartbeat) {
     out = pack(heartbeat());
-    link.next_heartbeat = reactor_.now() + peer_heartbeat_interval(settings_);
+    link.next_heartbeat = reactor_.now() + heartbeat_interval(settings_);
   }
   for (; !link.frames.empty(); link.frames.pop_front()) out += link.frames.front();
   return out;
@@ -158,12 +158,12 @@
     if (const SharedFd fd = link.fd) {
       const std::string bytes = take_due(link);
       auto writing = net::write_all(reactor_, fd->get(), bytes,
-                                    reactor_.now() + peer_heartbeat_interval(settings_));
+                                    reactor_.now() + heartbeat_interval(settings_));
       if (!co_await writing) close(link);
     }
     // A new leader is heard of soon after its take-over.
     const double pause = link.fd ? link.next_heartbeat - reactor_.now()
-                                 : peer_heartbeat_interval(settings_) / kChecksPerHeartbeat;
+                                 : heartbeat_interval(settings_) / kChecksPerHeartbeat;
     constexpr double kMinPause = 0.001;  // the resolution of timers
     net::Signal::Wait wait(link.filled, std::max(pause, kMinPause));
     co_await wait;
@@ -174,7 +174,7 @@
 
 std::optional<std::size_t> Links::leader_link(const std::string& region) const {
   std::optional<std::size_t> best;
-  const double since = reactor_.now() - kPatience * peer_heartbeat_interval(settings_);
+  const double since = reactor_.now() - kPatience * heartbeat_interval(settings_);
   for (std::size_t i = 0; i < links_.size(); ++i) {
     const Link& link = *links_[i];
     const bool leads = link.fd && link.fencing_token > 0 && link.heard_at > since;
--- a/src/regions/links.hpp
+++ b/src/regions/links.hpp
@@ -11,9 +11,9 @@
 
 #include "base/settings.hpp"
 #include "net/stream.hpp"
+#include "regions/frame_reader.hpp"
 #include "regions/frames.hpp"
-#include "regions/session.hpp"
-#include "regions/share_service.hpp"
+#include "regions/quota_service.hpp"
 
 namespace cranklock::regions {
 
@@ -25,7 +25,7 @@
 
   /// `fencing_token` is that of this controller's leadership, 0 while it does not lead.
   Links(net::EvReactor& reactor, const base::Settings& settings,
-        std::function<std::uint64_t()> fencing_token, FrameHandler heard);
+        std::function<std::uint64_t()> fencing_token, FrameHandler on_frame);
 
   /// False when the address that the operator's XML gives this controller can't be listened on.
   bool listen();
@@ -35,7 +35,7 @@
   void send(const std::string& region, const RegionFrame& frame) override;
 
   /// Time between heartbeats on a connection.
-  static double peer_heartbeat_interval(const base::Settings& settings) {
+  static double heartbeat_interval(const base::Settings& settings) {
     return settings.heartbeat_interval_s;
   }
 
@@ -63,7 +63,7 @@
   net::Task<void> connect(Link& link);
   net::Task<void> read_heartbeats(Link& link, SharedFd fd);
   /// The frames that came next; nothing at the end of the connection or after a bad frame.
-  net::Task<std::optional<std::vector<RegionFrame>>> receive(int fd, Session& session);
+  net::Task<std::optional<std::vector<RegionFrame>>> receive(int fd, FrameReader& reader);
   static void close(Link& link);
   std::string take_due(Link& link);
   /// The connection to the region's leader, as an index; nothing when none is known.
@@ -73,7 +73,7 @@
   net::EvReactor& reactor_;
   const base::Settings& settings_;
   std::function<std::uint64_t()> fencing_token_;
-  FrameHandler heard_;
+  FrameHandler on_frame_;
   std::vector<std::unique_ptr<Link>> links_;
   net::Fd listener_;
   net::Scope readers_;
--- /dev/null
+++ b/src/regions/quota_ledger.cpp
@@ -0,0 +1,215 @@
+#include "regions/quota_ledger.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "base/event_log.hpp"
+#include "regions/records.hpp"
+
+namespace cranklock::regions {
+namespace {
+
+double to_units(std::int64_t thousandths) {
+  return static_cast<double>(thousandths) / static_cast<double>(QuotaAmounts::kUnit);
+}
+
+}  // namespace
+
+QuotaLedger::QuotaLedger(const base::Settings& settings, wire::Compare leader)
+    : settings_(settings),
+      leader_(std::move(leader)),
+      state_(settings.operators.regions),
+      operations_(settings_, state_, leader_) {}
+
+void QuotaLedger::load(const std::vector<wire::StoredValue>& items) {
+  state_.load(items, settings_.operators.regions);
+  pending_.reset();
+  write_unresolved_ = false;
+  guard_sent_ = false;
+  in_flight_ = false;
+  reload_needed_ = false;
+}
+
+// The settings' limit holds too: quotas were made from the limit of their time.
+wire::Resources QuotaLedger::guarantee(const base::Team& team) const {
+  const QuotaAmounts quota = held(team.name);
+  return {std::min(team.cpus, to_units(quota[Resource::guaranteed_cpus])),
+          std::min(team.gpus, to_units(quota[Resource::guaranteed_gpus])), 0};
+}
+
+wire::Resources QuotaLedger::limit(const base::Team& team) const {
+  const QuotaAmounts quota = held(team.name);
+  return {std::min(team.cpus_max, to_units(quota[Resource::cpus])),
+          std::min(team.gpus_max, to_units(quota[Resource::gpus])), 0};
+}
+
+// ---- messages of other regions ----
+
+void QuotaLedger::on_request(const std::string& region, const QuotaRequest& request) {
+  const auto remote = state_.remote_regions.find(region);
+  if (remote == state_.remote_regions.end() || settings_.team(request.team) == nullptr) return;
+  remote->second.requests[request.team] = request;  // the newest counts
+}
+
+void QuotaLedger::on_transfer(const std::string& region, const QuotaTransfer& transfer) {
+  const auto found = state_.remote_regions.find(region);
+  if (found == state_.remote_regions.end()) return;
+  RemoteRegion& remote = found->second;
+  if (transfer.sequence <= remote.received.value) {
+    remote.acknowledgement_due = true;  // a copy, however old: it was added once
+    return;
+  }
+  // One too far ahead is dropped: its sender sends it again.
+  if (transfer.sequence > remote.received.value + kMaxUnacknowledged) return;
+  remote.incoming.emplace(transfer.sequence, transfer);
+}
+
+void QuotaLedger::on_acknowledgement(const std::string& region,
+                                     const TransferAcknowledgement& acknowledgement) {
+  const auto found = state_.remote_regions.find(region);
+  if (found == state_.remote_regions.end()) return;
+  RemoteRegion& remote = found->second;
+  if (acknowledgement.through > remote.sent.value) {
+    base::log_error("quota acknowledgement unknown", base::field("region", region),
+                    base::field("sequence", acknowledgement.through));
+    return;
+  }
+  remote.acknowledged = std::max(remote.acknowledged, acknowledgement.through);
+}
+
+std::vector<QuotaTransfer> QuotaLedger::unacknowledged(const std::string& region) const {
+  std::vector<QuotaTransfer> transfers;
+  const auto found = state_.remote_regions.find(region);
+  if (found == state_.remote_regions.end()) return transfers;
+  const RemoteRegion& remote = found->second;
+  const auto end = remote.outgoing.end();
+  for (auto it = remote.outgoing.upper_bound(remote.acknowledged); it != end; ++it) {
+    if (transfers.size() == kMaxUnacknowledged) break;
+    transfers.push_back(it->second);
+  }
+  return transfers;
+}
+
+std::map<std::string, TransferAcknowledgement> QuotaLedger::take_due_acknowledgements() {
+  std::map<std::string, TransferAcknowledgement> due;
+  for (auto& [region, remote] : state_.remote_regions) {
+    const bool is_due = std::exchange(remote.acknowledgement_due, false);
+    if (!is_due || remote.received.value == 0) continue;
+    due.emplace(region, TransferAcknowledgement{remote.received.value});
+  }
+  return due;
+}
+
+// ---- transactions ----
+
+std::optional<QuotaLedger::Transaction> QuotaLedger::next_transaction(const DemandOf& demand_of,
+                                                                      std::size_t max_mutations) {
+  if (in_flight_ || reload_needed_ || leadership_lost_) return std::nullopt;
+  if (write_unresolved_) {
+    // Under the same compares, so that only one of the two is ever applied.
+    in_flight_ = guard_sent_ = true;
+    return Transaction{pending_->transaction.compares, {pending_->guard}};
+  }
+  pending_ = operations_.next(demand_of, max_mutations);
+  if (!pending_) return std::nullopt;
+  in_flight_ = true;
+  guard_sent_ = false;
+  return pending_->transaction;
+}
+
+bool QuotaLedger::finish_transaction(const store::CompareAndSwapResult& result) {
+  in_flight_ = false;
+  if (!pending_) return false;
+  const bool clears = pending_->kind == QuotaOperation::Kind::clear;
+  switch (result.status) {
+    case store::Status::ok:
+      return on_applied(result.revision);
+    case store::Status::precondition_failed:
+      on_precondition_failed(result.failed_keys);
+      return false;
+    case store::Status::rejected:
+      // Certainly not applied; what was sent before it, under the same compares, may be.
+      if (write_unresolved_) return false;
+      pending_.reset();
+      return true;
+    case store::Status::not_found:  // this and the next are no results of a compare-and-swap
+    case store::Status::compacted:
+    case store::Status::indeterminate:
+      // Removing once more what was acknowledged does no harm, however late.
+      write_unresolved_ = !clears;
+      if (clears) pending_.reset();
+      return false;
+  }
+  return false;
+}
+
+bool QuotaLedger::on_applied(std::uint64_t revision) {
+  const QuotaOperation operation = *std::exchange(pending_, std::nullopt);
+  write_unresolved_ = false;
+  if (!guard_sent_) return apply(operation, revision);
+  apply_guard(operation, revision);
+  return true;  // what was counted as sent is held again
+}
+
+void QuotaLedger::on_precondition_failed(const std::vector<std::string>& failed_keys) {
+  if (std::find(failed_keys.begin(), failed_keys.end(), leader_.key) != failed_keys.end()) {
+    leadership_lost_ = true;
+    return;
+  }
+  // It, or a guard before this one, was applied. Until the records are read, what may have been
+  // sent counts as sent.
+  reload_needed_ = true;
+}
+
+void QuotaLedger::set_bootstrap_region(std::uint64_t revision) {
+  state_.bootstrap_region = settings_.operators.regions.bootstrap_region;
+  state_.bootstrap_revision = revision;
+}
+
+void QuotaLedger::apply_guard(const QuotaOperation& operation, std::uint64_t revision) {
+  if (operation.kind == QuotaOperation::Kind::bootstrap) {
+    set_bootstrap_region(revision);
+  } else if (operation.kind == QuotaOperation::Kind::receive) {
+    state_.remote_regions.at(operation.region).received.revision = revision;
+  } else {
+    for (const auto& [region, transfers] : operation.to_send) {
+      state_.remote_regions.at(region).sent.revision = revision;
+    }
+  }
+}
+
+bool QuotaLedger::apply(const QuotaOperation& operation, std::uint64_t revision) {
+  for (const auto& [team, quota] : operation.quotas) state_.quotas[team] = {quota, revision};
+  for (const auto& [region, transfers] : operation.to_send) {
+    RemoteRegion& remote = state_.remote_regions.at(region);
+    remote.sent = {remote.sent.value + transfers.size(), revision};
+    for (const auto& transfer : transfers) remote.outgoing.emplace(transfer.sequence, transfer);
+  }
+  switch (operation.kind) {
+    case QuotaOperation::Kind::bootstrap:
+      set_bootstrap_region(revision);
+      break;
+    case QuotaOperation::Kind::receive:
+      apply_received(operation, revision);
+      break;
+    case QuotaOperation::Kind::clear: {
+      auto& outgoing = state_.remote_regions.at(operation.region).outgoing;
+      outgoing.erase(outgoing.begin(), outgoing.upper_bound(operation.through));
+      break;
+    }
+    case QuotaOperation::Kind::send:
+      break;
+  }
+  return !operation.quotas.empty();
+}
+
+void QuotaLedger::apply_received(const QuotaOperation& operation, std::uint64_t revision) {
+  // The record of the bootstrap region is written with the first transfer that is received.
+  if (!state_.bootstrap_region) set_bootstrap_region(revision);
+  RemoteRegion& remote = state_.remote_regions.at(operation.region);
+  remote.received = {operation.through, revision};
+  remote.incoming.erase(remote.incoming.begin(), remote.incoming.upper_bound(operation.through));
+  remote.acknowledgement_due = true;
+}
+
+}  // namespace cranklock::regions
--- a/src/regions/share_service.hpp
+++ b/src/regions/quota_service.hpp
@@ -11,8 +11,8 @@
 #include "net/reactor.hpp"
 #include "net/task.hpp"
 #include "regions/frames.hpp"
+#include "regions/quota_ledger.hpp"
 #include "regions/request_schedule.hpp"
-#include "regions/share_book.hpp"
 #include "store/client.hpp"
 
 namespace cranklock::regions {
@@ -30,18 +30,18 @@
 };
 
 /// One term's; made with it and destroyed with it.
-class ShareService {
+class QuotaService {
  public:
   /// What the service needs from the term that it serves.
   struct Callbacks {
     /// Teams with waiting work, and what each takes.
-    std::function<std::map<std::string, TeamDemand>()> waiting_demands;
-    std::function<Amounts(const std::string& team)> used;
-    std::function<void()> shares_changed;   ///< placement should look again
+    std::function<std::map<std::string, TeamDemand>()> demands_of_waiting_work;
+    std::function<QuotaAmounts(const std::string& team)> used;
+    std::function<void()> quotas_changed;   ///< placement should look again
     std::function<void()> leadership_lost;  ///< the leader's key has changed
   };
 
-  ShareService(net::Reactor& reactor, const base::Settings& settings, store::Client& store,
+  QuotaService(net::Reactor& reactor, const base::Settings& settings, store::Client& store,
                RegionNetwork& network, wire::Compare leader, Callbacks callbacks);
 
   /// Reads what this region holds; false when the state service did not let it. Until then nothing
@@ -49,19 +49,19 @@
   net::Task<bool> load();
   void start(net::Scope& scope);
   void on_region_frame(const std::string& region, const RegionFrame& frame);
-  /// Work has come, and may lack share.
-  void look_again();
-  const ShareBook& book() const { return book_; }
+  /// Work has come, and may lack quota.
+  void on_new_work();
+  const QuotaLedger& ledger() const { return ledger_; }
   /// How often the teams' needs are looked at.
-  static double ask_every(const base::Settings& settings) {
+  static double request_interval(const base::Settings& settings) {
     return settings.heartbeat_interval_s / 4;
   }
 
  private:
   net::Task<void> write();
-  net::Task<void> talk();
+  net::Task<void> exchange_messages();
   void send_transfers();
-  void send_receipts();
+  void send_acknowledgements();
   void send_requests();
   TeamDemand demand_of(const std::string& team) const;
   double now() const { return reactor_.now(); }
@@ -71,18 +71,18 @@
   store::Client& store_;
   RegionNetwork& network_;
   Callbacks callbacks_;
-  ShareBook book_;
+  QuotaLedger ledger_;
   RequestSchedule schedule_;
   std::map<std::string, TeamDemand> waiting_;  ///< as looked at last
   /// Transfers to a region that were sent in this term.
   struct Sent {
     std::uint64_t through = 0;
-    double again_at = 0;  ///< when all without a receipt are sent again
+    double again_at = 0;  ///< when all without an acknowledgement are sent again
   };
   std::map<std::string, Sent> sent_;
   double began_ = 0;
-  bool founded_ = false;  ///< for the log
-  net::Signal to_write_, to_tell_;
+  bool bootstrapped_ = false;  ///< for the log
+  net::Signal write_due_, message_due_;
 };
 
 }  // namespace cranklock::regions
--- a/src/regions/request_schedule.hpp
+++ b/src/regions/request_schedule.hpp
@@ -1,4 +1,4 @@
-// When a team's missing share is asked for: at once when it has changed, then ever more rarely.
+// When a team's missing quota is requested: at once when it has changed, then with growing pauses.
 #pragma once
 
 #include <algorithm>
@@ -6,11 +6,12 @@
 #include <optional>
 #include <string>
 
-#include "regions/amounts.hpp"
+#include "regions/quota_amounts.hpp"
 
 namespace cranklock::regions {
 
-/// Keeps 530 teams that wait for share nobody has from being spoken of all the time.
+/// Exponential back-off of requests by team: with hundreds of teams that wait for quota nobody has
+/// left, requests would otherwise fill the links between regions.
 class RequestSchedule {
  public:
   /// `shortest_s`: from one request to the next while nothing changes; doubled each time up to
@@ -19,7 +20,7 @@
       : shortest_s_(shortest_s), longest_s_(longest_s) {}
 
   /// Whether to ask for this now; it is then taken as asked.
-  bool take_due(const std::string& team, const Amounts& missing, double now) {
+  bool take_due(const std::string& team, const QuotaAmounts& missing, double now) {
     if (missing.is_zero()) {
       asked_.erase(team);
       return false;
@@ -48,7 +49,7 @@
 
  private:
   struct Asked {
-    Amounts missing;
+    QuotaAmounts missing;
     double since = 0, pause_s = 0, next = 0;
     int requests = 0;
   };
--- a/src/wire/client_api.cpp
+++ b/src/wire/client_api.cpp
@@ -39,7 +39,7 @@
 
   base::Result<JobSpec, FieldError> read() {
     const bool valid = read_id() && read_names() && read_kind() && read_priority() &&
-                       read_tasks() && read_image() && read_amounts() && read_flags() &&
+                       read_tasks() && read_image() && read_quota_field() && read_flags() &&
                        read_types() && read_zone() && read_due() && read_dependencies();
     if (!valid) return base::Failure(error_);
     return std::move(job_);
@@ -108,7 +108,7 @@
     return true;
   }
 
-  bool read_amounts() {
+  bool read_quota_field() {
     struct Amount {
       const char* field;
       double* value;
--- a/src/wire/cloud_api.cpp
+++ b/src/wire/cloud_api.cpp
@@ -11,7 +11,7 @@
                                                      {MachineState::running, "running"},
                                                      {MachineState::failed, "failed"}}};
 
-bool read_amounts(const Json& object, MachineType& type) {
+bool read_quota_field(const Json& object, MachineType& type) {
   struct Amount {
     const char* field;
     double* value;
@@ -32,7 +32,7 @@
   MachineType type;
   const auto name = read_text(object, "Label");
   const auto zones = read_texts(object, "Yards");
-  if (!name || !zones || !read_amounts(object, type)) return std::nullopt;
+  if (!name || !zones || !read_quota_field(object, type)) return std::nullopt;
   type.name = *name;
   type.zones = *zones;
   return type;
--- a/tests/frame_compatibility_test.cpp
+++ b/tests/frame_compatibility_test.cpp
@@ -101,7 +101,7 @@
 // Between regions.
 
 // The order is: CPUs guaranteed, CPUs at most, GPUs guaranteed, GPUs at most.
-const regions::Amounts kAmounts({0x0111, 0x0222, 0x0333, 0x0444});
+const regions::QuotaAmounts kAmounts({0x0111, 0x0222, 0x0333, 0x0444});
 const std::string kAmountsBytes = bytes(
     "\0\0\0\0\0\0\x01\x11"
     "\0\0\0\0\0\0\x02\x22"
@@ -112,7 +112,7 @@
   EXPECT_EQ(regions::pack(frame), expected);
   std::string buffer = expected;
   regions::RegionFrame read;
-  ASSERT_EQ(regions::unpack(buffer, read), regions::FrameResult::frame);
+  ASSERT_EQ(regions::unpack(buffer, read), regions::UnpackResult::frame);
   EXPECT_EQ(read, frame);
   EXPECT_TRUE(buffer.empty());
 }
@@ -128,14 +128,14 @@
 }
 
 TEST(FramesBetweenRegions, ARequestIsPackedAndUnpacked) {
-  expect_region_frame(regions::ShareRequest{"red", kAmounts, 0x0102030405060708},
+  expect_region_frame(regions::QuotaRequest{"red", kAmounts, 0x0102030405060708},
                       bytes("\x00\x2c\x01\x02"
                             "\x03red") +
                           kAmountsBytes + bytes("\x01\x02\x03\x04\x05\x06\x07\x08"));
 }
 
 TEST(FramesBetweenRegions, ATransferIsPackedAndUnpacked) {
-  expect_region_frame(regions::ShareTransfer{0x0102030405060708, "red", kAmounts},
+  expect_region_frame(regions::QuotaTransfer{0x0102030405060708, "red", kAmounts},
                       bytes("\x00\x2c\x01\x03"
                             "\x01\x02\x03\x04\x05\x06\x07\x08"
                             "\x03red") +
@@ -143,7 +143,7 @@
 }
 
 TEST(FramesBetweenRegions, AReceiptIsPackedAndUnpacked) {
-  expect_region_frame(regions::ShareReceipt{0x0102030405060708},
+  expect_region_frame(regions::TransferAcknowledgement{0x0102030405060708},
                       bytes("\x00\x08\x01\x04"
                             "\x01\x02\x03\x04\x05\x06\x07\x08"));
 }
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -89,7 +89,7 @@
 }
 
 TEST_F(LeaderElectionTest, AbstainsWhereRegionsShareQuotaAndTheSettingsNameNone) {
-  store_value(regions::kFounderKey, "{}");
+  store_value(regions::kBootstrapRegionKey, "{}");
   start();
   run_for(1.9 * settings.lease_s);
 
--- a/tests/share_book_test.cpp
+++ b/tests/quota_ledger_test.cpp
@@ -1,12 +1,12 @@
-// Transfers of shares between regions, step by step: each way in which one can be interrupted.
+// Transfers of quotas between regions, step by step: each way in which one can be interrupted.
 #include <gtest/gtest.h>
 
-#include "share_simulation.hpp"
+#include "quota_simulation.hpp"
 
 namespace cranklock::testing {
 namespace {
 
-using regions::Amounts;
+using regions::QuotaAmounts;
 using regions::Resource;
 
 constexpr const char* kTeam = "team-0";
@@ -27,7 +27,7 @@
   }
 };
 
-TEST(ShareBook, TheFounderGivesEachRegionItsFirstShareAndNoMoreThanIsUnused) {
+TEST(QuotaLedger, TheFounderGivesEachRegionItsFirstShareAndNoMoreThanIsUnused) {
   ShareSimulation simulation({{"a", 0.5, {}}, {"b", 0.5, {}}}, 3);
   simulation.regions.at("a").work["team-1"].used = 8;  // was there before the regions were
   EXPECT_EQ(simulation.held_gpus("a", "team-1"), 0);
@@ -41,7 +41,7 @@
   EXPECT_EQ(simulation.held_gpus("b", "team-1"), 4);
 }
 
-TEST(ShareBook, WhatIsAskedForComesAsHalfOfWhatIsUnusedAtATime) {
+TEST(QuotaLedger, WhatIsAskedForComesAsHalfOfWhatIsUnusedAtATime) {
   TwoRegions two;
   two.wait_for("b", 10);
   two.exchange("b");
@@ -55,7 +55,7 @@
   EXPECT_EQ(two.held("a"), 2);
 }
 
-TEST(ShareBook, NothingInUseIsGiven) {
+TEST(QuotaLedger, NothingInUseIsGiven) {
   TwoRegions two;
   two.work("a").used = 6;
   two.wait_for("b", 10);
@@ -68,7 +68,7 @@
 }
 
 // A leader may end between any two steps of either side, and the next one has only what is stored.
-TEST(ShareBook, ALeaderEndsBetweenEachTwoSteps) {
+TEST(QuotaLedger, ALeaderEndsBetweenEachTwoSteps) {
   for (const std::string outcome : {"a", "b"}) {
     for (int last = 0; last <= 8; ++last) {
       for (const Fate fate : {Fate::answered, Fate::applied_mute, Fate::lost}) {
@@ -84,7 +84,7 @@
         next([&](Fate f) { two.write("a", f); });  // taken off, and written down
         next([&](Fate) { two.exchange("a"); });    // the transfer
         next([&](Fate f) { two.write("b", f); });  // added
-        next([&](Fate) { two.exchange("b"); });    // the receipt
+        next([&](Fate) { two.exchange("b"); });    // the acknowledgement
         next([&](Fate f) { two.write("a", f); });  // forgotten
         next([&](Fate) { two.exchange("a"); });
         next([&](Fate f) { two.write("b", f); });
@@ -96,7 +96,7 @@
   }
 }
 
-TEST(ShareBook, ATransferWhoseReceiptIsLostIsSentAgainByALaterLeaderAndAddedOnce) {
+TEST(QuotaLedger, ATransferWhoseReceiptIsLostIsSentAgainByALaterLeaderAndAddedOnce) {
   TwoRegions two;
   two.wait_for("b", 9);
   two.exchange("b");
@@ -105,7 +105,7 @@
   two.write("b");
   EXPECT_EQ(two.held("b"), 9);
   two.cut = {{"b", "a"}};
-  two.exchange("b");  // the receipt does not arrive
+  two.exchange("b");  // the acknowledgement does not arrive
   two.change_leader("a");
   two.change_leader("b");
   two.exchange("a");  // once more, from what is stored
@@ -115,7 +115,7 @@
   two.check();
 }
 
-TEST(ShareBook, AnOldCopyAfterItsReceiptWasForgottenAddsNothing) {
+TEST(QuotaLedger, AnOldCopyAfterItsReceiptWasForgottenAddsNothing) {
   TwoRegions two;
   two.wait_for("b", 9);
   two.exchange("b");
@@ -134,7 +134,7 @@
   two.check();
 }
 
-TEST(ShareBook, ADeposedLeadersLateTransactionChangesNothing) {
+TEST(QuotaLedger, ADeposedLeadersLateTransactionChangesNothing) {
   TwoRegions two;
   two.wait_for("b", 9);
   two.exchange("b");
@@ -150,7 +150,7 @@
 }
 
 // The leader stays the same: its own late transaction must not come on top of a second one.
-TEST(ShareBook, AnUnansweredGiftCountsAsGivenUntilItIsDecided) {
+TEST(QuotaLedger, AnUnansweredGiftCountsAsGivenUntilItIsDecided) {
   for (const Fate first : {Fate::late, Fate::applied_mute, Fate::lost}) {
     TwoRegions two;
     two.wait_for("b", 9);
@@ -171,7 +171,7 @@
   }
 }
 
-TEST(ShareBook, AnUnansweredReceptionIsNotUsedUntilItIsDecided) {
+TEST(QuotaLedger, AnUnansweredReceptionIsNotUsedUntilItIsDecided) {
   for (const Fate first : {Fate::late, Fate::applied_mute, Fate::lost}) {
     TwoRegions two;
     two.wait_for("b", 9);
@@ -188,7 +188,7 @@
   }
 }
 
-TEST(ShareBook, ACutInOneDirectionKeepsShareUnderWayAndNothingIsLost) {
+TEST(QuotaLedger, ACutInOneDirectionKeepsShareUnderWayAndNothingIsLost) {
   TwoRegions two;
   two.wait_for("b", 9);
   two.cut = {{"a", "b"}};  // requests arrive, transfers don't
@@ -205,7 +205,7 @@
   EXPECT_EQ(two.work("b").used, 9);
 }
 
-TEST(ShareBook, AStateServiceThatIsDownInOneRegionHoldsUpOnlyWhatItWouldWrite) {
+TEST(QuotaLedger, AStateServiceThatIsDownInOneRegionHoldsUpOnlyWhatItWouldWrite) {
   TwoRegions two;
   two.wait_for("b", 9);
   two.regions.at("b").state_down = true;
@@ -214,13 +214,13 @@
   two.exchange("a");
   two.write("b");
   EXPECT_EQ(two.held("b"), 6);
-  two.work("a").used = 3;  // the giver goes on
+  two.work("a").used = 3;  // the sender goes on
   two.check();
   two.settle(10);
   EXPECT_EQ(two.work("b").used, 9);
 }
 
-TEST(ShareBook, BothAskEachOtherAtOnceAndTheLongerWaitGoesFirst) {
+TEST(QuotaLedger, BothAskEachOtherAtOnceAndTheLongerWaitGoesFirst) {
   TwoRegions two;
   // Neither gang of 10 fits in 6; together the halves would be of use to nobody.
   two.wait_for("a", 10, 5);
@@ -235,7 +235,7 @@
   EXPECT_EQ(two.held("a") + two.held("b"), 12);
 }
 
-TEST(ShareBook, ApartEachRegionLivesOnWhatItHolds) {
+TEST(QuotaLedger, ApartEachRegionLivesOnWhatItHolds) {
   TwoRegions two;
   two.cut = {{"a", "b"}, {"b", "a"}};
   two.wait_for("a", 9);
@@ -254,7 +254,7 @@
   EXPECT_EQ(two.work("a").used, 9);
 }
 
-TEST(ShareBook, ANewRegionBeginsWithNothingAndAsksForItsFirstShare) {
+TEST(QuotaLedger, ANewRegionBeginsWithNothingAndAsksForItsFirstShare) {
   TwoRegions two;
   // The same stores, and a file that names a third region; its own state service is empty.
   for (auto& [name, region] : two.regions) {
@@ -271,11 +271,11 @@
   EXPECT_EQ(two.held("a") + two.held("b") + two.held("c"), 12);
 }
 
-TEST(ShareBook, SharesMadeByAnotherFounderStayUsableAndAreNotMoved) {
+TEST(QuotaLedger, SharesMadeByAnotherFounderStayUsableAndAreNotMoved) {
   TwoRegions two;
-  two.regions.at("a").settings.operators.regions.founder = "b";
+  two.regions.at("a").settings.operators.regions.bootstrap_region = "b";
   two.change_leader("a");
-  EXPECT_TRUE(two.regions.at("a").book->is_frozen());
+  EXPECT_TRUE(two.regions.at("a").ledger->is_frozen());
   EXPECT_EQ(two.held("a"), 6);
   two.wait_for("b", 9);
   two.exchange("b");
@@ -284,64 +284,65 @@
 }
 
 // One record that can't be read must not leave the region without a leader, nor be written over.
-TEST(ShareBook, AMalformedRecordStopsTransfersAndLeavesTheOtherSharesUsable) {
+TEST(QuotaLedger, AMalformedRecordStopsTransfersAndLeavesTheOtherSharesUsable) {
   TwoRegions two;
   auto& region = two.regions.at("a");
   const auto items = region.store.under(regions::kRegionsPrefix);
-  for (const std::string& key : {regions::share_key("team-9"), regions::sent_key("b"),
-                                 regions::out_key("b", 7), std::string(regions::kFounderKey)}) {
+  for (const std::string& key :
+       {regions::quota_key("team-9"), regions::sent_key("b"), regions::out_key("b", 7),
+        std::string(regions::kBootstrapRegionKey)}) {
     for (const std::string bad :
          {R"({"amounts":[0,0,-1,4],"n":-1})", R"({"amounts":[1,2,3]})", "{}", "nonsense"}) {
       auto with_bad = items;
       std::erase_if(with_bad, [&](const auto& item) { return item.key == key; });
       with_bad.push_back({key, bad, 99});
-      region.book->load(with_bad);
-      EXPECT_TRUE(region.book->is_frozen()) << key << " " << bad;
+      region.ledger->load(with_bad);
+      EXPECT_TRUE(region.ledger->is_frozen()) << key << " " << bad;
       EXPECT_EQ(two.held("a"), 6);
-      EXPECT_TRUE(region.book->held("team-9").is_zero());
+      EXPECT_TRUE(region.ledger->held("team-9").is_zero());
       two.wait_for("b", 9);
       two.exchange("b");
       EXPECT_FALSE(two.write("a")) << key << " " << bad;
     }
   }
-  region.book->load(items);  // mended
-  EXPECT_FALSE(region.book->is_frozen());
+  region.ledger->load(items);  // mended
+  EXPECT_FALSE(region.ledger->is_frozen());
   two.settle(5);
   EXPECT_EQ(two.work("b").used, 9);
 }
 
-TEST(ShareBook, WhatNobodyCanHaveMeantIsIgnored) {
+TEST(QuotaLedger, WhatNobodyCanHaveMeantIsIgnored) {
   TwoRegions two;
-  auto& book = *two.regions.at("a").book;
-  book.note_receipt("b", {1000});
-  book.note_receipt("nowhere", {1});
-  book.note_transfer("nowhere", {1, kTeam, Amounts({0, 0, 0, 1000})});
-  book.note_transfer("b", {500, kTeam, Amounts({0, 0, 0, 1000})});  // far beyond the next one
-  book.note_request("nowhere", {kTeam, Amounts({0, 0, 0, 1000}), 1});
-  book.note_request("b", {"no-team", Amounts({0, 0, 0, 1000}), 1});
+  auto& ledger = *two.regions.at("a").ledger;
+  ledger.on_acknowledgement("b", {1000});
+  ledger.on_acknowledgement("nowhere", {1});
+  ledger.on_transfer("nowhere", {1, kTeam, QuotaAmounts({0, 0, 0, 1000})});
+  ledger.on_transfer("b", {500, kTeam, QuotaAmounts({0, 0, 0, 1000})});  // far beyond the next one
+  ledger.on_request("nowhere", {kTeam, QuotaAmounts({0, 0, 0, 1000}), 1});
+  ledger.on_request("b", {"no-team", QuotaAmounts({0, 0, 0, 1000}), 1});
   EXPECT_FALSE(two.write("a"));
   EXPECT_EQ(two.held("a"), 6);
 }
 
-TEST(ShareBook, ShareOfATeamThatTheSettingsDoNotNameIsKept) {
+TEST(QuotaLedger, ShareOfATeamThatTheSettingsDoNotNameIsKept) {
   TwoRegions two;
   two.regions.at("b").settings.teams.clear();  // its file came first
   two.change_leader("b");
   two.exchange("a");
-  const Amounts amounts({0, 0, 0, 2000});
-  two.regions.at("b").book->note_transfer("a", {2, "team-new", amounts});
+  const QuotaAmounts amounts({0, 0, 0, 2000});
+  two.regions.at("b").ledger->on_transfer("a", {2, "team-new", amounts});
   EXPECT_TRUE(two.write("b"));
-  EXPECT_EQ(two.regions.at("b").book->held("team-new"), amounts);
+  EXPECT_EQ(two.regions.at("b").ledger->held("team-new"), amounts);
 }
 
-TEST(ShareBook, ALowerLimitOfTheSettingsHoldsWhateverWasFounded) {
+TEST(QuotaLedger, ALowerLimitOfTheSettingsHoldsWhateverWasFounded) {
   TwoRegions two;
   base::Team team = *two.regions.at("a").settings.team(kTeam);
-  const auto& book = *two.regions.at("a").book;
-  EXPECT_DOUBLE_EQ(book.limit(team).gpus, 6);
-  EXPECT_DOUBLE_EQ(book.guarantee(team).gpus, 3);
+  const auto& ledger = *two.regions.at("a").ledger;
+  EXPECT_DOUBLE_EQ(ledger.limit(team).gpus, 6);
+  EXPECT_DOUBLE_EQ(ledger.guarantee(team).gpus, 3);
   team.gpus_max = 4;
-  EXPECT_DOUBLE_EQ(book.limit(team).gpus, 4);
+  EXPECT_DOUBLE_EQ(ledger.limit(team).gpus, 4);
 }
 
 }  // namespace
--- a/tests/sharing_rule_test.cpp
+++ b/tests/quota_policy_test.cpp
@@ -1,62 +1,62 @@
 // What is asked for and given, when it is asked for, what waits, and the frames between regions.
-#include "regions/sharing_rule.hpp"
+#include "regions/quota_policy.hpp"
 
 #include <gtest/gtest.h>
 
 #include "fixtures.hpp"
 #include "peer/packing.hpp"
 #include "regions/demand.hpp"
+#include "regions/frame_reader.hpp"
 #include "regions/frames.hpp"
 #include "regions/request_schedule.hpp"
-#include "regions/session.hpp"
 
 namespace cranklock::regions {
 namespace {
 
-Amounts gpus(std::int64_t guaranteed, std::int64_t limit) {
-  return Amounts({0, 0, guaranteed * Amounts::kUnit, limit * Amounts::kUnit});
+QuotaAmounts gpus(std::int64_t guaranteed, std::int64_t limit) {
+  return QuotaAmounts({0, 0, guaranteed * QuotaAmounts::kUnit, limit * QuotaAmounts::kUnit});
 }
-const Amounts kWhole = gpus(6, 12);
+const QuotaAmounts kWhole = gpus(6, 12);
 
 TEST(SharingRule, OnlyWaitingWorkLacksShareAndNeverMoreThanTheWhole) {
-  EXPECT_TRUE(missing_share(gpus(0, 0), {gpus(3, 3), {}, 0}, kWhole).is_zero());
-  EXPECT_EQ(missing_share(gpus(2, 4), {gpus(3, 3), gpus(2, 2), 0}, kWhole), gpus(3, 1));
-  EXPECT_EQ(missing_share(gpus(2, 4), {gpus(3, 3), gpus(50, 50), 0}, kWhole), gpus(4, 8));
-  const Amounts with_cpus({8000, 8000, 1000, 1000});
-  EXPECT_EQ(missing_share(gpus(0, 0), {{}, with_cpus, 0}, kWhole), gpus(1, 1))
+  EXPECT_TRUE(missing_quota(gpus(0, 0), {gpus(3, 3), {}, 0}, kWhole).is_zero());
+  EXPECT_EQ(missing_quota(gpus(2, 4), {gpus(3, 3), gpus(2, 2), 0}, kWhole), gpus(3, 1));
+  EXPECT_EQ(missing_quota(gpus(2, 4), {gpus(3, 3), gpus(50, 50), 0}, kWhole), gpus(4, 8));
+  const QuotaAmounts with_cpus({8000, 8000, 1000, 1000});
+  EXPECT_EQ(missing_quota(gpus(0, 0), {{}, with_cpus, 0}, kWhole), gpus(1, 1))
       << "a resource that is not looked at is not wanted";
 }
 
 TEST(SharingRule, SpareIsWhatIsNeitherUsedNorWaitedFor) {
   const Claim own{"a", 5}, younger{"b", 9}, older{"b", 1};
   const TeamDemand demand{gpus(2, 2), gpus(3, 3), 5};
-  EXPECT_EQ(spare_share(gpus(6, 12), demand, kWhole, own, younger), gpus(1, 7));
-  EXPECT_EQ(spare_share(gpus(6, 12), demand, kWhole, own, older), gpus(1, 7));
-  EXPECT_EQ(spare_share(gpus(3, 4), demand, kWhole, own, younger), gpus(0, 0));
-  EXPECT_EQ(spare_share(gpus(3, 4), demand, kWhole, own, older), gpus(1, 2))
+  EXPECT_EQ(spare_quota(gpus(6, 12), demand, kWhole, own, younger), gpus(1, 7));
+  EXPECT_EQ(spare_quota(gpus(6, 12), demand, kWhole, own, older), gpus(1, 7));
+  EXPECT_EQ(spare_quota(gpus(3, 4), demand, kWhole, own, younger), gpus(0, 0));
+  EXPECT_EQ(spare_quota(gpus(3, 4), demand, kWhole, own, older), gpus(1, 2))
       << "too little for its own work is of use to work that has waited longer";
-  EXPECT_EQ(spare_share(gpus(3, 5), demand, kWhole, own, older), gpus(1, 0))
+  EXPECT_EQ(spare_quota(gpus(3, 5), demand, kWhole, own, older), gpus(1, 0))
       << "a missing guarantee keeps nothing from running";
 }
 
 // Without it each would keep what the other lacks: one all CPUs, the other all GPUs.
 TEST(SharingRule, WorkThatLacksOneResourceYieldsTheOtherToTheLongerWait) {
-  const Amounts whole({0, 10'000, 0, 10'000});
-  const TeamDemand both{{}, Amounts({8000, 8000, 8000, 8000}), 5};
-  const Amounts only_cpus({0, 10'000, 0, 0}), only_gpus({0, 0, 0, 10'000});
+  const QuotaAmounts whole({0, 10'000, 0, 10'000});
+  const TeamDemand both{{}, QuotaAmounts({8000, 8000, 8000, 8000}), 5};
+  const QuotaAmounts only_cpus({0, 10'000, 0, 0}), only_gpus({0, 0, 0, 10'000});
   const Claim longer{"a", 1}, shorter{"b", 5};
-  EXPECT_EQ(missing_share(only_gpus, both, whole), Amounts({0, 8000, 0, 0}));
-  EXPECT_EQ(spare_share(only_cpus, both, whole, shorter, longer), only_cpus);
-  EXPECT_EQ(spare_share(only_gpus, both, whole, longer, shorter), Amounts({0, 0, 0, 2000}));
+  EXPECT_EQ(missing_quota(only_gpus, both, whole), QuotaAmounts({0, 8000, 0, 0}));
+  EXPECT_EQ(spare_quota(only_cpus, both, whole, shorter, longer), only_cpus);
+  EXPECT_EQ(spare_quota(only_gpus, both, whole, longer, shorter), QuotaAmounts({0, 0, 0, 2000}));
 }
 
 TEST(SharingRule, GivesWhatIsAskedUpToHalfInWholeUnits) {
-  EXPECT_EQ(granted_share(gpus(0, 8), gpus(0, 3)), gpus(0, 3));
-  EXPECT_EQ(granted_share(gpus(0, 8), gpus(0, 9)), gpus(0, 4));
-  EXPECT_EQ(granted_share(gpus(0, 7), gpus(0, 9)), gpus(0, 4));
-  EXPECT_EQ(granted_share(gpus(0, 1), gpus(0, 9)), gpus(0, 1));
-  EXPECT_EQ(granted_share(Amounts({0, 0, 0, 400}), gpus(0, 9)), Amounts({0, 0, 0, 400}));
-  EXPECT_TRUE(granted_share(gpus(0, 0), gpus(0, 9)).is_zero());
+  EXPECT_EQ(granted_quota(gpus(0, 8), gpus(0, 3)), gpus(0, 3));
+  EXPECT_EQ(granted_quota(gpus(0, 8), gpus(0, 9)), gpus(0, 4));
+  EXPECT_EQ(granted_quota(gpus(0, 7), gpus(0, 9)), gpus(0, 4));
+  EXPECT_EQ(granted_quota(gpus(0, 1), gpus(0, 9)), gpus(0, 1));
+  EXPECT_EQ(granted_quota(QuotaAmounts({0, 0, 0, 400}), gpus(0, 9)), QuotaAmounts({0, 0, 0, 400}));
+  EXPECT_TRUE(granted_quota(gpus(0, 0), gpus(0, 9)).is_zero());
 }
 
 TEST(RequestSchedule, AsksAtOnceWhenTheNeedChangesAndEverMoreRarelyWhenNot) {
@@ -85,21 +85,21 @@
   fleet.add(testing::make_job("j-5", wire::JobKind::service, 2, 1, "blue"));
   auto& running = *fleet.cluster.job("j-5");
   fleet.cluster.add_placement(running, 0, 1, "n-1", 0);
-  auto demands = waiting_demands(fleet.cluster, 1);
-  EXPECT_EQ(demands.at("red").waiting[Resource::gpus], 10 * Amounts::kUnit);
+  auto demands = demands_of_waiting_work(fleet.cluster, 1);
+  EXPECT_EQ(demands.at("red").waiting[Resource::gpus], 10 * QuotaAmounts::kUnit);
   EXPECT_EQ(demands.at("red").waiting_since_ms, 1000);
   EXPECT_TRUE(demands.at("red").used.is_zero());
-  EXPECT_EQ(demands.at("blue").waiting[Resource::gpus], 1 * Amounts::kUnit);
-  EXPECT_EQ(demands.at("blue").used[Resource::gpus], 1 * Amounts::kUnit);
+  EXPECT_EQ(demands.at("blue").waiting[Resource::gpus], 1 * QuotaAmounts::kUnit);
+  EXPECT_EQ(demands.at("blue").used[Resource::gpus], 1 * QuotaAmounts::kUnit);
   // A gang whose last attempt is not all gone can't be placed.
   auto& gang = *fleet.cluster.job("j-2");
   fleet.cluster.add_placement(gang, 0, 1, "n-1", 0);
-  demands = waiting_demands(fleet.cluster, 1);
-  EXPECT_EQ(demands.at("red").waiting[Resource::gpus], 6 * Amounts::kUnit);
-  EXPECT_EQ(used_share(fleet.cluster, "red")[Resource::gpus], 1 * Amounts::kUnit);
+  demands = demands_of_waiting_work(fleet.cluster, 1);
+  EXPECT_EQ(demands.at("red").waiting[Resource::gpus], 6 * QuotaAmounts::kUnit);
+  EXPECT_EQ(allocated_quota(fleet.cluster, "red")[Resource::gpus], 1 * QuotaAmounts::kUnit);
 }
 
-/// A share that stands for the whole region.
+/// A quota that stands for the whole region.
 struct FixedShares : sched::TeamShares {
   double gpus = 0;
   wire::Resources guarantee(const base::Team&) const override { return {0, gpus, 0}; }
@@ -126,11 +126,13 @@
 // ---- frames ----
 
 const std::vector<RegionFrame> kFrames = {RegionHeartbeat{"east", "winch-1", "west", 41},
-                                          ShareRequest{"team", gpus(1, 2), 1'700'000'000'000},
-                                          ShareTransfer{7, "team", gpus(0, 3)}, ShareReceipt{7}};
+                                          QuotaRequest{"team", gpus(1, 2), 1'700'000'000'000},
+                                          QuotaTransfer{7, "team", gpus(0, 3)},
+                                          TransferAcknowledgement{7}};
 
 TEST(RegionFrames, AreTheSameBytesEverywhereAndSurviveSplitting) {
-  EXPECT_EQ(pack(ShareReceipt{7}), std::string("\x00\x08\x01\x04\0\0\0\0\0\0\0\x07", 12));
+  EXPECT_EQ(pack(TransferAcknowledgement{7}),
+            std::string("\x00\x08\x01\x04\0\0\0\0\0\0\0\x07", 12));
   std::string whole, buffer;
   for (const auto& frame : kFrames) whole += pack(frame);
   std::vector<RegionFrame> out;
@@ -138,8 +140,8 @@
     buffer += byte;
     RegionFrame frame;
     const auto result = unpack(buffer, frame);
-    if (result == FrameResult::frame) out.push_back(frame);
-    ASSERT_TRUE(result == FrameResult::frame || result == FrameResult::more);
+    if (result == UnpackResult::frame) out.push_back(frame);
+    ASSERT_TRUE(result == UnpackResult::frame || result == UnpackResult::incomplete);
   }
   EXPECT_EQ(out, kFrames);
   EXPECT_TRUE(buffer.empty());
@@ -155,18 +157,18 @@
     return bytes;
   };
   const std::string transfer = pack(kFrames[2]);
-  EXPECT_EQ(result_of(with(transfer, 2, 2)), FrameResult::other_version);
-  EXPECT_EQ(result_of(with(transfer, 3, 0)), FrameResult::unknown_kind);
-  EXPECT_EQ(result_of(with(transfer, 3, 5)), FrameResult::unknown_kind);
-  EXPECT_EQ(result_of(with(transfer, 0, 4)), FrameResult::too_long);
-  EXPECT_EQ(result_of(with(transfer, 12, 3)), FrameResult::malformed_fields) << "a shorter name";
-  EXPECT_EQ(result_of(pack(ShareTransfer{0, "team", {}})), FrameResult::malformed_fields);
-  EXPECT_EQ(result_of(pack(ShareTransfer{1, "", {}})), FrameResult::malformed_fields);
-  EXPECT_EQ(result_of(pack(ShareTransfer{1, "team", gpus(0, -1)})), FrameResult::malformed_fields);
-  EXPECT_EQ(result_of(pack(ShareRequest{"team", gpus(-1, 0), 0})), FrameResult::malformed_fields);
-  EXPECT_EQ(result_of(pack(RegionHeartbeat{"", "m", "f", 1})), FrameResult::malformed_fields);
-  for (const auto result : {FrameResult::other_version, FrameResult::unknown_kind,
-                            FrameResult::too_long, FrameResult::malformed_fields}) {
+  EXPECT_EQ(result_of(with(transfer, 2, 2)), UnpackResult::other_version);
+  EXPECT_EQ(result_of(with(transfer, 3, 0)), UnpackResult::unknown_kind);
+  EXPECT_EQ(result_of(with(transfer, 3, 5)), UnpackResult::unknown_kind);
+  EXPECT_EQ(result_of(with(transfer, 0, 4)), UnpackResult::too_long);
+  EXPECT_EQ(result_of(with(transfer, 12, 3)), UnpackResult::malformed_fields) << "a shorter name";
+  EXPECT_EQ(result_of(pack(QuotaTransfer{0, "team", {}})), UnpackResult::malformed_fields);
+  EXPECT_EQ(result_of(pack(QuotaTransfer{1, "", {}})), UnpackResult::malformed_fields);
+  EXPECT_EQ(result_of(pack(QuotaTransfer{1, "team", gpus(0, -1)})), UnpackResult::malformed_fields);
+  EXPECT_EQ(result_of(pack(QuotaRequest{"team", gpus(-1, 0), 0})), UnpackResult::malformed_fields);
+  EXPECT_EQ(result_of(pack(RegionHeartbeat{"", "m", "f", 1})), UnpackResult::malformed_fields);
+  for (const auto result : {UnpackResult::other_version, UnpackResult::unknown_kind,
+                            UnpackResult::too_long, UnpackResult::malformed_fields}) {
     EXPECT_FALSE(std::string(describe(result)).empty());
   }
 }
@@ -179,7 +181,7 @@
 
 TEST(RegionSession, TakesFramesInTheirOrderFromTheRegionThatSaidHello) {
   const auto settings = east_and_west();
-  Session agent_epoch(settings);
+  FrameReader agent_epoch(settings);
   const RegionHeartbeat peer_heartbeat{"west", "winch-1", "west", 7};
   const std::string bytes = pack(peer_heartbeat) + pack(kFrames[2]);
   EXPECT_TRUE(agent_epoch.feed(bytes.substr(0, 9)).frames.empty());
@@ -192,7 +194,7 @@
 TEST(RegionSession, SaysWhyAConnectionIsClosed) {
   const auto settings = east_and_west();
   const auto error_of = [&](const std::string& bytes) {
-    Session agent_epoch(settings);
+    FrameReader agent_epoch(settings);
     return agent_epoch.feed(bytes).error;
   };
   const std::string peer_heartbeat = pack(RegionHeartbeat{"west", "m", "west", 7});
@@ -206,7 +208,7 @@
   std::string other_version = peer_heartbeat;
   other_version[2] = 2;
   EXPECT_EQ(error_of(other_version), "a frame of another version");
-  Session agent_epoch(settings);
+  FrameReader agent_epoch(settings);
   const auto arrived =
       agent_epoch.feed(peer_heartbeat + pack(kFrames[2]) + std::string("\x7f\xff\x01\x02"));
   EXPECT_EQ(arrived.frames.size(), 2U) << "what came before is used";
--- a/tests/share_property_test.cpp
+++ b/tests/quota_property_test.cpp
@@ -1,9 +1,9 @@
-// Random orders of writing, delivery, loss, copies, outcomes and take-overs: shares and transfers
-// add up at every step, and once all is healed waiting work that fits has its share.
+// Random orders of writing, delivery, loss, copies, outcomes and take-overs: quotas and transfers
+// add up at every step, and once all is healed waiting work that fits has its quota.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "share_simulation.hpp"
+#include "quota_simulation.hpp"
 
 namespace cranklock::testing {
 namespace {
@@ -139,24 +139,24 @@
 
 RC_GTEST_PROP(RegionFrames, AnyTransferIsReadAsItWasWritten, ()) {
   const auto amount = rc::gen::inRange<std::int64_t>(0, INT64_MAX);
-  const regions::ShareTransfer transfer{*rc::gen::inRange<std::uint64_t>(1, UINT64_MAX),
-                                        *any_team(),
-                                        regions::Amounts({*amount, *amount, *amount, *amount})};
+  const regions::QuotaTransfer transfer{
+      *rc::gen::inRange<std::uint64_t>(1, UINT64_MAX), *any_team(),
+      regions::QuotaAmounts({*amount, *amount, *amount, *amount})};
   std::string bytes = regions::pack(transfer);
   regions::RegionFrame out;
-  RC_ASSERT(regions::unpack(bytes, out) == regions::FrameResult::frame);
+  RC_ASSERT(regions::unpack(bytes, out) == regions::UnpackResult::frame);
   RC_ASSERT(out == regions::RegionFrame(transfer));
   RC_ASSERT(bytes.empty());
 }
 
 RC_GTEST_PROP(RegionFrames, NoBytesAreReadBeyondTheirEnd, ()) {
   // One byte of a frame is replaced: it is a frame, a part of one, or refused, and never more.
-  std::string bytes = regions::pack(regions::ShareRequest{*any_team(), {}, 7});
+  std::string bytes = regions::pack(regions::QuotaRequest{*any_team(), {}, 7});
   const auto size = bytes.size();
   bytes[*rc::gen::inRange<std::size_t>(0, size)] = static_cast<char>(*rc::gen::inRange(0, 256));
   regions::RegionFrame out;
   const auto result = regions::unpack(bytes, out);
-  RC_ASSERT(bytes.size() == (result == regions::FrameResult::frame ? 0 : size));
+  RC_ASSERT(bytes.size() == (result == regions::UnpackResult::frame ? 0 : size));
 }
 
 }  // namespace
--- a/tests/share_simulation.cpp
+++ b/tests/quota_simulation.cpp
@@ -1,4 +1,4 @@
-#include "share_simulation.hpp"
+#include "quota_simulation.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,11 +8,11 @@
 
 namespace cranklock::testing {
 
-using regions::Amounts;
+using regions::QuotaAmounts;
+using regions::QuotaLedger;
 using regions::Resource;
-using regions::ShareBook;
 
-store::CompareAndSwapResult KeyStore::apply(const ShareBook::Transaction& transaction) {
+store::CompareAndSwapResult KeyStore::apply(const QuotaLedger::Transaction& transaction) {
   store::CompareAndSwapResult result;
   for (const auto& condition : transaction.compares) {
     if (revision_of(condition.key) != condition.revision)
@@ -54,7 +54,7 @@
     teams.push_back("team-" + std::to_string(i));
     settings.teams.push_back({teams.back(), 0, 0, limit / 2, limit});
   }
-  settings.operators.regions.founder = all.front().name;
+  settings.operators.regions.bootstrap_region = all.front().name;
   settings.operators.regions.regions = all;
   for (const auto& region : all) {
     Region& made = regions[region.name];
@@ -68,9 +68,9 @@
   Region& region = regions.at(name);
   const auto taken =
       region.store.apply({{}, {{kLeaderKey, "{}", 0}}});  // the former leader's lease has ended
-  region.book =
-      std::make_unique<ShareBook>(region.settings, wire::Compare{kLeaderKey, taken.revision});
-  region.book->load(region.store.under(regions::kRegionsPrefix));
+  region.ledger =
+      std::make_unique<QuotaLedger>(region.settings, wire::Compare{kLeaderKey, taken.revision});
+  region.ledger->load(region.store.under(regions::kRegionsPrefix));
 }
 
 regions::TeamDemand ShareSimulation::demand(const Region& region, const std::string& team) const {
@@ -78,23 +78,23 @@
   if (found == region.work.end()) return {};
   const Work& work = found->second;
   const auto gpus = [](std::int64_t count) {
-    return regions::used_amounts({0, static_cast<double>(count), 0});
+    return regions::quota_used_by({0, static_cast<double>(count), 0});
   };
   return {gpus(work.used), gpus(work.waiting), work.since_ms};
 }
 
 bool ShareSimulation::write(const std::string& name, Fate fate) {
   Region& region = regions.at(name);
-  ShareBook& book = *region.book;
+  QuotaLedger& ledger = *region.ledger;
   if (region.state_down) fate = Fate::refused;
-  if (book.reload_needed()) {
+  if (ledger.reload_needed()) {
     if (fate != Fate::answered) return true;
-    book.load(region.store.under(regions::kRegionsPrefix));
-    EXPECT_FALSE(book.reload_needed());
+    ledger.load(region.store.under(regions::kRegionsPrefix));
+    EXPECT_FALSE(ledger.reload_needed());
     return true;
   }
   constexpr std::size_t kMaxMutations = 8;
-  const auto transaction = book.next_transaction(
+  const auto transaction = ledger.next_transaction(
       [&](const std::string& team) { return demand(region, team); }, kMaxMutations);
   if (!transaction) return false;
   EXPECT_LE(transaction->mutations.size(), kMaxMutations);
@@ -103,7 +103,7 @@
   if (fate == Fate::applied_mute) region.store.apply(*transaction);
   if (fate == Fate::late) region.late.push_back(*transaction);
   if (fate == Fate::refused) result.status = store::Status::rejected;
-  book.finish_transaction(result);
+  ledger.finish_transaction(result);
   return true;
 }
 
@@ -119,10 +119,10 @@
   return std::find(cut.begin(), cut.end(), std::pair(from, to)) != cut.end();
 }
 
-Amounts ShareSimulation::missing(const std::string& name, const std::string& team) const {
+QuotaAmounts ShareSimulation::missing(const std::string& name, const std::string& team) const {
   const Region& region = regions.at(name);
-  return regions::missing_share(region.book->held(team), demand(region, team),
-                                regions::whole_amounts(*region.settings.team(team)));
+  return regions::missing_quota(region.ledger->held(team), demand(region, team),
+                                regions::full_quota(*region.settings.team(team)));
 }
 
 void ShareSimulation::speak(const std::string& name) {
@@ -131,17 +131,18 @@
     ++frames_sent;
     if (!is_cut(name, to)) messages.push_back({name, to, frame});
   };
-  const auto receipts = region.book->take_receipts();
+  const auto acknowledgements = region.ledger->take_due_acknowledgements();
   for (const auto& [other, ignored] : regions) {
     if (other == name) continue;
-    for (const auto& transfer : region.book->unacknowledged(other)) say(other, transfer);
-    if (const auto receipt = receipts.find(other); receipt != receipts.end()) {
-      say(other, receipt->second);
+    for (const auto& transfer : region.ledger->unacknowledged(other)) say(other, transfer);
+    if (const auto acknowledgement = acknowledgements.find(other);
+        acknowledgement != acknowledgements.end()) {
+      say(other, acknowledgement->second);
     }
     for (const auto& team : teams) {
-      const Amounts wanted = missing(name, team);
+      const QuotaAmounts wanted = missing(name, team);
       if (!wanted.is_zero()) {
-        say(other, regions::ShareRequest{team, wanted, region.work.at(team).since_ms});
+        say(other, regions::QuotaRequest{team, wanted, region.work.at(team).since_ms});
       }
     }
   }
@@ -152,13 +153,14 @@
   index %= messages.size();
   const Message message = messages[index];
   if (!keep) drop(index);
-  ShareBook& book = *regions.at(message.to).book;
-  if (const auto* request = std::get_if<regions::ShareRequest>(&message.frame)) {
-    book.note_request(message.from, *request);
-  } else if (const auto* transfer = std::get_if<regions::ShareTransfer>(&message.frame)) {
-    book.note_transfer(message.from, *transfer);
-  } else if (const auto* receipt = std::get_if<regions::ShareReceipt>(&message.frame)) {
-    book.note_receipt(message.from, *receipt);
+  QuotaLedger& ledger = *regions.at(message.to).ledger;
+  if (const auto* request = std::get_if<regions::QuotaRequest>(&message.frame)) {
+    ledger.on_request(message.from, *request);
+  } else if (const auto* transfer = std::get_if<regions::QuotaTransfer>(&message.frame)) {
+    ledger.on_transfer(message.from, *transfer);
+  } else if (const auto* acknowledgement =
+                 std::get_if<regions::TransferAcknowledgement>(&message.frame)) {
+    ledger.on_acknowledgement(message.from, *acknowledgement);
   }
 }
 
@@ -195,14 +197,14 @@
 }
 
 std::int64_t ShareSimulation::held_gpus(const std::string& region, const std::string& team) const {
-  return regions.at(region).book->held(team)[Resource::gpus] / Amounts::kUnit;
+  return regions.at(region).ledger->held(team)[Resource::gpus] / QuotaAmounts::kUnit;
 }
 
-Amounts ShareSimulation::sum(const std::string& team) const {
-  Amounts total;
+QuotaAmounts ShareSimulation::sum(const std::string& team) const {
+  QuotaAmounts total;
   for (const auto& [name, region] : regions) {
     for (const auto& item : region.store.under(regions::kRegionsPrefix)) {
-      if (item.key == regions::share_key(team)) total += *regions::read_share(item.data);
+      if (item.key == regions::quota_key(team)) total += *regions::read_quota(item.data);
       if (!item.key.starts_with(regions::kOutPrefix)) continue;
       const auto transfer = *regions::read_transfer(item.data);
       const std::string rest = item.key.substr(std::string(regions::kOutPrefix).size());
@@ -211,33 +213,36 @@
       const auto counter = receiver.find(regions::received_key(name));
       const std::uint64_t received =
           counter == receiver.end() ? 0 : *regions::read_counter(counter->second.data);
-      if (transfer.team == team && transfer.sequence > received) total += transfer.amounts;
+      if (transfer.team == team && transfer.sequence > received) total += transfer.quota;
     }
   }
   return total;
 }
 
 std::int64_t ShareSimulation::sum_gpus(const std::string& team) const {
-  return sum(team)[Resource::gpus] / Amounts::kUnit;
+  return sum(team)[Resource::gpus] / QuotaAmounts::kUnit;
 }
 
 void ShareSimulation::check_team(const std::string& team) const {
-  const auto& founder = regions.begin()->second.settings.operators.regions.founder;
-  const bool founded = regions.at(founder).store.revision_of(regions::share_key(team)) > 0;
-  const Amounts whole =
-      founded ? regions::whole_amounts(*regions.at(founder).settings.team(team)) : Amounts{};
+  const auto& bootstrap_region =
+      regions.begin()->second.settings.operators.regions.bootstrap_region;
+  const bool founded = regions.at(bootstrap_region).store.revision_of(regions::quota_key(team)) > 0;
+  const QuotaAmounts whole =
+      founded ? regions::full_quota(*regions.at(bootstrap_region).settings.team(team))
+              : QuotaAmounts{};
   EXPECT_EQ(sum(team).values(), whole.values()) << team;
   std::int64_t used = 0;
   for (const auto& [name, region] : regions) {
     const auto& values = region.store.values();
-    const auto stored = values.find(regions::share_key(team));
-    const Amounts share =
-        stored == values.end() ? Amounts{} : *regions::read_share(stored->second.data);
-    EXPECT_FALSE((share - region.book->held(team)).any_negative()) << name << " counts on more";
+    const auto stored = values.find(regions::quota_key(team));
+    const QuotaAmounts share =
+        stored == values.end() ? QuotaAmounts{} : *regions::read_quota(stored->second.data);
+    EXPECT_FALSE((share - region.ledger->held(team)).any_negative()) << name << " counts on more";
     const auto work = region.work.find(team);
     if (work == region.work.end()) continue;
     used += work->second.used;
-    EXPECT_LE(work->second.used * Amounts::kUnit, share[Resource::gpus]) << name << ", " << team;
+    EXPECT_LE(work->second.used * QuotaAmounts::kUnit, share[Resource::gpus])
+        << name << ", " << team;
   }
   EXPECT_LE(static_cast<double>(used), limit_gpus) << team;
 }
--- a/tests/share_simulation.hpp
+++ b/tests/quota_simulation.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "regions/quota_ledger.hpp"
 #include "regions/records.hpp"
-#include "regions/share_book.hpp"
 
 namespace cranklock::testing {
 
@@ -30,7 +30,7 @@
     std::string data;
     std::uint64_t revision = 0;
   };
-  store::CompareAndSwapResult apply(const regions::ShareBook::Transaction& transaction);
+  store::CompareAndSwapResult apply(const regions::QuotaLedger::Transaction& transaction);
   std::vector<wire::StoredValue> under(const std::string& prefix) const;
   const std::map<std::string, Value>& values() const { return values_; }
   std::uint64_t revision_of(const std::string& key) const;
@@ -44,7 +44,7 @@
  public:
   static constexpr const char* kLeaderKey = "leader";
 
-  /// Teams have `limit` GPUs each, half of it guaranteed. The first region is the founder.
+  /// Teams have `limit` GPUs each, half of it guaranteed. The first region is the bootstrap region.
   ShareSimulation(std::vector<base::Region> regions, int teams, double limit = 12);
 
   /// Work of one team in one region, in GPUs.
@@ -55,10 +55,10 @@
   struct Region {
     base::Settings settings;
     KeyStore store;
-    std::unique_ptr<regions::ShareBook> book;
+    std::unique_ptr<regions::QuotaLedger> ledger;
     std::map<std::string, Work> work;
-    std::vector<regions::ShareBook::Transaction> late;  ///< of any leader
-    bool state_down = false;                            ///< refuses everything
+    std::vector<regions::QuotaLedger::Transaction> late;  ///< of any leader
+    bool state_down = false;                              ///< refuses everything
   };
   struct Message {
     std::string from, to;
@@ -75,16 +75,16 @@
   /// Delivers a message and keeps it, if `keep`, to come once more.
   void deliver(std::size_t index, bool keep = false);
   void drop(std::size_t index);
-  /// Starts what waits as far as the region's share allows, whole tasks of one GPU.
+  /// Starts what waits as far as the region's quota allows, whole tasks of one GPU.
   void place(const std::string& region);
   /// Everything is served and delivered, and all work is placed, until nothing changes.
   void settle(int rounds = 60);
 
-  regions::Amounts missing(const std::string& region, const std::string& team) const;
+  regions::QuotaAmounts missing(const std::string& region, const std::string& team) const;
   std::int64_t held_gpus(const std::string& region, const std::string& team) const;
-  /// GPUs of all stored shares and of transfers that no receiver has added.
+  /// GPUs of all stored quotas and of transfers that no receiver has added.
   std::int64_t sum_gpus(const std::string& team) const;
-  /// Fails the test unless shares and transfers add up and nothing is used beyond its share.
+  /// Fails the test unless quotas and transfers add up and nothing is used beyond its quota.
   void check() const;
 
   std::map<std::string, Region> regions;
@@ -99,7 +99,7 @@
   regions::TeamDemand demand(const Region& region, const std::string& team) const;
   bool is_cut(const std::string& from, const std::string& to) const;
   void check_team(const std::string& team) const;
-  regions::Amounts sum(const std::string& team) const;
+  regions::QuotaAmounts sum(const std::string& team) const;
 };
 
 }  // namespace cranklock::testing
--- a/tests/settings_compatibility_test.cpp
+++ b/tests/settings_compatibility_test.cpp
@@ -238,11 +238,11 @@
 TEST(SettingsXml, TheExampleOfRegionsIsRead) {
   const auto regions = read_xml(kRegionsExample).regions;
   EXPECT_EQ(regions.self, "east");
-  EXPECT_EQ(regions.founder, "east");
+  EXPECT_EQ(regions.bootstrap_region, "east");
   ASSERT_EQ(regions.regions.size(), 2U);
   const base::Region& east = regions.regions[0];
   EXPECT_EQ(east.name, "east");
-  EXPECT_EQ(east.first_share, 0.6);
+  EXPECT_EQ(east.initial_share, 0.6);
   ASSERT_EQ(east.controllers.size(), 3U);
   EXPECT_EQ(east.controllers[0].member, "winch-0");
   EXPECT_EQ(east.controllers[0].address, "10.1.0.1:7300");
@@ -252,7 +252,7 @@
   EXPECT_EQ(east.controllers[2].address, "10.1.0.3:7300");
   const base::Region& west = regions.regions[1];
   EXPECT_EQ(west.name, "west");
-  EXPECT_EQ(west.first_share, 0.4);
+  EXPECT_EQ(west.initial_share, 0.4);
   ASSERT_EQ(west.controllers.size(), 2U);
   EXPECT_EQ(west.controllers[0].member, "winch-0");
   EXPECT_EQ(west.controllers[0].address, "10.2.0.1:7300");
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -175,9 +175,9 @@
   const auto regions = load_settings(toml.path(), xml.path()).operators.regions;
   ASSERT_TRUE(regions.enabled());
   EXPECT_EQ(regions.self, "east");
-  EXPECT_EQ(regions.founder, "west");
+  EXPECT_EQ(regions.bootstrap_region, "west");
   ASSERT_EQ(regions.regions.size(), 2U);
-  EXPECT_DOUBLE_EQ(regions.find("west")->first_share, 0.75);
+  EXPECT_DOUBLE_EQ(regions.find("west")->initial_share, 0.75);
   EXPECT_EQ(regions.listen_address("n0"), "127.0.0.1:5");
   EXPECT_EQ(regions.listen_address("n1"), "");
   EXPECT_FALSE(load_settings(toml.path(), "").operators.regions.enabled());
--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -73,12 +73,12 @@
 
 TEST(StorageKeys, RegionsHaveTheirKeys) {
   EXPECT_STREQ(regions::kRegionsPrefix, "regions/");
-  EXPECT_STREQ(regions::kFounderKey, "regions/founder");
-  EXPECT_STREQ(regions::kSharesPrefix, "regions/shares/");
+  EXPECT_STREQ(regions::kBootstrapRegionKey, "regions/founder");
+  EXPECT_STREQ(regions::kQuotaPrefix, "regions/shares/");
   EXPECT_STREQ(regions::kSentPrefix, "regions/sent/");
   EXPECT_STREQ(regions::kOutPrefix, "regions/out/");
   EXPECT_STREQ(regions::kReceivedPrefix, "regions/received/");
-  EXPECT_EQ(regions::share_key("red"), "regions/shares/red");
+  EXPECT_EQ(regions::quota_key("red"), "regions/shares/red");
   EXPECT_EQ(regions::sent_key("west"), "regions/sent/west");
   EXPECT_EQ(regions::received_key("west"), "regions/received/west");
   EXPECT_EQ(regions::out_key("west", 42), "regions/out/west/00000000000000000042");
@@ -293,7 +293,7 @@
 // Regions.
 
 // The order is: CPUs guaranteed, CPUs at most, GPUs guaranteed, GPUs at most.
-const regions::Amounts kAmounts({1500, 2500, 3000, 4000});
+const regions::QuotaAmounts kAmounts({1500, 2500, 3000, 4000});
 
 TEST(StoredRegions, AmountsStandInTheirOrder) {
   EXPECT_EQ(kAmounts[regions::Resource::guaranteed_cpus], 1500);
@@ -304,8 +304,8 @@
 
 TEST(StoredRegions, AShareIsWrittenAndRead) {
   const std::string text = R"({"amounts":[1500,2500,3000,4000]})";
-  EXPECT_EQ(regions::write_share(kAmounts), text);
-  EXPECT_EQ(regions::read_share(text), kAmounts);
+  EXPECT_EQ(regions::write_quota(kAmounts), text);
+  EXPECT_EQ(regions::read_quota(text), kAmounts);
 }
 
 TEST(StoredRegions, TheNumberOfTheLastTransferIsWrittenAndRead) {
@@ -314,15 +314,15 @@
 }
 
 TEST(StoredRegions, ATransferIsWrittenAndRead) {
-  const regions::ShareTransfer transfer{42, "red", kAmounts};
+  const regions::QuotaTransfer transfer{42, "red", kAmounts};
   const std::string text = R"({"n":42,"team":"red","amounts":[1500,2500,3000,4000]})";
   EXPECT_EQ(regions::write_transfer(transfer), text);
   EXPECT_EQ(regions::read_transfer(text), transfer);
 }
 
 TEST(StoredRegions, TheFounderIsWrittenAndRead) {
-  EXPECT_EQ(regions::write_founder("east"), R"({"region":"east"})");
-  EXPECT_EQ(regions::read_founder(R"({"region":"east"})"), "east");
+  EXPECT_EQ(regions::write_bootstrap_region("east"), R"({"region":"east"})");
+  EXPECT_EQ(regions::read_bootstrap_region(R"({"region":"east"})"), "east");
 }
 
 // What a whole cluster stores.
--- a/tests/two_region_clusters.hpp
+++ b/tests/two_region_clusters.hpp
@@ -47,10 +47,10 @@
     }
   }
   static double held(TestCluster& cluster) {
-    const auto stored = cluster.state_service.values.find(regions::share_key("red"));
+    const auto stored = cluster.state_service.values.find(regions::quota_key("red"));
     if (stored == cluster.state_service.values.end()) return 0;
-    const auto amounts = regions::read_share(stored->second.data);
-    return static_cast<double>((*amounts)[regions::Resource::gpus]) / regions::Amounts::kUnit;
+    const auto amounts = regions::read_quota(stored->second.data);
+    return static_cast<double>((*amounts)[regions::Resource::gpus]) / regions::QuotaAmounts::kUnit;
   }
   static wire::JobSpec service(const std::string& id, std::uint32_t replicas) {
     return make_job(id, wire::JobKind::service, replicas, 1).spec;
