--- a/src/base/region_settings.hpp
+++ b/src/base/region_settings.hpp
@@ -17,8 +17,8 @@
 
 struct Region {
   std::string name;
-  /// Part of each team's guarantee and limit that the bootstrap region gives it at first, from 0 to 1. A
-  /// region that is added later has 0 and asks for what it needs.
+  /// Part of each team's guarantee and limit that the bootstrap region gives it at first, from 0
+  /// to 1. A region that is added later has 0 and asks for what it needs.
   double initial_share = 0;
   std::vector<RegionController> controllers;
 };
