--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -156,7 +156,7 @@
 
 TEST(Placement, TheMachineThatHoldsTheImageIsPreferred) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
-  fleet.cluster.machine("n-2")->images.emplace_back("img", 10);
+  fleet.cluster.machine("n-2")->images.push_back({"img", 10});
   Job& job = fleet.add(make_job("j-000001", JobKind::service, 1, 1));
   fleet.pass();
   EXPECT_EQ(job.placements.at(0).machine, "n-2");
