--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -11,14 +11,11 @@
 
 using net::Task;
 using sched::Job;
-using sched::Machine;
 using store::Status;
 
 LeaderTerm::LeaderTerm(Services services, LeaderLease& lease, net::Signal& lost,
                        regions::RegionNetwork* regions)
-    : services_(services),
-      lease_(lease),
-      status_(lease.fencing_token(), lost),
+    : status_(lease.fencing_token(), lost),
       cluster_(services.settings, lease.fencing_token(), services.reactor.now()),
       work_(services.reactor),
       context_{services, lease, status_, cluster_, work_, services.reactor.now()},
@@ -39,14 +36,14 @@
     regions::RegionNetwork* regions) {
   if (regions == nullptr) return nullptr;
   auto quotas = std::make_unique<regions::QuotaService>(
-      services_.reactor, services_.settings, services_.store, *regions,
-      wire::Compare{kLeaderKey, lease_.fencing_token()}, quota_callbacks());
+      context_.services.reactor, context_.services.settings, context_.services.store, *regions,
+      wire::Compare{kLeaderKey, context_.lease.fencing_token()}, quota_callbacks());
   cluster_.set_team_shares(&quotas->ledger());
   return quotas;
 }
 
 std::unique_ptr<MoveService> LeaderTerm::make_moves() {
-  if (!services_.settings.operators.defrag.moves) return nullptr;
+  if (!context_.services.settings.operators.defrag.moves) return nullptr;
   return std::make_unique<MoveService>(context_);
 }
 
@@ -91,7 +88,7 @@
     const bool loaded = co_await loading;
     co_return loaded ? LoadOutcome::loaded : LoadOutcome::store_unavailable;
   }
-  auto reading = services_.store.read(regions::kBootstrapRegionKey, kStoreTimeout);
+  auto reading = context_.services.store.read(regions::kBootstrapRegionKey, kStoreTimeout);
   const auto found = co_await reading;
   if (found.status == Status::not_found) co_return LoadOutcome::loaded;  // quota is not shared
   if (found.status != Status::ok) co_return LoadOutcome::store_unavailable;
@@ -102,7 +99,7 @@
 
 // Where none are stored the leader learns them from the cloud.
 Task<LeaderTerm::LoadOutcome> LeaderTerm::load_machine_types() {
-  auto reading = services_.store.read(kTypesKey, kStoreTimeout);
+  auto reading = context_.services.store.read(kTypesKey, kStoreTimeout);
   const auto found = co_await reading;
   if (found.status == Status::not_found) co_return LoadOutcome::loaded;
   if (found.status != Status::ok) co_return LoadOutcome::store_unavailable;
--- a/src/control/leader_term.hpp
+++ b/src/control/leader_term.hpp
@@ -74,8 +74,6 @@
   /// What quota shares ask of the cluster state and tell the decision loop.
   regions::QuotaService::Callbacks quota_callbacks();
 
-  Services services_;
-  LeaderLease& lease_;
   LeadershipStatus status_;
   sched::ClusterState cluster_;
   net::Signal work_;
--- a/src/control/record_keys.hpp
+++ b/src/control/record_keys.hpp
@@ -1,18 +1,17 @@
-// The keys under which the controllers of a region keep their state in the key-value store.
+// The keys under which the controllers of a region keep their state in the key-value store, and the
+// headers that declare their values.
 //
-//   key             value                                                          declared in
-//   --------------  ------------------------------------------------------------- -----------------
-//   jobs/<id>       a live job: its specification, progress and placements         job_record.hpp
-//   parts/<id>/<n>  the placements that do not fit there; written in the same      job_record.hpp
-//                   compare-and-swap as jobs/<id>
-//   ended/<id>      the outcome of a job that is over; it is kept and never small_records.hpp
-//                   changes
-//   leader          the leader, under the lease of the leadership; the revision small_records.hpp
-//                   of this key is the fencing token
-//   pools/<name>    machine count and time of the last scaling of a pool small_records.hpp types
-//   the machine types that the cloud listed last                   wire/cloud_api.hpp moves/... the
-//   plan of moves, and the switch that disables moves          move_service.hpp regions/... quota
-//   shares of this region and transfers between regions      regions/records.hpp
+// - jobs/<id>: a live job: its specification, progress and placements (job_record.hpp).
+// - parts/<id>/<n>: the placements that do not fit there; written in the same compare-and-swap as
+//   jobs/<id> (job_record.hpp).
+// - ended/<id>: the outcome of a job that is over; kept for ever, never changed
+// (small_records.hpp).
+// - leader: the leader, under the lease of the leadership; the revision of this key is the fencing
+//   token (small_records.hpp).
+// - pools/<name>: machine count and time of the last scaling of a pool (small_records.hpp).
+// - types: the machine types that the cloud listed last (wire/cloud_api.hpp).
+// - moves/...: the plan of moves, and the switch that disables moves (move_service.hpp).
+// - regions/...: quota of this region and transfers between regions (regions/records.hpp).
 //
 // Keys and values are shared with controllers of other versions (invariant 15): no name may change.
 #pragma once
