--- a/src/control/decision_loop.cpp
+++ b/src/control/decision_loop.cpp
@@ -34,7 +34,7 @@
     }
     if (context_.leadership.is_lost()) co_return;
     parts_.jobs.apply_changes();
-    parts_.outcomes.read_unknown();
+    parts_.outcomes.read_unknown_outcomes();
     if (is_pass_due()) run_pass();
     log_advice();
     auto writing = write_records();
@@ -93,12 +93,12 @@
 Task<void> DecisionLoop::write_records() {
   for (;;) {
     if (context_.leadership.is_lost()) co_return;
-    auto writing = parts_.writer.write_next();
+    auto writing = parts_.writer.write_next_batch();
     const auto written = co_await writing;
-    if (written == RecordWriter::Written::leadership_lost) {
+    if (written == RecordWriter::WriteResult::leadership_lost) {
       context_.leadership.step_down(LeadershipLoss::leader_key_changed);
     }
-    if (written != RecordWriter::Written::stored) co_return;
+    if (written != RecordWriter::WriteResult::stored) co_return;
     parts_.commands.send_commands();
     parts_.jobs.apply_changes();
     if (parts_.writer.take_dependency_done()) pass_expedited_ = true;
--- a/src/control/feasibility.cpp
+++ b/src/control/feasibility.cpp
@@ -22,14 +22,14 @@
   return type_allowed && zone_allowed && spec.resources.fits_in(type.resources);
 }
 
-/// The least that the job has allocated while it runs: the tasks of a job array may run one by one,
-/// those of a gang and of a service run all at once.
-wire::Resources resources_at_once(const JobSpec& spec) {
+/// The minimum resources allocated to the job while it runs: the tasks of a job array may run one
+/// at a time, those of a gang or of a service run concurrently.
+wire::Resources min_concurrent_resources(const JobSpec& spec) {
   if (spec.kind == wire::JobKind::job_array) return spec.resources;
   return spec.resources * static_cast<double>(spec.tasks);
 }
 
-/// A limit of 0 is none.
+/// A limit of 0 means unlimited.
 bool exceeds_limit(const base::Team& team, const wire::Resources& resources) {
   return (team.cpus_max > 0 && resources.cpus > team.cpus_max) ||
          (team.gpus_max > 0 && resources.gpus > team.gpus_max);
@@ -45,7 +45,8 @@
   const bool has_machine_type = std::any_of(
       types.begin(), types.end(), [&](const MachineType& type) { return allows(spec, type); });
   if (!has_machine_type) return Infeasibility::no_machine_type;
-  if (exceeds_limit(*team, resources_at_once(spec))) return Infeasibility::exceeds_team_limit;
+  if (exceeds_limit(*team, min_concurrent_resources(spec)))
+    return Infeasibility::exceeds_team_limit;
   return std::nullopt;
 }
 
--- a/src/control/feasibility.hpp
+++ b/src/control/feasibility.hpp
@@ -1,4 +1,4 @@
-// Whether a job can ever run, by its specification alone.
+// Checks whether a job can ever run, from its specification, the settings and the machine types.
 #pragma once
 
 #include <optional>
@@ -15,18 +15,18 @@
 enum class Infeasibility {
   depends_on_itself,
   unknown_team,
-  no_machine_type,          ///< that it allows has room for one of its tasks
-  exceeds_team_limit,       ///< with what it needs at once
-  dependency_not_accepted,  ///< it depends on a job that nobody accepted
+  no_machine_type,          ///< no allowed machine type is large enough for a task
+  exceeds_team_limit,       ///< by the resources that it needs concurrently
+  dependency_not_accepted,  ///< a dependency was never accepted
 };
 
-/// Why a job with this specification can never run, whatever jobs there are; none if it may. Must
-/// not be asked before the machine types are known, since a refusal is final.
+/// Returns why a job with this specification can never run, regardless of other jobs; none if it
+/// may run. Must not be called before the machine types are known, because a refusal is final.
 std::optional<Infeasibility> find_infeasibility(const wire::JobSpec& spec,
                                                 const base::Settings& settings,
                                                 const std::vector<wire::MachineType>& types);
 
-/// The reason as clients are told.
+/// The reason as sent to clients.
 std::string_view to_text(Infeasibility reason);
 
 }  // namespace cranklock::control
--- a/src/control/job_api.cpp
+++ b/src/control/job_api.cpp
@@ -18,7 +18,8 @@
 
 namespace {
 
-constexpr double kSlowAnswerS = 0.1;
+/// Response time up to which the limiters do not lower the number of requests in progress.
+constexpr double kSlowResponseS = 0.1;
 constexpr double kMinInProgress = 4;
 
 double max_in_progress(const base::Settings& settings) {
@@ -30,14 +31,15 @@
 }
 
 Response status_response(const std::string& id, const JobStatus& status) {
-  return make_response(200, wire::job_status(id, status.state, status.done, status.running));
+  return make_response(200,
+                       wire::job_status(id, status.state, status.done_tasks, status.running_tasks));
 }
 
 Response refusal(Infeasibility reason) {
   return unprocessable(to_text(reason));
 }
 
-/// A request in progress, which counts against a limit for as long as this object lives.
+/// Counts a request against a limiter during its lifetime.
 class RequestInProgress {
  public:
   RequestInProgress(net::Limiter& limiter, net::Reactor& reactor)
@@ -54,15 +56,15 @@
 
 }  // namespace
 
-JobApi::JobApi(Services services, std::function<bool()> state_reached)
+JobApi::JobApi(Services services, std::function<bool()> store_reachable)
     : services_(services),
-      lookup_(services.store, std::move(state_reached)),
+      lookup_(services.store, std::move(store_reachable)),
       dependency_check_(services.reactor, services.settings.cancel_s, lookup_),
       status_cache_(services.reactor, services.settings, services.store),
-      write_limiter_(kMinInProgress, max_in_progress(services.settings), kSlowAnswerS),
-      // One that waits for a delta sync is not slow.
+      write_limiter_(kMinInProgress, max_in_progress(services.settings), kSlowResponseS),
+      // Waiting for a delta sync does not count as slow.
       read_limiter_(kMinInProgress, max_in_progress(services.settings),
-                    kSlowAnswerS + 2 * status_cache_.interval()) {}
+                    kSlowResponseS + 2 * status_cache_.sync_interval_s()) {}
 
 Task<Response> JobApi::handle(Request request) {
   const bool is_read = request.method == "GET";
@@ -101,7 +103,7 @@
 
 Task<Response> JobApi::submit(std::string body) {
   auto submission = parse_submission(body);
-  body = std::string();  // its memory too
+  body = std::string();  // releases its memory
   if (!submission) {
     const SubmissionError& error = submission.error();
     Response malformed = bad_request(error.reason);
@@ -111,15 +113,15 @@
     co_return response;
   }
   wire::JobSpec& spec = *submission;
-  // Judged by the machine types as they are known now: they may be learnt while what is stored is
-  // looked up, and a refusal that rests on nothing would be final.
+  // Evaluated with the machine types known at this point. They may arrive during the lookups below,
+  // and a refusal that was not based on them would be final.
   std::optional<Response> refused;
-  if (!knows_types()) {
+  if (!has_types()) {
     refused = retry_later("the machine types are not known yet");
   } else if (const auto reason = find_infeasibility(spec, services_.settings, types_)) {
     refused = refusal(*reason);
   }
-  auto verdict = DependencyCheck::Verdict::clear;
+  auto verdict = DependencyCheck::Verdict::not_cancelled;
   if (!refused) {
     auto checking = dependency_check_.check(spec.dependencies);
     verdict = co_await checking;
@@ -136,19 +138,19 @@
   if (const JobOutcome* outcome = lookup_.known_outcome(spec.id)) {
     co_return state_response(200, spec.id, outcome->state);
   }
-  if (!lookup_.state_reached()) co_return store_unavailable();
+  if (!lookup_.store_reachable()) co_return store_unavailable();
   auto accepting = accept(std::move(spec), verdict == DependencyCheck::Verdict::cancelled);
   auto response = co_await accepting;
   co_return response;
 }
 
 Task<Response> JobApi::refuse_unless_stored(std::string id, Response refusal) {
-  auto looking = lookup_.find(id);
-  auto found = co_await looking;
+  auto finding = lookup_.find(id);
+  auto found = co_await finding;
   if (!found) co_return store_unavailable();
   if (found->state == StoredJob::State::absent) co_return refusal;
-  auto answering = respond_for_stored(id, std::move(*found));
-  auto response = co_await answering;
+  auto responding = respond_with_stored_state(id, std::move(*found));
+  auto response = co_await responding;
   co_return response;
 }
 
@@ -164,26 +166,27 @@
   }
   std::vector<wire::Compare> compares{{job_key(id), 0}, {outcome_key(id), 0}};
   std::vector<wire::Mutation> mutations{{job_key(id), values[0], 0}};
-  auto creating = services_.store.compare_and_swap(std::move(compares), std::move(mutations),
-                                                   kUserTimeout, store::Client::Priority::user);
+  auto creating =
+      services_.store.compare_and_swap(std::move(compares), std::move(mutations),
+                                       kClientRequestTimeoutS, store::Client::Priority::user);
   const auto created = co_await creating;
   if (created.status == Status::ok) {
     co_return state_response(201, id, cancelled ? JobState::cancelled : JobState::queued);
   }
   if (created.status == Status::rejected)
     co_return retry_later("the state service is not available");
-  // Known already, or unanswered: what is stored tells.
-  auto looking = lookup_.find(id);
-  auto found = co_await looking;
+  // The job already exists or the write was unanswered: the stored record decides.
+  auto finding = lookup_.find(id);
+  auto found = co_await finding;
   if (!found || found->state == StoredJob::State::absent) co_return store_unavailable();
-  auto answering = respond_for_stored(id, std::move(*found));
-  auto response = co_await answering;
+  auto responding = respond_with_stored_state(id, std::move(*found));
+  auto response = co_await responding;
   co_return response;
 }
 
-Task<Response> JobApi::respond_for_stored(std::string id, StoredJob found) {
-  auto telling = reportable_state(std::move(found));
-  const auto state = co_await telling;
+Task<Response> JobApi::respond_with_stored_state(std::string id, StoredJob found) {
+  auto resolving = reportable_state(std::move(found));
+  const auto state = co_await resolving;
   if (!state) co_return store_unavailable();
   co_return state_response(200, id, *state);
 }
@@ -191,7 +194,7 @@
 // ---- status ----
 
 Task<base::Result<JobState, JobApi::StateError>> JobApi::reportable_state(StoredJob found) {
-  constexpr int kMaxTries = 2;  // the record may change meanwhile
+  constexpr int kMaxTries = 2;  // the record may change before the cancellation is written
   for (int tries = 0; tries < kMaxTries; ++tries) {
     if (found.state == StoredJob::State::ended) co_return found.outcome.state;
     if (found.state == StoredJob::State::absent) co_return Failure(StateError::no_longer_stored);
@@ -208,8 +211,8 @@
     auto writing = write_cancellation(id, found);
     const auto written = co_await writing;
     if (written == Status::ok) co_return JobState::cancelled;
-    auto looking = lookup_.find(id);
-    auto found_again = co_await looking;
+    auto finding = lookup_.find(id);
+    auto found_again = co_await finding;
     if (!found_again) co_return Failure(StateError::lookup_failed);
     found = std::move(*found_again);
   }
@@ -219,27 +222,27 @@
 Task<Response> JobApi::status(std::string id) {
   if (!wire::valid_job_id(id)) co_return no_such_job();
   status_cache_.count_read();
-  const bool may_be_cached = status_cache_.is_worthwhile() &&
-                             lookup_.known_outcome(id) == nullptr && lookup_.state_reached();
+  const bool may_be_cached = status_cache_.is_cheaper_than_reads() &&
+                             lookup_.known_outcome(id) == nullptr && lookup_.store_reachable();
   if (may_be_cached) {
-    auto asking = status_cache_.find(id);
-    const auto status = co_await asking;
+    auto fetching = status_cache_.find(id);
+    const auto status = co_await fetching;
     if (status) co_return status_response(id, *status);
     if (status.error() == StatusMiss::store_unavailable) co_return store_unavailable();
   }
-  auto looking = lookup_.find(id);
-  auto found = co_await looking;
+  auto finding = lookup_.find(id);
+  auto found = co_await finding;
   if (!found) co_return store_unavailable();
   if (found->state == StoredJob::State::absent) co_return no_such_job();
   JobStatus status;
   if (found->state == StoredJob::State::ended) {
-    status.done = found->outcome.tasks;
+    status.done_tasks = found->outcome.tasks;
   } else {
-    status.done = found->job.done.size();
-    status.running = found->job.placements.size();
+    status.done_tasks = found->job.done.size();
+    status.running_tasks = found->job.placements.size();
   }
-  auto telling = reportable_state(std::move(*found));
-  const auto state = co_await telling;
+  auto resolving = reportable_state(std::move(*found));
+  const auto state = co_await resolving;
   if (!state) co_return store_unavailable();
   status.state = *state;
   co_return status_response(id, status);
@@ -252,18 +255,19 @@
   if (!main_value) co_return Status::rejected;
   std::vector<wire::Compare> compares{{job_key(id), found.job.record.revision}};
   std::vector<wire::Mutation> mutations{{job_key(id), std::move(*main_value), 0}};
-  auto writing = services_.store.compare_and_swap(std::move(compares), std::move(mutations),
-                                                  kUserTimeout, store::Client::Priority::user);
+  auto writing =
+      services_.store.compare_and_swap(std::move(compares), std::move(mutations),
+                                       kClientRequestTimeoutS, store::Client::Priority::user);
   const auto written = co_await writing;
   co_return written.status;
 }
 
 Task<Response> JobApi::cancel(std::string id) {
   if (!wire::valid_job_id(id)) co_return no_such_job();
-  const double deadline = services_.reactor.now() + 2 * kUserTimeout;
+  const double deadline = services_.reactor.now() + 2 * kClientRequestTimeoutS;
   while (services_.reactor.now() < deadline) {
-    auto looking = lookup_.find(id);
-    const auto found = co_await looking;
+    auto finding = lookup_.find(id);
+    const auto found = co_await finding;
     if (!found) break;
     if (found->state == StoredJob::State::absent) co_return no_such_job();
     if (found->state == StoredJob::State::ended) {
@@ -274,7 +278,7 @@
     const auto written = co_await writing;
     if (written == Status::ok) co_return state_response(200, id, JobState::cancelled);
     if (written == Status::rejected) break;
-    // The record changed meanwhile, or no answer came: look again.
+    // The record has changed, or the write was unanswered: look the job up again.
   }
   co_return store_unavailable();
 }
--- a/src/control/job_api.hpp
+++ b/src/control/job_api.hpp
@@ -1,5 +1,5 @@
-// The HTTP API for clients. Any node serves it, with or without a leader: every answer comes from
-// the key-value store, or from what can't change any more.
+// The HTTP API for clients. Every node serves it, with or without a leader: responses are based on
+// the key-value store, or on cached data that can no longer change.
 #pragma once
 
 #include <functional>
@@ -21,27 +21,28 @@
 
 /// Accepts, reports and cancels jobs.
 ///
-/// For each job the answers of all nodes form one order: absent, accepted, over (invariant 13).
-/// Requests are idempotent: a repeated submission or cancellation gets the state of the job.
+/// Across all nodes, the responses for a job only move forward in the order absent, accepted, ended
+/// (invariant 13). Requests are idempotent: a repeated submission or cancellation returns the state
+/// of the job.
 class JobApi {
  public:
-  /// `state_reached` says whether the key-value store has answered this node lately.
-  JobApi(Services services, std::function<bool()> state_reached);
+  /// `store_reachable` returns whether the key-value store has answered this node recently.
+  JobApi(Services services, std::function<bool()> store_reachable);
 
-  /// Answers anything under /v1/jobs.
+  /// Handles any request to /v1/jobs or below.
   net::Task<net::Response> handle(net::Request request);
 
-  /// The cloud's machine types, without which submissions are not judged.
+  /// Sets the cloud's machine types. Until then, submissions of new jobs get 503.
   void set_types(std::vector<wire::MachineType> types) { types_ = std::move(types); }
-  bool knows_types() const { return !types_.empty(); }
+  bool has_types() const { return !types_.empty(); }
 
  private:
-  /// Why a client can't be told the state of a job now.
+  /// Why the state of a job cannot be reported now.
   enum class StateError {
     lookup_failed,
     no_longer_stored,
     dependencies_undetermined,
-    contended,  ///< its record was changed again and again while a cancellation was written
+    contended,  ///< its record kept changing while a cancellation was being written
   };
 
   net::Task<net::Response> route(net::Request request);
@@ -49,25 +50,25 @@
   net::Task<net::Response> status(std::string id);
   net::Task<net::Response> cancel(std::string id);
 
-  /// The answer to a submission that is refused, unless the job is stored: a repeat of an accepted
-  /// job is answered with its state, whatever it says now.
+  /// Responds to a submission that would be refused. If the job is already stored, the submission
+  /// is a repeat and gets the job's state, whatever its body contains now.
   net::Task<net::Response> refuse_unless_stored(std::string id, net::Response refusal);
-  /// Creates the record. `cancelled`: together with a dependency.
+  /// Creates the record. `cancelled`: marked as cancelled, because a dependency is.
   net::Task<net::Response> accept(wire::JobSpec spec, bool cancelled);
-  /// The answer to a submission of a job that is stored already.
-  net::Task<net::Response> respond_for_stored(std::string id, StoredJob found);
-  /// The job's state as a client may be told it. A job that is cancelled with a dependency is
-  /// marked as cancelled in its record first.
+  /// Responds to a submission of a job that is already stored.
+  net::Task<net::Response> respond_with_stored_state(std::string id, StoredJob found);
+  /// The job's state to report to a client. If a dependency was cancelled, first marks the job as
+  /// cancelled in its record.
   net::Task<base::Result<wire::JobState, StateError>> reportable_state(StoredJob found);
-  /// Marks a live record as cancelled, and changes nothing else in it.
+  /// Marks a live record as cancelled, without any other change.
   net::Task<store::Status> write_cancellation(std::string id, const StoredJob& found);
 
   Services services_;
   JobLookup lookup_;
   DependencyCheck dependency_check_;
   StatusCache status_cache_;
-  net::Limiter write_limiter_;  ///< of submissions and cancellations
-  net::Limiter read_limiter_;   ///< apart, so that status requests hold up neither
+  net::Limiter write_limiter_;  ///< for submissions and cancellations
+  net::Limiter read_limiter_;   ///< separate, so that status requests do not delay writes
   std::vector<wire::MachineType> types_;
 };
 
--- a/src/control/job_lookup.cpp
+++ b/src/control/job_lookup.cpp
@@ -37,12 +37,13 @@
 
 Task<base::Result<StoredJob, LookupError>> JobLookup::find(std::string id) {
   if (const JobOutcome* known = known_outcome(id)) co_return ended_job(*known);
-  // Guards against clients that wait for a key-value store which does not answer this node: they
-  // are told at once, and find another node the sooner.
-  if (!state_reached_()) co_return Failure(LookupError::store_unavailable);
-  // First the live record, then the outcome: a job moves from the first to the second in one write
-  // and never back, so missing both, in this order, means that it was in neither when asked.
-  auto reading = store_.read(job_key(id), kUserTimeout);
+  // Fails immediately instead of letting clients wait for a key-value store that this node cannot
+  // reach, so that they try another node sooner.
+  if (!store_reachable_()) co_return Failure(LookupError::store_unavailable);
+  // Reads the live record first, then the outcome: one write replaces the first by the second,
+  // never the reverse. If both are missing in this order, neither existed at the time of the first
+  // read.
+  auto reading = store_.read(job_key(id), kClientRequestTimeoutS);
   auto read = co_await reading;
   if (read.status == Status::ok) co_return live_job(std::move(read.value));
   if (read.status != Status::not_found) co_return Failure(LookupError::store_unavailable);
@@ -52,7 +53,7 @@
 }
 
 Task<base::Result<StoredJob, LookupError>> JobLookup::find_outcome(std::string id) {
-  auto reading = store_.read(outcome_key(id), kUserTimeout);
+  auto reading = store_.read(outcome_key(id), kClientRequestTimeoutS);
   const auto read = co_await reading;
   if (read.status == Status::not_found) co_return StoredJob();
   if (read.status != Status::ok) co_return Failure(LookupError::store_unavailable);
--- a/src/control/job_lookup.hpp
+++ b/src/control/job_lookup.hpp
@@ -1,4 +1,4 @@
-// What is stored of a job, for the HTTP API of any node.
+// Looks up stored jobs for the HTTP API; available on every node.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,11 @@
 
 namespace cranklock::control {
 
-/// Seconds that a client's request may wait for the key-value store; clients wait 2 s for a status.
-inline constexpr double kUserTimeout = 1.5;
+/// Time limit for the key-value store accesses of a client's request; below the 2 s that clients
+/// wait for a status.
+inline constexpr double kClientRequestTimeoutS = 1.5;
 
-/// A job as the key-value store has it.
+/// The state of a job in the key-value store.
 struct StoredJob {
   enum class State {
     absent,  ///< neither a live record nor an outcome
@@ -26,12 +27,12 @@
     ended,
   };
   State state = State::absent;
-  /// Of a live job, without what stands in the parts of its record.
+  /// Of a live job, without the lists in the parts of its record.
   sched::Job job;
   std::string main_value;  ///< of a live job's record, as stored
-  JobOutcome outcome;      ///< of one that has ended
+  JobOutcome outcome;      ///< of an ended job
 
-  /// Whether a task of a live job was placed. None can have been before all dependencies were done.
+  /// Whether any task of a live job was ever placed, which implies that all dependencies were done.
   bool started() const {
     return !job.placements.empty() || job.done.size() > 0 || job.record.parts > 0;
   }
@@ -41,33 +42,33 @@
   }
 };
 
-/// Why it is not known whether a job is stored.
+/// Why a lookup failed. Neither error means that the job is absent.
 enum class LookupError {
-  store_unavailable,  ///< the key-value store did not answer, or is not asked at present
-  record_malformed,   ///< a record that this version can't read
+  store_unavailable,  ///< the key-value store did not answer, or is known to be unreachable
+  record_malformed,   ///< the record cannot be parsed by this version
 };
 
-/// Reads jobs from the key-value store, and remembers outcomes, which never change.
+/// Reads jobs from the key-value store. Caches outcomes, which never change.
 class JobLookup {
  public:
-  /// `state_reached` says whether the key-value store has answered this node lately.
-  JobLookup(store::Client& store, std::function<bool()> state_reached)
-      : store_(store), state_reached_(std::move(state_reached)), outcomes_(kMaxOutcomes) {}
+  /// `store_reachable` returns whether the key-value store has answered this node recently.
+  JobLookup(store::Client& store, std::function<bool()> store_reachable)
+      : store_(store), store_reachable_(std::move(store_reachable)), outcomes_(kMaxOutcomes) {}
 
-  /// Reads a job as it is stored at the earliest when this is called (invariant 13).
+  /// Looks up a job. The result is no older than this call (invariant 13).
   net::Task<base::Result<StoredJob, LookupError>> find(std::string id);
-  /// The outcome of a job; null when it is not remembered, whatever is stored.
+  /// The cached outcome of a job; null if it is not cached, whether or not one is stored.
   const JobOutcome* known_outcome(const std::string& id) const;
-  bool state_reached() const { return state_reached_(); }
+  bool store_reachable() const { return store_reachable_(); }
 
  private:
-  /// Some 150 bytes each. One that is forgotten costs a read when it is asked for.
+  /// Some 150 bytes each. A lookup of an evicted outcome costs a read.
   static constexpr std::size_t kMaxOutcomes = 4096;
 
   net::Task<base::Result<StoredJob, LookupError>> find_outcome(std::string id);
 
   store::Client& store_;
-  std::function<bool()> state_reached_;
+  std::function<bool()> store_reachable_;
   base::RecentMap<JobOutcome> outcomes_;
 };
 
--- a/src/control/job_record.cpp
+++ b/src/control/job_record.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr const char* kSpecField = "job";
-constexpr const char* kDependentSpecField = "dependent";  ///< of a job with dependencies
+constexpr const char* kDependentSpecField = "dependent";  ///< spec of a job with dependencies
 constexpr const char* kCreatedField = "at";               ///< time of day in ms
 constexpr const char* kCancelledField = "w";              ///< time of day in ms; 0: not cancelled
 constexpr const char* kLastAttemptField = "n";
@@ -28,15 +28,15 @@
 
 constexpr std::uint64_t kMaxParts = 64;
 
-/// The text of a field's name in a value. Such a text can't stand inside of a string of the value,
-/// where quotes are escaped.
+/// A field name as it appears in a value. This text cannot occur within a JSON string, where quotes
+/// are escaped.
 std::string field_text(const char* field) {
   return std::string("\"") + field + "\":";
 }
 
-// Writing.
+// ---- writing ----
 
-/// A list of a record, and how many of its items are written already.
+/// A list field of a record, and the number of its items written so far.
 struct ItemList {
   const char* field;
   std::vector<std::string> items;  ///< as JSON
@@ -63,9 +63,9 @@
   return list;
 }
 
-/// Appends a list field with as many items as the value has room for, possibly none.
+/// Appends a list field with as many items as fit into the value, possibly none.
 void append_list(std::string& value, ItemList& list, std::size_t max_bytes) {
-  // For brackets, names, the count of parts, and the time of a cancellation in place of the 0.
+  // For brackets, field names, the part count, and a cancellation time replacing the 0.
   constexpr std::size_t kReservedBytes = 64;
   value += "," + field_text(list.field) + "[";
   bool is_first = true;
@@ -78,7 +78,7 @@
   value += "]";
 }
 
-/// The main value without its lists and its closing brace.
+/// The main value up to its lists, without the closing brace.
 std::string begin_main_value(const sched::Job& job) {
   JsonWriter writer;
   writer.begin().key(job.spec.dependencies.empty() ? kSpecField : kDependentSpecField);
@@ -86,7 +86,8 @@
   writer.key(kCreatedField).integer(job.created_ms);
   writer.key(kCancelledField).integer(job.cancelled_at_ms);
   writer.key(kLastAttemptField).count(job.last_attempt);
-  // The revision that a write is conditional on identifies it: one write succeeds for each.
+  // The revision that a write is conditional on identifies the write: at most one write per
+  // revision succeeds.
   writer.key(kGenerationField).count(job.record.revision);
   writer.end();
   std::string value = writer.take();
@@ -94,12 +95,12 @@
   return value;
 }
 
-/// A part without its lists and its closing brace.
+/// A part up to its lists, without the closing brace.
 std::string begin_part(const sched::Job& job) {
   return "{" + field_text(kGenerationField) + std::to_string(job.record.revision);
 }
 
-// Reading.
+// ---- parsing ----
 
 bool read_done(const Json& list, sched::Job& job) {
   if (!list.IsArray()) return false;
@@ -126,7 +127,7 @@
   return true;
 }
 
-/// Adds the lists of a main value or of a part; returns what is wrong with them, if anything.
+/// Adds the lists of a main value or of a part; returns the error if one is malformed.
 std::optional<RecordError> add_lists(const Json& value, sched::Job& job) {
   const Json* done = wire::find(value, kDoneField);
   if (done != nullptr && !read_done(*done, job)) return malformed_field(kDoneField).error;
@@ -189,11 +190,11 @@
 PartStatus add_part(const std::string& text, std::uint64_t revision, sched::Job& job) {
   const JsonDocument document(text);
   if (!document.is_object()) return PartStatus::malformed;
-  // A cancellation changes the main value alone, and with it that one's revision.
+  // A cancellation rewrites only the main value, so its revision may be newer than its parts'.
   const auto generation = wire::read_count(document.root(), kGenerationField).value_or(0);
   const bool same_write =
       generation != 0 ? generation == job.record.generation : revision == job.record.revision;
-  if (!same_write) return PartStatus::of_another_write;
+  if (!same_write) return PartStatus::different_write;
   return add_lists(document.root(), job) ? PartStatus::malformed : PartStatus::added;
 }
 
--- a/src/control/job_record.hpp
+++ b/src/control/job_record.hpp
@@ -1,4 +1,4 @@
-// The stored record of a live job: a main value, and parts for what does not fit into it.
+// The stored record of a live job: a main value, and parts for list items that do not fit into it.
 #pragma once
 
 #include <cstdint>
@@ -10,37 +10,37 @@
 
 namespace cranklock::control {
 
-/// Formats a job's record: first the main value, then its parts, none longer than `max_bytes`
-/// unless the main value exceeds that without any list already.
+/// Formats a job's record: the main value, followed by its parts. None is longer than `max_bytes`,
+/// except for a main value that already exceeds it with empty lists.
 ///
-/// A job with dependencies has its specification under another field name. A controller of a
-/// version from before dependencies takes the record for malformed and leaves it alone, where it
-/// would otherwise start the job's tasks too early and write the record again without its
+/// The specification of a job with dependencies is stored under another field name. A controller
+/// version without support for dependencies then treats the record as malformed and leaves it
+/// unchanged. Otherwise it would start the tasks too early and rewrite the record without the
 /// dependencies (invariant 15).
 std::vector<std::string> write_record(const sched::Job& job, std::size_t max_bytes);
 
-/// Parses a main value. `stored_parts` of the job says how many parts belong to it; their lists are
-/// to be added with `add_part`.
+/// Parses a main value. `record.parts` of the result is the number of parts that belong to it; the
+/// caller adds their lists with `add_part`.
 RecordResult<sched::Job> read_record(const std::string& text);
 
 enum class PartStatus {
   added,
   malformed,
-  of_another_write,  ///< than the main value, which was written again while parts were read
+  different_write,  ///< the main value was written again while the parts were read
 };
 
-/// Adds the lists of a part to the job that was read from the main value. A part belongs to the
-/// main value if both carry the same generation; where the part carries none, if `revision`, the
-/// part's, is the main value's. After any other status than `added` the job is incomplete and must
-/// be discarded.
+/// Adds the lists of a part to the job parsed from the main value. A part belongs to the main value
+/// if both have the same generation or, for a part without a generation, if `revision` (the part's)
+/// equals the main value's. On any status but `added` the job is incomplete and must be discarded.
 PartStatus add_part(const std::string& text, std::uint64_t revision, sched::Job& job);
 
-/// The time of day at which the job of a main value was cancelled; 0: it was not. Does not parse
-/// the value, as the leader looks into every change.
+/// The time of day, in milliseconds, at which the job of a main value was cancelled; 0: not
+/// cancelled. Searches the text instead of parsing it, because the leader calls this for every
+/// change.
 std::int64_t read_cancelled_at_ms(const std::string& text);
 
-/// The main value of a job that is not cancelled, with the time of a cancellation set and nothing
-/// else changed, so that its parts stay valid.
+/// Sets the cancellation time in the main value of a job that is not cancelled. Nothing else
+/// changes, so the parts stay valid.
 RecordResult<std::string> with_cancellation(std::string text, std::int64_t cancelled_at_ms);
 
 }  // namespace cranklock::control
--- a/src/control/job_routes.cpp
+++ b/src/control/job_routes.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kGet = "GET";
 constexpr std::string_view kPost = "POST";
 
-/// The route that a path names, whatever the method.
+/// The route for a path, regardless of the method.
 JobRoute route_of_path(std::string_view path) {
   std::string_view rest = path.substr(kJobsPath.size());
   if (rest.empty()) return {JobAction::submit, ""};
--- a/src/control/job_routes.hpp
+++ b/src/control/job_routes.hpp
@@ -1,4 +1,4 @@
-// The paths under /v1/jobs.
+// Routing of requests to /v1/jobs and below.
 #pragma once
 
 #include <string>
@@ -10,22 +10,22 @@
 
 enum class JobAction { submit, status, cancel };
 
-/// What a request asks for.
+/// The action that a request selects, and the job it applies to.
 struct JobRoute {
   JobAction action = JobAction::submit;
   std::string job_id;  ///< as given in the path, not validated; empty for a submission
 };
 
-/// Why no route takes a request.
+/// Why a request has no route.
 struct RouteError {
   enum class Kind { no_such_path, method_not_allowed };
   Kind kind = Kind::no_such_path;
-  std::string_view allowed_method;  ///< of a path that exists
+  std::string_view allowed_method;  ///< for method_not_allowed
 
   bool operator==(const RouteError&) const = default;
 };
 
-/// The route of a request whose path is /v1/jobs or below it.
+/// Finds the route of a request; `path` must be /v1/jobs or below.
 base::Result<JobRoute, RouteError> find_job_route(std::string_view method, std::string_view path);
 
 }  // namespace cranklock::control
--- a/src/control/job_submission.hpp
+++ b/src/control/job_submission.hpp
@@ -1,4 +1,4 @@
-// The body of a job submission.
+// Parsing of job submission bodies.
 #pragma once
 
 #include <optional>
@@ -12,16 +12,16 @@
 
 /// Why a submission is malformed.
 struct SubmissionError {
-  /// The job's id if at least that is valid: where such a job was accepted, the submission is a
-  /// repeat and is answered with the job's state.
+  /// The job's id, if that field is valid. If a job with this id was accepted before, the
+  /// submission is a repeat and gets the job's state.
   std::optional<std::string> job_id;
-  std::string reason;  ///< as the client is told
+  std::string reason;  ///< as sent to the client
 };
 
-/// Parses a body; nothing refers to it afterwards.
+/// Parses a body. The result does not refer to it.
 ///
-/// Guards the memory of a small machine: a parsed tree may be twenty times as large as its text,
-/// and must not stay while the key-value store is waited for.
+/// The JSON tree is freed on return: it may be twenty times as large as its text, and would exhaust
+/// the memory of a small machine if kept during requests to the key-value store.
 base::Result<wire::JobSpec, SubmissionError> parse_submission(std::string_view body);
 
 }  // namespace cranklock::control
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A record that this version can't read is left alone: a newer version may have written it.
+/// Malformed records are logged and left unchanged: a newer version may have written them.
 void log_malformed(const std::string& key, const RecordError& error) {
   base::log_error("record malformed", base::field("key", key),
                   base::field("reason", to_string(error)));
@@ -33,7 +33,7 @@
 JobWatcher::JobWatcher(LeaderContext& context, RecordReloader& reloader, Callbacks callbacks)
     : context_(context), reloader_(reloader), callbacks_(std::move(callbacks)) {}
 
-// ---- failover ----
+// ---- initial load ----
 
 Task<bool> JobWatcher::load() {
   const double sent = context_.now();
@@ -46,7 +46,7 @@
     auto loading = load_job(value);
     if (!co_await loading) co_return false;
   }
-  known_before_ = sent;
+  changes_known_until_ = sent;
   co_return true;
 }
 
@@ -59,71 +59,74 @@
   job->record.revision = value.revision;
   if (job->record.parts > 0) {
     auto reading = reloader_.read_parts(*job);
-    if (co_await reading == RecordRead::unavailable) {
-      // It changed while it was read: read it again by itself.
+    if (co_await reading == RecordReadStatus::unavailable) {
+      // The record may have changed between the reads: reload it on its own.
       auto reloading = reloader_.reload(job->spec.id);
       const auto reloaded = co_await reloading;
-      co_return reloaded == RecordRead::complete;
+      co_return reloaded == RecordReadStatus::complete;
     }
   }
   upsert_job(std::move(*job));
   co_return true;
 }
 
-// The time on the steady clock at which a job was cancelled, at the latest. Guards against a
-// deletion put off by every change of leader: the record tells when its client cancelled, as well
-// as two clocks of the day agree. What came with the changes was not stored yet when all was known
-// last.
-double JobWatcher::cancelled_since(std::int64_t cancelled_at_ms) const {
+// Returns a lower bound of a cancellation's time, on this leader's steady clock. It is based on the
+// time of day in the record, allowing for the error of both nodes' clocks. If each leader counted
+// from when it first read the cancellation, every failover would postpone the deletion of machines
+// that still run the job's tasks. `changes_known_until_` is a lower bound as well: the cancellation
+// was not among the changes stored until then.
+double JobWatcher::cancellation_time(std::int64_t cancelled_at_ms) const {
   const auto& services = context_.services;
   const double now = context_.now();
   const double age_s = static_cast<double>(services.reactor.wall_ms() - cancelled_at_ms) / 1000 +
                        2 * services.settings.clock_error_s;
-  return std::min(std::max(now - std::max(age_s, 0.0), known_before_), now);
+  return std::min(std::max(now - std::max(age_s, 0.0), changes_known_until_), now);
 }
 
 void JobWatcher::upsert_job(Job job) {
-  if (job.cancelled()) job.cancelled_since = cancelled_since(job.cancelled_at_ms);
+  if (job.cancelled()) job.cancelled_since = cancellation_time(job.cancelled_at_ms);
   context_.cluster.upsert_job(std::move(job), context_.now());
 }
 
 // ---- changes ----
 
 Task<void> JobWatcher::follow() {
-  constexpr int kMaxUnanswered = 3;
+  constexpr int kMaxUnansweredWatches = 3;  // in a row
   const auto& settings = context_.services.settings;
-  // As long as the pause between renewals: what an answer proves is as old as its request.
-  const double hold_s = LeaderLease::lease_life(settings) / 4;
-  int unanswered = 0;  // watches in a row
+  // Equal to the interval between renewals: an answer proves the state only as of its request.
+  const double watch_wait_s = LeaderLease::lease_life(settings) / 4;
+  int unanswered_watches = 0;
   for (;;) {
     const double sent = context_.now();
-    auto watching = context_.services.store.watch(kJobsPrefix, revision_, hold_s);
+    auto watching = context_.services.store.watch(kJobsPrefix, revision_, watch_wait_s);
     auto result = co_await watching;
     if (result.status == Status::ok) {
-      unanswered = 0;
+      unanswered_watches = 0;
       revision_ = std::max(revision_, result.page.revision);
       on_changes(std::move(result.page.items), sent);
       continue;
     }
     context_.lease.fell_behind();
-    // Guards against an answer that is too long to be read, and so would be asked for for ever. In
-    // an outage renewals are not answered either.
+    // Repeated timeouts although lease renewals succeed: the response may be too long to be read,
+    // so that the same watch would never succeed. In an outage of the store, renewals fail as well.
     const bool renewed = context_.lease.confirmed_sent() > sent;
-    unanswered = result.status == Status::indeterminate && renewed ? unanswered + 1 : 0;
+    unanswered_watches =
+        result.status == Status::indeterminate && renewed ? unanswered_watches + 1 : 0;
     const bool too_far_behind = result.status == Status::compacted;
-    if (too_far_behind || unanswered >= kMaxUnanswered) {
-      auto reading = read_all_as_changes();
+    if (too_far_behind || unanswered_watches >= kMaxUnansweredWatches) {
+      auto reading = resync();
       if (co_await reading) {
-        unanswered = 0;
+        unanswered_watches = 0;
         continue;
       }
     }
-    Sleep pause(context_.services.reactor, std::min(settings.heartbeat_interval_s, hold_s) / 4);
+    Sleep pause(context_.services.reactor,
+                std::min(settings.heartbeat_interval_s, watch_wait_s) / 4);
     co_await pause;
   }
 }
 
-Task<bool> JobWatcher::read_all_as_changes() {
+Task<bool> JobWatcher::resync() {
   const double sent = context_.now();
   auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeout);
   auto jobs = co_await reading;
@@ -133,28 +136,28 @@
   co_return true;
 }
 
-// Cancellations are acted on as they come: other changes wait until no write of the leader's own is
-// under way, which may take as long as the key-value store pleases.
+// Applies cancellations immediately and queues all changes until no write of the leader is in
+// progress, which can take as long as the key-value store delays its answer.
 void JobWatcher::on_changes(std::vector<wire::StoredValue> values, double sent) {
   bool any_cancelled = false;
   for (auto& value : values) {
-    if (cancel_at_once(value)) any_cancelled = true;
+    if (apply_cancellation(value)) any_cancelled = true;
     pending_.push_back(std::move(value));
   }
   context_.lease.caught_up(sent);
-  known_before_ = std::max(known_before_, sent);
+  changes_known_until_ = std::max(changes_known_until_, sent);
   if (!pending_.empty()) context_.work.set();
   if (any_cancelled) callbacks_.job_cancelled();
 }
 
 // Cancels the job if this change is its cancellation; returns whether it is.
-bool JobWatcher::cancel_at_once(const wire::StoredValue& value) {
-  Job* known = context_.cluster.job(job_of_key(value.key));
+bool JobWatcher::apply_cancellation(const wire::StoredValue& value) {
+  Job* known = context_.cluster.job(job_id_from_key(value.key));
   if (known == nullptr || value.revision <= known->record.revision || known->cancelled())
     return false;
   const auto cancelled_at_ms = read_cancelled_at_ms(value.data);
   if (cancelled_at_ms == 0) return false;
-  context_.cluster.cancel(*known, cancelled_at_ms, cancelled_since(cancelled_at_ms));
+  context_.cluster.cancel(*known, cancelled_at_ms, cancellation_time(cancelled_at_ms));
   return true;
 }
 
@@ -167,7 +170,7 @@
 }
 
 void JobWatcher::apply_change(const wire::StoredValue& value) {
-  const auto id = job_of_key(value.key);
+  const auto id = job_id_from_key(value.key);
   const Job* known = context_.cluster.job(id);
   if (known != nullptr && value.revision <= known->record.revision) return;
   if (value.is_removed()) {
--- a/src/control/job_watcher.hpp
+++ b/src/control/job_watcher.hpp
@@ -1,4 +1,4 @@
-// Receives what all nodes write of jobs, and applies it to the leader's cluster state.
+// Watches the job records that all nodes write, and applies changes to the leader's cluster state.
 #pragma once
 
 #include <cstdint>
@@ -13,46 +13,47 @@
 
 namespace cranklock::control {
 
-/// Reads every live job when a leader term begins, then follows the changes that clients make
-/// through any node. Cancellations are acted on as they come; all else waits until no write of the
-/// leader's own is under way. It tells the leader lease up to when all changes are known (invariant
-/// 11).
+/// Loads all live jobs at the start of a leader term, then watches for changes that clients make
+/// through any node. Cancellations are applied on receipt; all other changes are queued until no
+/// write of the leader is in progress. Reports to the leader lease up to which time all changes
+/// have been received (invariant 11).
 class JobWatcher {
  public:
-  /// What the leader term is told.
+  /// Notifications to the leader term.
   struct Callbacks {
-    std::function<void()> job_accepted;   ///< a job has come that was not known
-    std::function<void()> job_cancelled;  ///< tasks may have to be stopped at once
+    std::function<void()> job_accepted;   ///< a new job was found
+    std::function<void()> job_cancelled;  ///< running tasks may have to be stopped
   };
 
-  /// Made when the term begins. All that is referred to outlives it.
+  /// Created at the start of a leader term. The context, the reloader and all that the callbacks
+  /// refer to must outlive the watcher.
   JobWatcher(LeaderContext& context, RecordReloader& reloader, Callbacks callbacks);
 
-  /// Reads all live jobs; false when the key-value store did not let it.
+  /// Loads all live jobs; false if a read from the key-value store failed.
   net::Task<bool> load();
-  /// Follows the changes from there until it is destroyed.
+  /// Watches for changes after `load` until the task is destroyed.
   net::Task<void> follow();
-  /// Applies the changes that wait. Called only between writes of the leader's own, so that a
-  /// record is never compared with one in flight.
+  /// Applies the queued changes. Called only between writes of the leader, so that a change is
+  /// never compared with a record whose write is in flight.
   void apply_changes();
-  /// Applies a job as it is stored.
+  /// Adds or replaces a job in the cluster state with its stored record.
   void upsert_job(sched::Job job);
 
  private:
   net::Task<bool> load_job(const wire::StoredValue& value);
-  net::Task<bool> read_all_as_changes();
+  net::Task<bool> resync();
   void on_changes(std::vector<wire::StoredValue> values, double sent);
-  bool cancel_at_once(const wire::StoredValue& value);
+  bool apply_cancellation(const wire::StoredValue& value);
   void apply_change(const wire::StoredValue& value);
-  double cancelled_since(std::int64_t cancelled_at_ms) const;
+  double cancellation_time(std::int64_t cancelled_at_ms) const;
 
   LeaderContext& context_;
   RecordReloader& reloader_;
   Callbacks callbacks_;
-  std::uint64_t revision_ = 0;             ///< up to which all changes have been received
-  std::deque<wire::StoredValue> pending_;  ///< changes that are received and not applied
-  /// When the request was sent whose answer brought the last changes.
-  double known_before_ = -1e9;
+  std::uint64_t revision_ = 0;             ///< all changes up to it have been received
+  std::deque<wire::StoredValue> pending_;  ///< changes received but not applied yet
+  /// Sending time of the latest answered read or watch: all earlier changes have been received.
+  double changes_known_until_ = -1e9;
 };
 
 }  // namespace cranklock::control
--- a/src/control/machine_type_loader.cpp
+++ b/src/control/machine_type_loader.cpp
@@ -27,7 +27,7 @@
       co_await storing;
     }
     if (types && !types->empty()) job_api_.set_types(std::move(*types));
-    const bool done = job_api_.knows_types() && is_stored_;
+    const bool done = job_api_.has_types() && is_stored_;
     Sleep pause(services_.reactor, done ? kInterval : retry_interval);
     co_await pause;
   }
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -55,7 +55,7 @@
 }
 
 bool Node::ready() const {
-  if (!job_api_.knows_types()) return false;
+  if (!job_api_.has_types()) return false;
   if (store_monitor_.reaches_store()) return true;
   // When no controller reaches the store, clients are better told so at once by one of them than
   // turned away by the load balancer, which takes its time to come back.
--- a/src/control/outcome_reader.cpp
+++ b/src/control/outcome_reader.cpp
@@ -11,27 +11,27 @@
 
 namespace {
 
-constexpr std::size_t kMaxAtOnce = 8;
+constexpr std::size_t kMaxConcurrentReads = 8;
 
 }  // namespace
 
-void OutcomeReader::read_unknown() {
+void OutcomeReader::read_unknown_outcomes() {
   const double now = context_.now();
   std::erase_if(retry_at_, [&](const auto& entry) { return entry.second <= now; });
   for (const auto& id : context_.cluster.unknown_outcomes()) {
-    if (reading_.size() >= kMaxAtOnce) return;
+    if (reads_in_progress_.size() >= kMaxConcurrentReads) return;
     if (retry_at_.contains(id)) continue;
-    if (reading_.insert(id).second) scope_.spawn(read_one(id));
+    if (reads_in_progress_.insert(id).second) scope_.spawn(read_and_record(id));
   }
 }
 
-Task<void> OutcomeReader::read_one(std::string id) {
+Task<void> OutcomeReader::read_and_record(std::string id) {
   auto reading = context_.services.store.read(outcome_key(id), kStoreTimeout);
   const auto found = co_await reading;
-  reading_.erase(id);
+  reads_in_progress_.erase(id);
   const auto outcome = read_outcome(found.status == Status::ok ? found.value.data : "");
   if (!outcome) {
-    // Not available now; or the job is live, and the changes of it are still to come.
+    // The read failed, or the job is still live and its record has not been received yet.
     retry_at_[id] = context_.now() + context_.services.settings.heartbeat_interval_s / 2;
     co_return;
   }
--- a/src/control/outcome_reader.hpp
+++ b/src/control/outcome_reader.hpp
@@ -1,4 +1,4 @@
-// Reads how dependencies of live jobs ended, where the leader has not seen it itself.
+// Reads the outcomes of dependencies that ended without being observed by this leader.
 #pragma once
 
 #include <map>
@@ -10,25 +10,26 @@
 
 namespace cranklock::control {
 
-/// Reads outcomes after a failover, and for jobs submitted after the end of a dependency. Each is
-/// read once for all dependents, a few at a time, beside everything else that the leader does. A
-/// job whose dependencies' outcomes are not all known waits, and holds up no other (invariant 14).
+/// Reads outcomes after a failover, and for jobs submitted after a dependency ended. Each outcome
+/// is read once for all dependents. A few reads run concurrently in the background. A job waits
+/// until the outcomes of all its dependencies are known, and does not delay other jobs (invariant
+/// 14).
 class OutcomeReader {
  public:
-  /// The context outlives the reader.
+  /// The context must outlive the reader.
   explicit OutcomeReader(LeaderContext& context) : context_(context) {}
 
-  /// Begins to read the outcomes that are not known, and wakes the decision loop after each. Called
-  /// in each round of that loop: a read that failed is repeated only then, after a pause.
-  void read_unknown();
+  /// Starts reads of the unknown outcomes, and wakes the decision loop after each one found. Called
+  /// in each round of that loop, which also retries failed reads after a delay.
+  void read_unknown_outcomes();
 
  private:
-  net::Task<void> read_one(std::string id);
+  net::Task<void> read_and_record(std::string id);
 
   LeaderContext& context_;
-  std::set<std::string> reading_;
-  std::map<std::string, double> retry_at_;  ///< by job whose outcome was not found
-  net::Scope scope_;                        ///< last, so that its routines end before what they use
+  std::set<std::string> reads_in_progress_;
+  std::map<std::string, double> retry_at_;  ///< by id of the job whose outcome was not found
+  net::Scope scope_;  ///< last member: its coroutines end before the state they use
 };
 
 }  // namespace cranklock::control
--- a/src/control/pool_store.cpp
+++ b/src/control/pool_store.cpp
@@ -16,7 +16,7 @@
   const auto records = co_await reading;
   if (records.status != Status::ok) co_return false;
   for (const auto& record : records.page.items) {
-    const auto name = pool_of_key(record.key);
+    const auto name = pool_name_from_key(record.key);
     const auto state = read_pool(record.data);
     // A malformed record counts as that of a pool that was never scaled.
     states[name] = state ? *state : sched::PoolState{};
--- a/src/control/record_batch.cpp
+++ b/src/control/record_batch.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// Of a request to the key-value store, with a margin below what it accepts.
+/// Maximum size of a request, with a margin below the limit of the key-value store.
 constexpr std::size_t kMaxRequestBytes = std::size_t{60} * 1024;
-constexpr std::size_t kEntryOverheadBytes = 100;    ///< of an entry's compare in the request
-constexpr std::size_t kMutationOverheadBytes = 40;  ///< of a mutation's field names and brackets
+constexpr std::size_t kEntryOverheadBytes = 100;    ///< encoded size of an entry's compare
+constexpr std::size_t kMutationOverheadBytes = 40;  ///< field names and brackets of a mutation
 
 Mutation put(std::string key, std::string value) {
   return {std::move(key), std::move(value), 0};
@@ -72,7 +72,7 @@
 BatchEntry make_outcome_entry(const Job& job, const JobOutcome& outcome,
                               std::size_t max_mutations) {
   BatchEntry entry = begin_entry(job);
-  entry.retires_job = true;
+  entry.is_outcome = true;
   entry.outcome = outcome;
   entry.mutations.push_back(remove(job_key(entry.job_id)));
   entry.mutations.push_back(put(outcome_key(entry.job_id), write_outcome(outcome)));
@@ -81,7 +81,7 @@
     if (entry.mutations.size() < max_mutations) {
       entry.mutations.push_back(remove(std::move(key)));
     } else {
-      entry.left_parts.push_back(std::move(key));
+      entry.remaining_parts.push_back(std::move(key));
     }
   }
   return entry;
@@ -92,7 +92,7 @@
 }
 
 RecordBatch::AddResult RecordBatch::add(BatchEntry entry) {
-  // A specification as it was stored under larger limits may exceed a value by itself.
+  // A specification accepted under larger limits may by itself exceed the value limit.
   if (longest_value(entry) > limits_.value_bytes) return AddResult::too_large;
   const std::size_t bytes = request_bytes(entry);
   if (mutations_.size() + entry.mutations.size() > limits_.mutations ||
--- a/src/control/record_batch.hpp
+++ b/src/control/record_batch.hpp
@@ -1,4 +1,4 @@
-// The records that the leader writes with one compare-and-swap.
+// Batches of job records that the leader writes in one compare-and-swap.
 #pragma once
 
 #include <cstddef>
@@ -14,57 +14,57 @@
 
 namespace cranklock::control {
 
-/// What a compare-and-swap may hold at present.
+/// Current limits of the key-value store for one compare-and-swap.
 struct BatchLimits {
-  std::size_t value_bytes = 0;
+  std::size_t value_bytes = 0;  ///< of each value
   std::size_t mutations = 0;
 };
 
-/// A job's record in a batch, and what the write of it means for the job once it is stored.
+/// One job's record in a batch, with the data needed to update the job once the write succeeds.
 struct BatchEntry {
   std::string job_id;
-  std::uint64_t revision = 0;  ///< of the stored record that it replaces
-  /// The job is over: its record goes, and its outcome is written.
-  bool retires_job = false;
-  JobOutcome outcome;                     ///< of a job that is over
-  std::vector<std::string> left_parts;    ///< of a job that is over: not removed with it
-  int parts = 0;                          ///< of a live job's record, besides its main value
-  std::vector<sched::PlacementKey> live;  ///< placements that the record names
-  std::vector<sched::PlacementKey> ended, abandoned;  ///< placements that it does not name any more
-  std::vector<wire::Mutation> mutations;              ///< the writes themselves
+  std::uint64_t revision = 0;  ///< of the stored record that this entry replaces
+  /// The job has ended: the entry removes its record and writes its outcome.
+  bool is_outcome = false;
+  JobOutcome outcome;                        ///< of an ended job
+  std::vector<std::string> remaining_parts;  ///< of an ended job: part keys to remove later
+  int parts = 0;  ///< of a live job: parts of the record besides the main value
+  std::vector<sched::PlacementKey> live;              ///< placements in the record
+  std::vector<sched::PlacementKey> ended, abandoned;  ///< placements no longer in the record
+  std::vector<wire::Mutation> mutations;
 };
 
-/// The entry that writes the record of a live job.
+/// Makes the entry that writes the record of a live job.
 BatchEntry make_record_entry(const sched::Job& job, std::size_t max_value_bytes);
 
-/// The entry that replaces the record of a job that is over by its outcome.
+/// Makes the entry that replaces the record of an ended job with its outcome.
 ///
-/// Guards against a record of more parts than a compare-and-swap may remove, as one stored before
-/// the limits fell: what is left is never read again, and is removed later.
+/// A record stored under larger limits may have more parts than one compare-and-swap may remove.
+/// The rest is listed in `remaining_parts`: these keys are never read again and are removed later.
 BatchEntry make_outcome_entry(const sched::Job& job, const JobOutcome& outcome,
                               std::size_t max_mutations);
 
-/// Collects entries for as long as one compare-and-swap has room. It is conditional on the leader's
-/// key and on the revision of each record that it replaces (invariant 1).
+/// Collects entries up to the limits of one compare-and-swap, which is conditional on the revisions
+/// of the leader key and of each record that it replaces (invariant 1).
 class RecordBatch {
  public:
   enum class AddResult {
     added,
-    batch_full,  ///< it has no room behind the entries that are in the batch already
-    too_large,   ///< it fits no compare-and-swap
+    batch_full,  ///< does not fit beside the entries already in the batch
+    too_large,   ///< exceeds the limits of a compare-and-swap by itself
   };
 
   RecordBatch(std::uint64_t fencing_token, BatchLimits limits);
 
   AddResult add(BatchEntry entry);
-  /// Removes these keys as well, as far as there is room; moves them from the queue into the batch.
+  /// Adds removals of these keys up to the mutation limit; moves them from the queue to the batch.
   void remove_stale_parts(std::deque<std::string>& stale_parts);
 
   bool empty() const { return mutations_.empty(); }
   const std::vector<wire::Compare>& compares() const { return compares_; }
   const std::vector<wire::Mutation>& mutations() const { return mutations_; }
   const std::vector<BatchEntry>& entries() const { return entries_; }
-  /// The keys taken by `remove_stale_parts`.
+  /// Keys added by `remove_stale_parts`.
   const std::vector<std::string>& stale_parts() const { return stale_parts_; }
 
  private:
@@ -76,7 +76,7 @@
   std::size_t bytes_ = 0;
 };
 
-/// The size of an entry in the request that carries it, at most.
+/// Upper bound of an entry's size in the encoded request.
 std::size_t request_bytes(const BatchEntry& entry);
 
 }  // namespace cranklock::control
--- a/src/control/record_error.hpp
+++ b/src/control/record_error.hpp
@@ -1,4 +1,4 @@
-// Why a stored record could not be read.
+// Errors found while parsing a stored record.
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace cranklock::control {
 
-/// What is wrong with a stored record.
+/// Why a stored record could not be parsed.
 struct RecordError {
   enum class Kind {
     not_an_object,    ///< the text is not JSON, or not a JSON object
-    malformed_field,  ///< a field is missing, of another type, or beyond its bounds
+    malformed_field,  ///< a field is missing, has the wrong type or is out of range
   };
 
   Kind kind = Kind::not_an_object;
@@ -21,7 +21,7 @@
   bool operator==(const RecordError&) const = default;
 };
 
-/// A record that was read, or what is wrong with its text.
+/// A parsed record, or why its text could not be parsed.
 template <typename Record>
 using RecordResult = base::Result<Record, RecordError>;
 
@@ -29,12 +29,12 @@
   return base::Failure(RecordError{RecordError::Kind::not_an_object, {}});
 }
 
-/// `field` refers to a string literal.
+/// `field` must refer to a string literal: the error keeps the view.
 inline base::Failure<RecordError> malformed_field(std::string_view field) {
   return base::Failure(RecordError{RecordError::Kind::malformed_field, field});
 }
 
-/// The error as log lines give it.
+/// The error as written to the log.
 inline std::string to_string(const RecordError& error) {
   if (error.kind == RecordError::Kind::not_an_object) return "not a JSON object";
   return "malformed field " + std::string(error.field);
--- a/src/control/record_keys.cpp
+++ b/src/control/record_keys.cpp
@@ -18,7 +18,7 @@
   return kJobsPrefix + job_id;
 }
 
-std::string job_of_key(const std::string& key) {
+std::string job_id_from_key(const std::string& key) {
   return without_prefix(key, kJobsPrefix);
 }
 
@@ -34,7 +34,7 @@
   return kPoolsPrefix + pool_name;
 }
 
-std::string pool_of_key(const std::string& key) {
+std::string pool_name_from_key(const std::string& key) {
   return without_prefix(key, kPoolsPrefix);
 }
 
--- a/src/control/record_keys.hpp
+++ b/src/control/record_keys.hpp
@@ -1,19 +1,19 @@
-// The keys under which the controllers of a region keep their state in the key-value store, and the
-// headers that declare their values.
+// Keys of the state that the controllers of a region share in the key-value store. The header in
+// parentheses declares the format of the value.
 //
-// - jobs/<id>: a live job: its specification, progress and placements (job_record.hpp).
-// - parts/<id>/<n>: the placements that do not fit there; written in the same compare-and-swap as
-//   jobs/<id> (job_record.hpp).
-// - ended/<id>: the outcome of a job that is over; kept for ever, never changed
-// (small_records.hpp).
-// - leader: the leader, under the lease of the leadership; the revision of this key is the fencing
-//   token (small_records.hpp).
-// - pools/<name>: machine count and time of the last scaling of a pool (small_records.hpp).
-// - types: the machine types that the cloud listed last (wire/cloud_api.hpp).
-// - moves/...: the plan of moves, and the switch that disables moves (move_service.hpp).
+// - jobs/<id>: specification, progress and placements of a live job (job_record.hpp).
+// - parts/<id>/<n>: completed task ranges and placements that do not fit into jobs/<id>; written in
+//   the same compare-and-swap as jobs/<id> (job_record.hpp).
+// - ended/<id>: outcome of an ended job; never changed or deleted (small_records.hpp).
+// - leader: the current leader, attached to the leader lease; the revision of this key is the
+//   fencing token (small_records.hpp).
+// - pools/<name>: machine count and last scaling time of a pool (small_records.hpp).
+// - types: machine types from the latest cloud listing (wire/cloud_api.hpp).
+// - moves/...: the move plan, and the switch that disables moves (move_service.hpp).
 // - regions/...: quota of this region and transfers between regions (regions/records.hpp).
 //
-// Keys and values are shared with controllers of other versions (invariant 15): no name may change.
+// Controllers of other versions read and write the same keys and values (invariant 15): names must
+// not change.
 #pragma once
 
 #include <string>
@@ -25,17 +25,17 @@
 inline constexpr const char* kJobsPrefix = "jobs/";
 inline constexpr const char* kPoolsPrefix = "pools/";
 
-/// The key of a live job's main value.
+/// Key of the main value of a live job's record.
 std::string job_key(const std::string& job_id);
-/// The id of the job whose main value has this key, which begins with kJobsPrefix.
-std::string job_of_key(const std::string& key);
-/// The key of a job's outcome.
+/// Inverse of `job_key`; `key` must start with kJobsPrefix.
+std::string job_id_from_key(const std::string& key);
+/// Key of a job's outcome.
 std::string outcome_key(const std::string& job_id);
-/// The key of one part of a job's record; parts are numbered from 0.
+/// Key of one part of a job's record; parts are numbered from 0.
 std::string part_key(const std::string& job_id, int part);
-/// The key of a pool's record.
+/// Key of a pool's record.
 std::string pool_key(const std::string& pool_name);
-/// The name of the pool whose record has this key, which begins with kPoolsPrefix.
-std::string pool_of_key(const std::string& key);
+/// Inverse of `pool_key`; `key` must start with kPoolsPrefix.
+std::string pool_name_from_key(const std::string& key);
 
 }  // namespace cranklock::control
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -23,7 +23,7 @@
 }
 
 Task<void> RecordReloader::run() {
-  constexpr std::size_t kMaxAtOnce = 8;
+  constexpr std::size_t kMaxConcurrentReads = 8;
   for (;;) {
     const double retry_interval_s = context_.services.settings.heartbeat_interval_s / 4;
     const double idle_interval_s = 4 * retry_interval_s;
@@ -32,8 +32,8 @@
     co_await wait;
     const std::vector<std::string> ids(requested_.begin(), requested_.end());
     for (const auto& id : ids) {
-      if (reading_.size() >= kMaxAtOnce) break;
-      if (reading_.insert(id).second) scope_.spawn(reload_requested(id));
+      if (reads_in_progress_.size() >= kMaxConcurrentReads) break;
+      if (reads_in_progress_.insert(id).second) scope_.spawn(reload_requested(id));
     }
   }
 }
@@ -41,50 +41,51 @@
 Task<void> RecordReloader::reload_requested(std::string id) {
   auto reading = reload(id);
   const auto read = co_await reading;
-  reading_.erase(id);
-  if (read != RecordRead::complete) co_return;
+  reads_in_progress_.erase(id);
+  if (read != RecordReadStatus::complete) co_return;
   requested_.erase(id);
   requested_signal_.set();
   context_.work.set();
 }
 
-Task<RecordRead> RecordReloader::read_parts(Job& job) {
+Task<RecordReadStatus> RecordReloader::read_parts(Job& job) {
   for (int part = 0; part < job.record.parts; ++part) {
     auto reading = context_.services.store.read(part_key(job.spec.id, part), kStoreTimeout);
     const auto found = co_await reading;
-    if (found.status != Status::ok) co_return RecordRead::unavailable;
+    if (found.status != Status::ok) co_return RecordReadStatus::unavailable;
     const auto added = add_part(found.value.data, found.value.revision, job);
-    if (added != PartStatus::added) co_return RecordRead::unavailable;
+    if (added != PartStatus::added) co_return RecordReadStatus::unavailable;
   }
-  co_return RecordRead::complete;
+  co_return RecordReadStatus::complete;
 }
 
-Task<RecordRead> RecordReloader::reload(std::string id) {
+Task<RecordReadStatus> RecordReloader::reload(std::string id) {
   constexpr int kMaxTries = 3;
   for (int tries = 0; tries < kMaxTries; ++tries) {
     auto reading = context_.services.store.read(job_key(id), kStoreTimeout);
     const auto found = co_await reading;
     if (found.status == Status::not_found) {
       context_.cluster.remove_job(id);
-      co_return RecordRead::complete;
+      co_return RecordReadStatus::complete;
     }
-    if (found.status != Status::ok) co_return RecordRead::unavailable;
+    if (found.status != Status::ok) co_return RecordReadStatus::unavailable;
     auto job = read_record(found.value.data);
-    if (!job) co_return RecordRead::unavailable;
+    if (!job) co_return RecordReadStatus::unavailable;
     job->record.revision = found.value.revision;
     auto reading_parts = read_parts(*job);
     const auto parts = co_await reading_parts;
-    if (parts != RecordRead::complete) continue;
-    // The changes may have overtaken this read. Nor does one of the same revision tell anything
-    // that is not known: a write of ours without an answer may still be carried out on top of it.
+    if (parts != RecordReadStatus::complete) continue;
+    // Retries if the watch has already delivered a newer revision. A read of the held revision is
+    // ignored: it says nothing about an unanswered write of this leader, which may still be applied
+    // on top of it.
     const Job* known = context_.cluster.job(id);
     if (known != nullptr && known->record.revision > job->record.revision) continue;
     if (known != nullptr && known->record.revision == job->record.revision)
-      co_return RecordRead::complete;
+      co_return RecordReadStatus::complete;
     upsert_job_(std::move(*job));
-    co_return RecordRead::complete;
+    co_return RecordReadStatus::complete;
   }
-  co_return RecordRead::unavailable;
+  co_return RecordReadStatus::unavailable;
 }
 
 }  // namespace cranklock::control
--- a/src/control/record_reloader.hpp
+++ b/src/control/record_reloader.hpp
@@ -1,4 +1,4 @@
-// Reads job records anew of which the leader's cluster state may be wrong.
+// Reloads job records that the leader's cluster state may not match.
 #pragma once
 
 #include <functional>
@@ -11,32 +11,32 @@
 
 namespace cranklock::control {
 
-/// Whether a record could be read.
-enum class RecordRead {
+/// Result of reading a record.
+enum class RecordReadStatus {
   complete,
-  unavailable,  ///< not answered, malformed, or changed again and again while it was read
+  unavailable,  ///< unanswered, malformed, or kept changing while it was read
 };
 
-/// Records that somebody else has changed, or that were seen in part only. Until such a record has
-/// been read it is not written. Each is read by itself, so that one that can't be read holds up
-/// neither the others nor decisions.
+/// Reloads records that another node has changed or that were received without their parts. A
+/// record is not written until it has been reloaded. Each record is read independently, so that an
+/// unreadable one delays neither the others nor the decision loop.
 class RecordReloader {
  public:
-  /// `upsert_job` applies what was read to the cluster state. All that is referred to outlives the
-  /// reloader.
+  /// `upsert_job` applies a reloaded job to the cluster state. The context, and all that
+  /// `upsert_job` refers to, must outlive the reloader.
   RecordReloader(LeaderContext& context, std::function<void(sched::Job)> upsert_job);
 
-  /// Has the record of this job read by `run`; repeated until it could be read.
+  /// Requests that `run` reloads the record of this job, retrying until it succeeds.
   void request(const std::string& id);
   bool is_requested(const std::string& id) const { return requested_.contains(id); }
-  /// Reads what is requested, until it is destroyed. Wakes the decision loop after each record.
+  /// Serves requests until the task is destroyed. Wakes the decision loop after each record.
   net::Task<void> run();
 
-  /// Reads one record now. A job without one is removed from the cluster state.
-  net::Task<RecordRead> reload(std::string id);
-  /// Adds the parts of a record to the job of its main value, whose revision is set. If they are
-  /// unavailable the job is incomplete and must be discarded.
-  net::Task<RecordRead> read_parts(sched::Job& job);
+  /// Reloads one record immediately. If there is none, removes the job from the cluster state.
+  net::Task<RecordReadStatus> reload(std::string id);
+  /// Adds the parts of a record to the job parsed from its main value; `record.revision` must be
+  /// set. If the result is `unavailable`, the job is incomplete and must be discarded.
+  net::Task<RecordReadStatus> read_parts(sched::Job& job);
 
  private:
   net::Task<void> reload_requested(std::string id);
@@ -45,8 +45,8 @@
   std::function<void(sched::Job)> upsert_job_;
   net::Signal requested_signal_;
   std::set<std::string> requested_;
-  std::set<std::string> reading_;
-  net::Scope scope_;  ///< last, so that its routines end before what they use
+  std::set<std::string> reads_in_progress_;
+  net::Scope scope_;  ///< last member: its coroutines end before the state they use
 };
 
 }  // namespace cranklock::control
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -22,15 +22,15 @@
   return std::find(keys.begin(), keys.end(), key) != keys.end();
 }
 
-/// Whether the write failed because this job's record is not the one that it was to replace. A
-/// failure that names no key counts for each.
+/// Whether the write failed because this job's record has another revision than expected. A failure
+/// that names no key counts for every record of the write.
 bool record_has_changed(const store::CompareAndSwapResult& result, const std::string& job_id) {
   return result.status == Status::precondition_failed &&
          (result.failed_keys.empty() || contains(result.failed_keys, job_key(job_id)));
 }
 
-/// No placement of the job can be on a machine any more, and none is still to come.
-bool is_over(const Job& job) {
+/// Whether the job has ended: no placement is left on a machine, and none will be made.
+bool has_ended(const Job& job) {
   return job.cancelled() ? job.live() == 0 : job.complete();
 }
 
@@ -39,25 +39,25 @@
 RecordWriter::RecordWriter(LeaderContext& context, RecordReloader& reloader)
     : context_(context), reloader_(reloader) {}
 
-Task<RecordWriter::Written> RecordWriter::write_next() {
-  if (now() < retry_at_) co_return Written::nothing;
+Task<RecordWriter::WriteResult> RecordWriter::write_next_batch() {
+  if (now() < retry_at_) co_return WriteResult::nothing_to_write;
   const RecordBatch batch = next_batch();
-  if (batch.empty()) co_return Written::nothing;
+  if (batch.empty()) co_return WriteResult::nothing_to_write;
   auto writing =
       context_.services.store.compare_and_swap(batch.compares(), batch.mutations(), kStoreTimeout);
   const auto result = co_await writing;
   if (result.status == Status::ok) {
     apply_stored(batch, result.revision);
-    co_return Written::stored;
+    co_return WriteResult::stored;
   }
   if (result.status == Status::precondition_failed && contains(result.failed_keys, kLeaderKey)) {
-    co_return Written::leadership_lost;
+    co_return WriteResult::leadership_lost;
   }
-  apply_not_stored(batch, result);
-  co_return Written::unresolved;
+  handle_failed_write(batch, result);
+  co_return WriteResult::unresolved;
 }
 
-// ---- what is written ----
+// ---- building batches ----
 
 RecordBatch RecordWriter::next_batch() {
   RecordBatch batch(context_.lease.fencing_token(), {context_.services.store.max_value_bytes(),
@@ -73,7 +73,7 @@
       job->record.dirty = false;
       job->record.dirty_since = 0;
     } else if (!std::exchange(job->record.too_large, true)) {
-      // Guards against one record that fits nowhere, which must not hold up all others.
+      // Skipped and logged once: a record that fits no batch must not block all other writes.
       base::log_error("record too large", base::field("job", job->spec.id),
                       base::field("bytes", bytes));
     }
@@ -83,7 +83,7 @@
 }
 
 BatchEntry RecordWriter::make_entry(const Job& job) const {
-  if (!is_over(job)) return make_record_entry(job, context_.services.store.max_value_bytes());
+  if (!has_ended(job)) return make_record_entry(job, context_.services.store.max_value_bytes());
   return make_outcome_entry(job, outcome_of(job), context_.services.store.max_mutations());
 }
 
@@ -91,29 +91,29 @@
   JobOutcome outcome;
   outcome.state = job.cancelled() ? wire::JobState::cancelled : wire::JobState::done;
   outcome.tasks = job.done.size();
-  // Kept only for dependents, whose own times count from here.
+  // Stored only for dependents: their waiting time starts at this time.
   const bool has_dependents = context_.cluster.dependencies().has_dependents(job.spec.id);
   if (has_dependents) outcome.ended_ms = context_.services.reactor.wall_ms();
   return outcome;
 }
 
-// ---- a write that was not carried out, or not answered ----
+// ---- failed and unanswered writes ----
 
-// What was refused, or failed for another record's sake, is written again as it then stands. So is
-// what was not answered: it may be carried out late, but conditions let only one of the two
-// through. Guards against resources that are given to others meanwhile: were what is stored now
-// taken for the last word, a team would exceed its limit when the late write makes its placements
-// good.
-void RecordWriter::apply_not_stored(const RecordBatch& batch,
-                                    const store::CompareAndSwapResult& result) {
+// Marks records for another write if the write was rejected, failed because of another record or
+// was unanswered. An unanswered write may still be applied later; the revision conditions let only
+// one of the two writes succeed. A read in between does not settle it: if its result were taken as
+// final, the resources would be given to other jobs, and the team would exceed its limit once the
+// late write made its placements durable.
+void RecordWriter::handle_failed_write(const RecordBatch& batch,
+                                       const store::CompareAndSwapResult& result) {
   stale_parts_.insert(stale_parts_.end(), batch.stale_parts().begin(), batch.stale_parts().end());
-  for (const auto& entry : batch.entries()) apply_entry_not_stored(entry, result);
+  for (const auto& entry : batch.entries()) handle_failed_entry(entry, result);
   if (result.status != Status::precondition_failed)
     retry_at_ = now() + context_.services.settings.heartbeat_interval_s / 8;
 }
 
-void RecordWriter::apply_entry_not_stored(const BatchEntry& entry,
-                                          const store::CompareAndSwapResult& result) {
+void RecordWriter::handle_failed_entry(const BatchEntry& entry,
+                                       const store::CompareAndSwapResult& result) {
   if (record_has_changed(result, entry.job_id)) {
     reloader_.request(entry.job_id);
     return;
@@ -125,18 +125,18 @@
   for (const auto& [task, attempt] : entry.live) {
     auto* placement = job->find(task, attempt);
     if (placement == nullptr || placement->ended) continue;
-    // One that is unresolved or abandoned by an earlier write stays so.
+    // A placement that an earlier write left unresolved or abandoned keeps that state.
     if (placement->write == PlacementWrite::pending) placement->write = PlacementWrite::unresolved;
   }
 }
 
-// ---- a write that was carried out ----
+// ---- successful writes ----
 
 void RecordWriter::apply_stored(const RecordBatch& batch, std::uint64_t revision) {
   for (const auto& entry : batch.entries()) {
     Job* job = context_.cluster.job(entry.job_id);
     if (job == nullptr) continue;
-    if (entry.retires_job) {
+    if (entry.is_outcome) {
       apply_outcome_stored(entry, *job);
     } else {
       apply_record_stored(entry, *job, revision);
@@ -150,7 +150,7 @@
   for (const auto& [task, attempt] : entry.live) {
     auto* placement = job.find(task, attempt);
     if (placement == nullptr) continue;
-    if (placement->abandoned()) {  // since the write was sent
+    if (placement->abandoned()) {  // after the write was sent
       context_.cluster.resolve_abandoned(job, *placement, now());
       job.record.dirty = true;
     }
@@ -166,9 +166,10 @@
   context_.cluster.forget_ended(job, ended);
 }
 
-// The write was answered: it is the outcome's proof for dependents (invariant 14).
+// Dependents may rely on the outcome only now that its write was confirmed (invariant 14).
 void RecordWriter::apply_outcome_stored(const BatchEntry& entry, const Job& job) {
-  stale_parts_.insert(stale_parts_.end(), entry.left_parts.begin(), entry.left_parts.end());
+  stale_parts_.insert(stale_parts_.end(), entry.remaining_parts.begin(),
+                      entry.remaining_parts.end());
   const bool done = entry.outcome.state == wire::JobState::done;
   base::log_info("job ended", base::field("job", entry.job_id),
                  base::field("outcome", done ? "done" : "cancelled"));
--- a/src/control/record_writer.hpp
+++ b/src/control/record_writer.hpp
@@ -1,4 +1,4 @@
-// Writes the records of jobs that have changed, and the outcomes of those that are over.
+// Writes the records of changed jobs and the outcomes of ended jobs.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,28 @@
 
 namespace cranklock::control {
 
-/// The leader's only writer of `jobs/` and `ended/`, one compare-and-swap after the other.
+/// The leader's only writer of `jobs/` and `ended/`; sends one compare-and-swap at a time.
 ///
-/// Each is conditional on the leader's key and on the revision of each record that it touches
-/// (invariant 1). One that is not answered is indeterminate: what it names keeps its resources, and
-/// it is written again under the same conditions until one of the two succeeds (invariants 1, 9).
+/// Each is conditional on the revisions of the leader key and of each record that it changes
+/// (invariant 1). The outcome of an unanswered write is indeterminate: its placements keep their
+/// resources, and the records are written again under the same conditions until one of the writes
+/// succeeds (invariants 1, 9).
 class RecordWriter {
  public:
-  enum class Written {
-    nothing,          ///< there is nothing to write, or not now
-    stored,           ///< one compare-and-swap has succeeded; there may be more to write
-    unresolved,       ///< refused, failed because a record has changed, or not answered
-    leadership_lost,  ///< the leader's key has changed
+  enum class WriteResult {
+    nothing_to_write,  ///< no record is due, or a retry delay is running
+    stored,            ///< one compare-and-swap succeeded; more records may be due
+    unresolved,        ///< rejected, failed because a record had changed, or unanswered
+    leadership_lost,   ///< the leader key has changed
   };
 
-  /// All that is referred to outlives the writer.
+  /// The arguments must outlive the writer.
   RecordWriter(LeaderContext& context, RecordReloader& reloader);
 
-  /// Writes what is most urgent, as much as one compare-and-swap takes. Called by the leader term
-  /// after each placement pass until there is nothing left to write.
-  net::Task<Written> write_next();
-  /// Whether a job with dependents was done since the last call.
+  /// Writes the most urgent records that fit into one compare-and-swap. The decision loop calls
+  /// this after each placement pass until no record is due.
+  net::Task<WriteResult> write_next_batch();
+  /// Whether a job with dependents completed since the last call.
   bool take_dependency_done() { return std::exchange(dependency_done_, false); }
 
  private:
@@ -44,14 +45,14 @@
   void apply_stored(const RecordBatch& batch, std::uint64_t revision);
   void apply_record_stored(const BatchEntry& entry, sched::Job& job, std::uint64_t revision);
   void apply_outcome_stored(const BatchEntry& entry, const sched::Job& job);
-  void apply_not_stored(const RecordBatch& batch, const store::CompareAndSwapResult& result);
-  void apply_entry_not_stored(const BatchEntry& entry, const store::CompareAndSwapResult& result);
+  void handle_failed_write(const RecordBatch& batch, const store::CompareAndSwapResult& result);
+  void handle_failed_entry(const BatchEntry& entry, const store::CompareAndSwapResult& result);
   double now() const { return context_.now(); }
 
   LeaderContext& context_;
   RecordReloader& reloader_;
-  double retry_at_ = 0;  ///< no write before, since the key-value store did not carry one out
-  /// Keys of parts of jobs that are over: never read again, removed when a write has room for it.
+  double retry_at_ = 0;  ///< no write before this time, after one was rejected or unanswered
+  /// Part keys of ended jobs. Never read again; removed by writes with spare mutations.
   std::deque<std::string> stale_parts_;
   bool dependency_done_ = false;
 };
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr double kShareOfRequests = 0.25;           ///< of this node's, for syncs
-constexpr double kMinIntervalS = kUserTimeout / 8;  ///< between two syncs
+constexpr double kMaxSyncRequestShare = 0.25;                     ///< of this node's store requests
+constexpr double kMinSyncIntervalS = kClientRequestTimeoutS / 8;  ///< between two syncs
 constexpr int kPageItems = 200;
 
 }  // namespace
@@ -32,7 +32,7 @@
   return status;
 }
 
-/// Marks that a request carries a sync out, and wakes the waiters when it no longer does.
+/// Marks a sync as in progress during its lifetime, and wakes the waiters at its end.
 class StatusCache::SyncInProgress {
  public:
   explicit SyncInProgress(StatusCache& cache) : cache_(cache) { cache_.sync_in_progress_ = true; }
@@ -47,7 +47,7 @@
   StatusCache& cache_;
 };
 
-/// Keeps a signal among the waiters for as long as this object lives.
+/// Registers a signal as a waiter during its lifetime.
 class StatusCache::WaiterRegistration {
  public:
   WaiterRegistration(std::vector<net::Signal*>& waiters, net::Signal& signal)
@@ -63,28 +63,28 @@
   net::Signal* signal_;
 };
 
-double StatusCache::interval() const {
-  return std::max(1 / (kShareOfRequests * store_.request_rate()), kMinIntervalS);
+double StatusCache::sync_interval_s() const {
+  return std::max(1 / (kMaxSyncRequestShare * store_.request_rate()), kMinSyncIntervalS);
 }
 
 void StatusCache::count_read() {
   reads_.note(reactor_.now());
 }
 
-bool StatusCache::is_worthwhile() {
-  return reads_.per_second(reactor_.now()) * interval() > 1;
+bool StatusCache::is_cheaper_than_reads() {
+  return reads_.per_second(reactor_.now()) * sync_interval_s() > 1;
 }
 
 Task<base::Result<JobStatus, StatusMiss>> StatusCache::find(std::string id) {
-  const double asked = reactor_.now();
-  const double deadline = asked + kUserTimeout;
-  while (last_successful_sync_sent_ < asked) {
-    const double left = deadline - reactor_.now();
-    if (last_failed_sync_sent_ >= asked || left <= 0) {
+  const double requested_at = reactor_.now();
+  const double deadline = requested_at + kClientRequestTimeoutS;
+  while (last_successful_sync_sent_ < requested_at) {
+    const double remaining_s = deadline - reactor_.now();
+    if (last_failed_sync_sent_ >= requested_at || remaining_s <= 0) {
       co_return Failure(StatusMiss::store_unavailable);
     }
     if (sync_in_progress_) {
-      auto waiting = wait_for_sync(left);
+      auto waiting = wait_for_sync(remaining_s);
       co_await waiting;
     } else {
       auto syncing = sync();
@@ -113,11 +113,11 @@
 
 Task<void> StatusCache::sync() {
   const SyncInProgress in_progress(*this);
-  net::Sleep pace(reactor_, std::max(last_sync_sent_ + interval() - reactor_.now(), 0.0));
+  net::Sleep pace(reactor_, std::max(last_sync_sent_ + sync_interval_s() - reactor_.now(), 0.0));
   co_await pace;
   last_sync_sent_ = reactor_.now();
   const double gap = last_sync_sent_ - last_successful_sync_sent_;
-  if (revision_ && gap > std::max(max_gap(), 2 * interval())) revision_.reset();
+  if (revision_ && gap > std::max(max_sync_gap_s(), 2 * sync_interval_s())) revision_.reset();
   if (!revision_) {
     auto syncing = full_sync();
     co_await syncing;
@@ -127,13 +127,13 @@
   co_await syncing;
   if (!revision_ || !next_page_) co_return;
   auto reading = read_next_page();
-  // A page that could not be read is read with the next sync.
+  // A page that could not be read is retried with the next sync.
   [[maybe_unused]] const auto revision = co_await reading;
 }
 
-// Begins a full sync with the first page. From here on delta syncs bring every change, and each is
-// followed by one more page. A job that is on none of the pages read so far is not cached yet, so
-// answers from the cache are as good as those with all changes.
+// Starts a full sync by reading the first page. Delta syncs then fetch all later changes, and each
+// is followed by one more page. Jobs on pages that are not read yet are not cached, so every cached
+// status reflects all changes.
 Task<void> StatusCache::full_sync() {
   jobs_ = base::RecentMap<Entry>(kMaxJobs);
   next_page_ = "";
@@ -148,9 +148,9 @@
   }
 }
 
-// Returns the revision at which the page was read, or why it was not.
+// Returns the revision at which the page was read, or the status of the failed read.
 Task<base::Result<std::uint64_t, Status>> StatusCache::read_next_page() {
-  auto reading = store_.read_page(kJobsPrefix, *next_page_, kPageItems, kUserTimeout);
+  auto reading = store_.read_page(kJobsPrefix, *next_page_, kPageItems, kClientRequestTimeoutS);
   const auto read = co_await reading;
   if (read.status != Status::ok) co_return Failure(read.status);
   const auto& values = read.page.items;
@@ -162,31 +162,32 @@
 
 Task<void> StatusCache::delta_sync() {
   const double sent = last_sync_sent_;
-  auto asking = store_.changes_since(kJobsPrefix, *revision_, kUserTimeout);
-  const auto changes = co_await asking;
+  auto fetching = store_.changes_since(kJobsPrefix, *revision_, kClientRequestTimeoutS);
+  const auto changes = co_await fetching;
   if (changes.status == Status::ok) {
     apply_values(changes.page.items);
     revision_ = std::max(*revision_, changes.page.revision);
     last_successful_sync_sent_ = sent;
     co_return;
   }
-  // Too far behind, or an answer too long to be read: a full sync is due.
+  // The revision was compacted, or the response may be too long to read: a full sync is due.
   if (changes.status != Status::rejected) revision_.reset();
   if (changes.status != Status::compacted) last_failed_sync_sent_ = sent;
 }
 
-// Applies values of a page, or changes. These never overlap in time, but a page may be newer than
-// the changes that follow it.
+// Applies the values of a page or of a delta sync. They are never fetched concurrently, but a page
+// may be newer than the changes of the following delta sync, so older revisions are skipped.
 void StatusCache::apply_values(const std::vector<wire::StoredValue>& values) {
   for (const auto& value : values) {
-    const auto id = job_of_key(value.key);
+    const auto id = job_id_from_key(value.key);
     const Entry* known = jobs_.find(id);
     if (known != nullptr && known->revision >= value.revision) continue;
     Entry entry;
     entry.revision = value.revision;
-    // A record that is removed or malformed has no status.
+    // A removed or malformed record has no status.
     if (const auto job = read_record(value.data)) {
-      // A job that waits for others may be cancelled with them: that takes more than its record.
+      // The status of a job that waits for dependencies also depends on whether one was cancelled,
+      // which its own record does not show.
       const bool waits = !job->spec.dependencies.empty() && job->placements.empty();
       if (!waits) entry.status = status_of(*job);
     }
--- a/src/control/status_cache.hpp
+++ b/src/control/status_cache.hpp
@@ -1,4 +1,4 @@
-// Answers many status requests about live jobs with few requests to the key-value store.
+// Serves many status requests for live jobs with few requests to the key-value store.
 #pragma once
 
 #include <cstdint>
@@ -17,30 +17,31 @@
 
 namespace cranklock::control {
 
-/// What clients are told of a job.
+/// Status of a job as reported to clients.
 struct JobStatus {
   wire::JobState state = wire::JobState::queued;
-  std::uint64_t done = 0, running = 0;  ///< tasks
+  std::uint64_t done_tasks = 0, running_tasks = 0;
 };
-/// The status of a live job by its own record, regardless of its dependencies.
+/// The status of a live job according to its own record, regardless of its dependencies.
 JobStatus status_of(const sched::Job& job);
 
-/// Why the cache does not know a job's status.
+/// Why the cache cannot return a job's status.
 enum class StatusMiss {
-  not_cached,         ///< to be looked up: over, never accepted, waiting for others, or not known
+  not_cached,         ///< look it up: ended, never accepted, waiting for dependencies or not cached
   store_unavailable,  ///< the key-value store did not answer
 };
 
-/// Keeps the status of live jobs up to date by delta syncs, each of which brings every change of
-/// jobs since the one before. A full sync, page by page, comes first and after gaps.
+/// Keeps the status of live jobs current with delta syncs, each of which fetches all job changes
+/// since the previous sync. A full sync, page by page, precedes the first delta sync and follows a
+/// gap.
 ///
-/// An answer rests on a sync that was sent after the request had come, so it is as new as a read of
-/// its own would be (invariant 13). Syncs are carried out by the requests themselves: one of those
-/// that wait carries the next sync out, the others are its waiters. When that one is cancelled,
-/// with its client's connection for instance, a waiter takes over.
+/// Each answer is based on a sync sent after the request arrived, so it is as recent as a separate
+/// read (invariant 13). There is no background task: one of the pending requests runs the next
+/// sync, and the others wait for it. If that request is cancelled, for example because its client
+/// disconnects, one of the waiters runs the sync instead.
 class StatusCache {
  public:
-  /// All that is referred to outlives the cache.
+  /// The arguments must outlive the cache.
   StatusCache(net::Reactor& reactor, const base::Settings& settings, store::Client& store)
       : reactor_(reactor),
         settings_(settings),
@@ -48,27 +49,28 @@
         reads_(kRateWindowS),
         jobs_(kMaxJobs) {}
 
-  /// Counts a status request. To be called for each, whether it is answered from here or not.
+  /// Counts a status request. Call it for each one, whether or not the cache answers it.
   void count_read();
-  /// Whether status requests come so often that syncs cost less than a read for each.
-  bool is_worthwhile();
-  /// Waits for a sync that is sent from now on, and answers from its result.
+  /// Whether status requests arrive more often than syncs are sent, so that syncs take fewer
+  /// requests to the store than one read for each.
+  bool is_cheaper_than_reads();
+  /// Waits for a sync sent after this call, and returns the status from its result.
   net::Task<base::Result<JobStatus, StatusMiss>> find(std::string id);
-  /// Seconds between two syncs: they take a quarter of this node's requests at most, and clients
-  /// wait for no more than an eighth of their patience.
-  double interval() const;
+  /// Seconds between two syncs. Syncs take at most a quarter of this node's store requests, and are
+  /// at least an eighth of the client request timeout apart.
+  double sync_interval_s() const;
 
  private:
-  /// Over which the rate of status requests is measured.
+  /// Window over which the rate of status requests is measured.
   static constexpr double kRateWindowS = 2.0;
-  /// Some 150 bytes each. A job that is forgotten costs a read when it is asked about.
+  /// Some 150 bytes each. A request for an evicted job costs a read.
   static constexpr std::size_t kMaxJobs = 16'384;
-  /// The answer to a delta sync should be no longer than this.
+  /// Target limit for the response to a delta sync.
   static constexpr double kMaxResponseKb = 1024;
 
   struct Entry {
     std::uint64_t revision = 0;
-    std::optional<JobStatus> status;  ///< none: it has to be looked up
+    std::optional<JobStatus> status;  ///< none: must be looked up
   };
   class SyncInProgress;
   class WaiterRegistration;
@@ -81,23 +83,24 @@
   base::Result<JobStatus, StatusMiss> find_cached(const std::string& id) const;
   void apply_values(const std::vector<wire::StoredValue>& values);
   void wake_waiters();
-  /// So long after a sync, the answer to a delta sync may be too long: a full sync is due.
-  double max_gap() const {
+  /// Seconds since the last sync after which the response to a delta sync could exceed
+  /// kMaxResponseKb, so that a full sync is due.
+  double max_sync_gap_s() const {
     return kMaxResponseKb / (settings_.state_write_rps * settings_.value_kb);
   }
 
   net::Reactor& reactor_;
   const base::Settings& settings_;
   store::Client& store_;
-  base::EventRate reads_;
+  base::EventRate reads_;  ///< status requests
   base::RecentMap<Entry> jobs_;
-  std::optional<std::uint64_t> revision_;  ///< up to which all changes are known; none: full sync
-  std::optional<std::string> next_page_;   ///< the key after which stored jobs are still unread
-  double last_sync_sent_ = -1e9;           ///< answered or not
+  std::optional<std::uint64_t> revision_;  ///< all changes up to it are applied; none: full sync
+  std::optional<std::string> next_page_;   ///< full sync: key after which the next page starts
+  double last_sync_sent_ = -1e9;           ///< whether or not it was answered
   double last_successful_sync_sent_ = -1e9;
-  double last_failed_sync_sent_ = -1e9;  ///< of one without an answer
-  bool sync_in_progress_ = false;        ///< one of the requests carries a sync out
-  std::vector<net::Signal*> waiters_;    ///< the others
+  double last_failed_sync_sent_ = -1e9;  ///< the last one that failed
+  bool sync_in_progress_ = false;        ///< a request is running a sync
+  std::vector<net::Signal*> waiters_;    ///< the requests that wait for it
 };
 
 }  // namespace cranklock::control
--- a/src/control/write_order.cpp
+++ b/src/control/write_order.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-constexpr double kDoneLag = 3;  ///< seconds; users expect `done` so soon after the last task
+/// Time within which users expect the state `done` after the last task has ended.
+constexpr double kMaxDoneLagS = 3;
 
-/// The jobs to write by class; a class keeps the order in which its jobs were added.
+/// The jobs to write, by class; each class preserves insertion order.
 struct JobsByClass {
   std::vector<Job*> overdue, starts, other;
 
-  std::vector<Job*>& of(WriteClass write_class) {
+  std::vector<Job*>& in_class(WriteClass write_class) {
     switch (write_class) {
       case WriteClass::overdue:
         return overdue;
@@ -28,22 +29,23 @@
   }
 };
 
-/// The job is cancelled and none of its tasks can be on a machine any more.
-bool is_cancelled_and_gone(const Job& job) {
+/// Whether the job is cancelled and none of its tasks can still be on a machine.
+bool is_cancelled_and_stopped(const Job& job) {
   return job.cancelled() && job.live() == 0;
 }
 
-bool has_unwritten_starts(const Job& job) {
+bool has_undurable_placements(const Job& job) {
   return std::any_of(
       job.placements.begin(), job.placements.end(),
       [](const sched::Placement& placement) { return !placement.durable() && !placement.ended; });
 }
 
-/// How long a changed record may wait. Users are told of a cancellation as soon as it is confirmed,
-/// or found in a dependency; the record of a cancelled job without tasks has more time, so that
-/// hundreds cancelled at once hold up nothing else.
+/// Maximum wait of a changed record. The outcome of a cancelled job without live placements may
+/// wait longer, because users see the cancellation as soon as it is confirmed or found in a
+/// dependency, before the outcome is written. So hundreds of jobs cancelled at once do not delay
+/// other writes.
 double max_wait_s(const Job& job, double cancel_s) {
-  return is_cancelled_and_gone(job) ? cancel_s / 4 : kDoneLag / 3;
+  return is_cancelled_and_stopped(job) ? cancel_s / 4 : kMaxDoneLagS / 3;
 }
 
 WriteClass classify(const Job& job, const sched::Dependencies& dependencies,
@@ -51,8 +53,8 @@
   if (context.now - job.record.dirty_since > max_wait_s(job, context.cancel_s))
     return WriteClass::overdue;
   const bool releases_dependents =
-      !is_cancelled_and_gone(job) && job.complete() && dependencies.has_dependents(job.spec.id);
-  if (has_unwritten_starts(job) || releases_dependents) return WriteClass::starts;
+      !is_cancelled_and_stopped(job) && job.complete() && dependencies.has_dependents(job.spec.id);
+  if (has_undurable_placements(job) || releases_dependents) return WriteClass::starts;
   return WriteClass::other;
 }
 
@@ -72,10 +74,10 @@
 std::vector<Job*> order_writes(sched::ClusterState& cluster, const WriteOrderContext& context) {
   JobsByClass jobs;
   for (auto& [id, job] : cluster.jobs()) {
-    if (is_cancelled_and_gone(job)) job.record.dirty = true;
+    if (is_cancelled_and_stopped(job)) job.record.dirty = true;
     if (!job.record.dirty || context.is_reloading(id)) continue;
     if (job.record.dirty_since == 0) job.record.dirty_since = context.now;
-    jobs.of(classify(job, cluster.dependencies(), context)).push_back(&job);
+    jobs.in_class(classify(job, cluster.dependencies(), context)).push_back(&job);
   }
   std::stable_sort(jobs.overdue.begin(), jobs.overdue.end(), [](const Job* left, const Job* right) {
     return left->record.dirty_since < right->record.dirty_since;
--- a/src/control/write_order.hpp
+++ b/src/control/write_order.hpp
@@ -1,4 +1,4 @@
-// In which order the records of changed jobs are written.
+// Order in which the records of changed jobs are written.
 #pragma once
 
 #include <functional>
@@ -9,27 +9,27 @@
 
 namespace cranklock::control {
 
-/// How soon a record should be written.
+/// Urgency of a record's write.
 enum class WriteClass {
-  overdue,  ///< it has waited for as long as it may
-  starts,   ///< tasks of the job, or of its dependents, can start only afterwards
+  overdue,  ///< exceeded its maximum wait
+  starts,   ///< tasks of the job or of its dependents cannot start before
   other,
 };
 
-/// What decides on the order of writes besides the jobs themselves.
+/// Inputs to the write order besides the jobs.
 struct WriteOrderContext {
-  double now = 0;       ///< on the steady clock
-  double cancel_s = 0;  ///< the setting
-  /// Whether the record of this job is to be read anew first, and so must not be written.
+  double now = 0;       ///< steady clock, in seconds
+  double cancel_s = 0;  ///< the setting of this name, in seconds
+  /// Whether the record of this job must be reloaded first, and so must not be written.
   std::function<bool(const std::string& job_id)> is_reloading;
 };
 
-/// The jobs whose records differ from what is stored, most urgent first. Overdue records and starts
-/// take turns, so that neither waits for all of the other; the rest follows. Marks jobs that are
-/// over as changed, and notes on each job since when it waits.
+/// Returns the jobs whose records differ from the stored ones, most urgent first. Overdue records
+/// and starts alternate, so that neither class delays all of the other; all other records follow.
+/// Marks cancelled jobs without live placements as dirty, and sets `dirty_since` where it is unset.
 ///
-/// Guards against outcomes that wait behind starts for ever: a job may be called done late, but
-/// only by a few seconds.
+/// Without the overdue class, a steady stream of starts would delay outcomes indefinitely; a job
+/// may be reported as done only a few seconds late.
 std::vector<sched::Job*> order_writes(sched::ClusterState& cluster,
                                       const WriteOrderContext& context);
 
--- a/tests/job_lookup_test.cpp
+++ b/tests/job_lookup_test.cpp
@@ -1,4 +1,4 @@
-// What a node reads of a job, and of its dependencies.
+// Job lookups and dependency checks against the key-value store.
 #include "control/job_lookup.hpp"
 
 #include <gtest/gtest.h>
@@ -18,18 +18,18 @@
     return await(lookup_.find(id));
   }
 
-  bool state_reached_ = true;
-  JobLookup lookup_{store_, [this] { return state_reached_; }};
+  bool store_reachable_ = true;
+  JobLookup lookup_{store_, [this] { return store_reachable_; }};
 };
 
-TEST_F(JobLookupTest, AJobThatIsStoredNowhereIsAbsent) {
+TEST_F(JobLookupTest, AJobWithoutRecordOrOutcomeIsAbsent) {
   const auto found = find(kJob);
   ASSERT_TRUE(found);
   EXPECT_EQ(found->state, StoredJob::State::absent);
   EXPECT_FALSE(found->cancelled());
 }
 
-TEST_F(JobLookupTest, ALiveJobIsReadWithTheRevisionAndTheTextOfItsRecord) {
+TEST_F(JobLookupTest, ALiveJobHasTheRevisionAndTextOfItsRecord) {
   const auto job = make_service(kJob);
   store_job(job);
   const auto found = find(kJob);
@@ -42,7 +42,7 @@
   EXPECT_FALSE(found->cancelled());
 }
 
-TEST_F(JobLookupTest, ACancelledJobIsCancelledLiveAndEnded) {
+TEST_F(JobLookupTest, ACancelledJobIsReportedAsCancelledBothLiveAndEnded) {
   store_cancelled_job(kJob);
   EXPECT_TRUE(find(kJob)->cancelled());
   store_outcome(kJob, kCancelledOutcome);
@@ -51,32 +51,32 @@
   EXPECT_TRUE(ended->cancelled());
 }
 
-TEST_F(JobLookupTest, AnOutcomeIsRememberedAndNotReadAgain) {
+TEST_F(JobLookupTest, AnOutcomeIsCachedAndNotReadAgain) {
   store_outcome(kJob, kDone);
   EXPECT_EQ(lookup_.known_outcome(kJob), nullptr);
   EXPECT_EQ(find(kJob)->outcome.tasks, 2U);
   ASSERT_NE(lookup_.known_outcome(kJob), nullptr);
   const int calls_before = transport_.calls;
-  state_reached_ = false;
+  store_reachable_ = false;
   EXPECT_EQ(find(kJob)->state, StoredJob::State::ended);
   EXPECT_EQ(transport_.calls, calls_before);
 }
 
-TEST_F(JobLookupTest, WhatThisVersionCanNotReadIsAnErrorAndNotAbsence) {
+TEST_F(JobLookupTest, AMalformedRecordIsAnErrorAndNotAbsence) {
   write({{job_key(kJob), "{}", 0}});
   EXPECT_EQ(find(kJob).error(), LookupError::record_malformed);
   store_outcome(kJob, "{}");
   EXPECT_EQ(find(kJob).error(), LookupError::record_malformed);
 }
 
-TEST_F(JobLookupTest, ARefusalIsAnErrorAndNotAbsence) {
+TEST_F(JobLookupTest, ARefusedReadIsAnErrorAndNotAbsence) {
   transport_.refusal_status = 503;
   EXPECT_EQ(find(kJob).error(), LookupError::store_unavailable);
 }
 
-// Guards against clients that wait for a key-value store which does not answer this node.
-TEST_F(JobLookupTest, AStoreThatIsOutOfReachIsNotAsked) {
-  state_reached_ = false;
+// Clients must not wait for the timeout of a key-value store that this node cannot reach.
+TEST_F(JobLookupTest, AnUnreachableStoreIsNotRead) {
+  store_reachable_ = false;
   EXPECT_EQ(find(kJob).error(), LookupError::store_unavailable);
   EXPECT_EQ(transport_.calls, 0);
 }
@@ -91,7 +91,7 @@
   Verdict check(std::vector<std::string> dependencies) {
     return await(check_.check(std::move(dependencies)));
   }
-  /// A live job that depends on another.
+  /// Stores a live job that depends on another.
   void store_dependent(const std::string& id, const std::string& dependency) {
     auto job = make_service(id);
     job.spec.dependencies = {dependency};
@@ -101,13 +101,13 @@
   DependencyCheck check_{reactor_, settings_.cancel_s, lookup_};
 };
 
-TEST_F(DependencyCheckTest, LiveAndDoneDependenciesAreClear) {
+TEST_F(DependencyCheckTest, LiveAndDoneDependenciesAreNotCancelled) {
   store_job(kJob);
   store_outcome(kOther, kDone);
-  EXPECT_EQ(check({kJob, kOther}), Verdict::clear);
+  EXPECT_EQ(check({kJob, kOther}), Verdict::not_cancelled);
 }
 
-TEST_F(DependencyCheckTest, ACancelledDependencyIsFoundLiveAndEnded) {
+TEST_F(DependencyCheckTest, ACancelledDependencyIsFoundBothLiveAndEnded) {
   store_cancelled_job(kJob);
   EXPECT_EQ(check({kJob}), Verdict::cancelled);
   store_outcome(kJob, kCancelledOutcome);
@@ -120,28 +120,28 @@
   EXPECT_EQ(check({kJob}), Verdict::cancelled);
 }
 
-TEST_F(DependencyCheckTest, ADirectDependencyThatWasNeverAcceptedOutweighsACancelledOne) {
+TEST_F(DependencyCheckTest, ANeverAcceptedDirectDependencyTakesPrecedenceOverACancelledOne) {
   store_cancelled_job(kJob);
   EXPECT_EQ(check({kJob, kOther}), Verdict::never_accepted);
 }
 
-TEST_F(DependencyCheckTest, WithoutAnAnswerOfTheStoreTheVerdictIsUndetermined) {
+TEST_F(DependencyCheckTest, WithoutAStoreResponseTheVerdictIsUndetermined) {
   store_job(kJob);
   transport_.refusal_status = 503;
   EXPECT_EQ(check({kJob}), Verdict::undetermined);
 }
 
-// Guards against `queued` that is told long after a cancellation.
-TEST_F(DependencyCheckTest, ALiveDependencyIsTrustedForAQuarterOfCancelS) {
+// The cache must not report `queued` long after a dependency was cancelled (invariant 14).
+TEST_F(DependencyCheckTest, ALiveDependencyIsCachedForAQuarterOfCancelS) {
   store_job(kJob);
-  ASSERT_EQ(check({kJob}), Verdict::clear);
+  ASSERT_EQ(check({kJob}), Verdict::not_cancelled);
   store_cancelled_job(kJob);
-  EXPECT_EQ(check({kJob}), Verdict::clear);
+  EXPECT_EQ(check({kJob}), Verdict::not_cancelled);
   run(settings_.cancel_s / 4);
   EXPECT_EQ(check({kJob}), Verdict::cancelled);
 }
 
-TEST_F(DependencyCheckTest, MoreDependenciesThanFitARequestAreReadByRepeatedOnes) {
+TEST_F(DependencyCheckTest, DependenciesBeyondTheReadLimitAreCheckedByARetry) {
   constexpr int kDependencies = 40;
   std::vector<std::string> dependencies;
   for (int i = 0; i < kDependencies; ++i) {
@@ -149,13 +149,13 @@
     store_job(dependencies.back());
   }
   EXPECT_EQ(check(dependencies), Verdict::undetermined);
-  EXPECT_EQ(check(dependencies), Verdict::clear);
+  EXPECT_EQ(check(dependencies), Verdict::not_cancelled);
 }
 
-TEST_F(DependencyCheckTest, ACycleEnds) {
+TEST_F(DependencyCheckTest, ADependencyCycleTerminates) {
   store_dependent(kJob, kOther);
   store_dependent(kOther, kJob);
-  EXPECT_EQ(check({kJob}), Verdict::clear);
+  EXPECT_EQ(check({kJob}), Verdict::not_cancelled);
 }
 
 }  // namespace
--- a/tests/job_routes_test.cpp
+++ b/tests/job_routes_test.cpp
@@ -1,4 +1,4 @@
-// The paths of the HTTP API for clients.
+// Routes of the HTTP API for clients.
 #include "control/job_routes.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
   return {RouteError::Kind::method_not_allowed, method};
 }
 
-TEST(JobRoutes, ASubmissionIsPostedToAllJobs) {
+TEST(JobRoutes, ASubmissionIsAPostToTheCollection) {
   const auto route = find_job_route("POST", "/v1/jobs");
   ASSERT_TRUE(route);
   EXPECT_EQ(route->action, JobAction::submit);
@@ -20,7 +20,7 @@
   EXPECT_EQ(find_job_route("GET", "/v1/jobs").error(), only_allows("POST"));
 }
 
-TEST(JobRoutes, AStatusIsReadFromAJob) {
+TEST(JobRoutes, AStatusRequestIsAGetOfAJob) {
   const auto route = find_job_route("GET", "/v1/jobs/j-000412");
   ASSERT_TRUE(route);
   EXPECT_EQ(route->action, JobAction::status);
@@ -28,7 +28,7 @@
   EXPECT_EQ(find_job_route("POST", "/v1/jobs/j-000412").error(), only_allows("GET"));
 }
 
-TEST(JobRoutes, ACancellationIsPostedBelowAJob) {
+TEST(JobRoutes, ACancellationIsAPostBelowAJob) {
   const auto route = find_job_route("POST", "/v1/jobs/j-000412/withdraw");
   ASSERT_TRUE(route);
   EXPECT_EQ(route->action, JobAction::cancel);
@@ -36,14 +36,14 @@
   EXPECT_EQ(find_job_route("GET", "/v1/jobs/j-000412/withdraw").error(), only_allows("POST"));
 }
 
-TEST(JobRoutes, OtherPathsDoNotExistWhateverTheMethod) {
+TEST(JobRoutes, OtherPathsDoNotExistForAnyMethod) {
   for (const char* method : {"GET", "POST", "DELETE"}) {
     EXPECT_EQ(find_job_route(method, "/v1/jobs/j-000412/tasks").error(), kNoSuchPath);
     EXPECT_EQ(find_job_route(method, "/v1/jobs/j-000412/0/withdraw").error(), kNoSuchPath);
   }
 }
 
-TEST(JobRoutes, AnIdIsTakenAsItIsGiven) {
+TEST(JobRoutes, AnIdIsNotValidated) {
   EXPECT_EQ(find_job_route("GET", "/v1/jobs/").value().job_id, "");
   EXPECT_EQ(find_job_route("GET", "/v1/jobs/withdraw").value().job_id, "withdraw");
 }
--- a/tests/job_submission_test.cpp
+++ b/tests/job_submission_test.cpp
@@ -1,4 +1,4 @@
-// What a submission's body says, and whether its job can ever run.
+// Parsing of submissions, and the check whether a job can ever run.
 #include "control/job_submission.hpp"
 
 #include <gtest/gtest.h>
@@ -15,20 +15,20 @@
 using testing::make_job;
 using testing::small_settings;
 
-/// The body of a complete submission with one text in place of another.
+/// The body of a complete submission with `from` replaced by `to`.
 std::string body_with(const std::string& from, const std::string& to) {
   std::string body = kCompleteJob;
   body.replace(body.find(from), from.size(), to);
   return body;
 }
 
-TEST(JobSubmission, ACompleteOneIsParsed) {
+TEST(JobSubmission, ACompleteSubmissionIsParsed) {
   const auto spec = parse_submission(kCompleteJob);
   ASSERT_TRUE(spec);
   testing::expect_complete_job(*spec);
 }
 
-TEST(JobSubmission, OneThatIsNoObjectHasNeitherIdNorFields) {
+TEST(JobSubmission, ABodyThatIsNotAnObjectIsRefusedWithoutAnId) {
   for (const char* body : {"", "[]", "{"}) {
     const auto error = parse_submission(body).error();
     EXPECT_EQ(error.job_id, std::nullopt);
@@ -36,13 +36,13 @@
   }
 }
 
-TEST(JobSubmission, AMalformedOneKeepsItsIdSoThatARepeatIsRecognised) {
+TEST(JobSubmission, AMalformedSubmissionKeepsItsIdSoThatARepeatIsRecognised) {
   const auto error = parse_submission(body_with(R"("Gear")", R"("Gaer")")).error();
   EXPECT_EQ(error.job_id, "j-000412");
   EXPECT_NE(error.reason.find("Gear"), std::string::npos) << error.reason;
 }
 
-TEST(JobSubmission, AnIdOfAnotherFormIsNone) {
+TEST(JobSubmission, AnIdOfInvalidFormatIsNotReturned) {
   const auto error = parse_submission(body_with("j-000412", "x-000412")).error();
   EXPECT_EQ(error.job_id, std::nullopt);
   EXPECT_NE(error.reason.find("Id"), std::string::npos) << error.reason;
@@ -68,12 +68,12 @@
   EXPECT_EQ(infeasibility(), Infeasibility::depends_on_itself);
 }
 
-TEST_F(Feasibility, ATeamHasToBeKnown) {
+TEST_F(Feasibility, AnUnknownTeamIsRefused) {
   spec_.team = "green";
   EXPECT_EQ(infeasibility(), Infeasibility::unknown_team);
 }
 
-TEST_F(Feasibility, ATaskHasToFitAnAllowedTypeInAnAllowedZone) {
+TEST_F(Feasibility, ATaskMustFitAnAllowedTypeInAnAllowedZone) {
   spec_.types = {"g8"};
   spec_.zone = "b";
   EXPECT_EQ(infeasibility(), std::nullopt);
@@ -87,16 +87,16 @@
   EXPECT_EQ(infeasibility(), Infeasibility::no_machine_type);
 }
 
-TEST_F(Feasibility, WhatRunsAtOnceHasToFitTheLimitOfTheTeam) {
-  spec_.tasks = 3;  // 24 GPUs of 16
+TEST_F(Feasibility, ConcurrentTasksMustFitTheLimitOfTheTeam) {
+  spec_.tasks = 3;  // 24 GPUs; the team's limit is 16
   EXPECT_EQ(infeasibility(), Infeasibility::exceeds_team_limit);
   spec_.kind = wire::JobKind::service;
   EXPECT_EQ(infeasibility(), Infeasibility::exceeds_team_limit);
-  spec_.kind = wire::JobKind::job_array;  // one by one
+  spec_.kind = wire::JobKind::job_array;  // its tasks may run one at a time
   EXPECT_EQ(infeasibility(), std::nullopt);
 }
 
-TEST(FeasibilityTexts, AreThoseOfTheProtocol) {
+TEST(FeasibilityTexts, MatchTheProtocol) {
   EXPECT_EQ(to_text(Infeasibility::depends_on_itself), "needs itself");
   EXPECT_EQ(to_text(Infeasibility::unknown_team), "unknown team");
   EXPECT_EQ(to_text(Infeasibility::no_machine_type), "no allowed machine type has room for a task");
--- a/tests/job_watcher_test.cpp
+++ b/tests/job_watcher_test.cpp
@@ -1,4 +1,4 @@
-// How a leader receives what all nodes write of jobs.
+// Loading and watching of job records by the leader.
 #include "control/job_watcher.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
     ASSERT_TRUE(await(watcher_.load()));
     lease_.confirm(reactor_.now());
   }
-  /// Follows the changes for a moment.
+  /// Follows changes for one second, with a renewed leader lease.
   void follow() {
     auto following = watcher_.follow();
     following.start();
@@ -38,20 +38,20 @@
   EXPECT_EQ(accepted_, 0);
 }
 
-TEST_F(JobWatcherTest, AMalformedRecordIsLeftAloneAndTheOthersAreLoaded) {
+TEST_F(JobWatcherTest, AMalformedRecordIsLeftUnchangedAndTheOthersAreLoaded) {
   write({{job_key(kOther), "{}", 0}});
   EXPECT_TRUE(await(watcher_.load()));
   EXPECT_EQ(cluster_.job(kOther), nullptr);
   EXPECT_EQ(stand_in_.values.at(job_key(kOther)).data, "{}");
 }
 
-TEST_F(JobWatcherTest, WithoutAnAnswerNothingIsLoaded) {
+TEST_F(JobWatcherTest, LoadFailsWhenTheStoreRefuses) {
   transport_.refusal_status = 503;
   EXPECT_FALSE(await(watcher_.load()));
 }
 
-// Guards a record of the leader's own that is being written against comparison with a change.
-TEST_F(JobWatcherTest, ANewJobWaitsUntilChangesAreApplied) {
+// A change must not be compared with a record whose write by the leader is in flight.
+TEST_F(JobWatcherTest, ANewJobIsQueuedUntilChangesAreApplied) {
   store_job(kOther);
   follow();
   EXPECT_EQ(cluster_.job(kOther), nullptr);
@@ -60,7 +60,7 @@
   EXPECT_EQ(accepted_, 1);
 }
 
-TEST_F(JobWatcherTest, ACancellationIsActedOnAtOnce) {
+TEST_F(JobWatcherTest, ACancellationIsAppliedOnReceipt) {
   store_cancelled_job(kJob);
   follow();
   EXPECT_TRUE(cluster_.job(kJob)->cancelled());
@@ -74,7 +74,7 @@
   EXPECT_EQ(cluster_.job(kJob), nullptr);
 }
 
-TEST_F(JobWatcherTest, AChangeOlderThanWhatIsHeldIsDropped) {
+TEST_F(JobWatcherTest, AChangeOlderThanTheHeldRecordIsDropped) {
   store_cancelled_job(kJob);
   cluster_.job(kJob)->record.revision = stand_in_.revision + 1;
   follow();
@@ -82,7 +82,7 @@
   EXPECT_FALSE(cluster_.job(kJob)->cancelled());
 }
 
-TEST_F(JobWatcherTest, ARecordWithPartsIsReadAnew) {
+TEST_F(JobWatcherTest, ARecordWithPartsIsReloaded) {
   auto job = make_service(kOther);
   job.spec.tasks = 400;
   for (std::uint32_t task = 0; task < 200; ++task) job.done.add(2 * task);
@@ -93,8 +93,8 @@
   EXPECT_TRUE(reloader_.is_requested(kOther));
 }
 
-// A good renewal alone does not allow starts (invariant 11).
-TEST_F(JobWatcherTest, NothingMayStartWhileChangesAreRefused) {
+// A successful lease renewal alone does not allow starts (invariant 11).
+TEST_F(JobWatcherTest, NoTaskMayStartWhileWatchesAreRefused) {
   follow();
   EXPECT_TRUE(lease_.may_start(reactor_.now()));
   transport_.refusal_status = 503;
@@ -105,11 +105,11 @@
   EXPECT_TRUE(lease_.may_start(reactor_.now()));
 }
 
-// The service answers that the revision is too old: all is read again, as changes.
-TEST_F(JobWatcherTest, AWatcherThatFellTooFarBehindReadsEverything) {
-  constexpr int kMoreWritesThanAreRemembered = 10'500;
+// After a `compacted` response all records are read again and applied as changes.
+TEST_F(JobWatcherTest, AWatcherBehindTheCompactedRevisionReadsAllRecords) {
+  constexpr int kWritesBeyondHistory = 10'500;
   store_job(kOther);
-  for (int i = 0; i < kMoreWritesThanAreRemembered; ++i) write({{"other", "1", 0}});
+  for (int i = 0; i < kWritesBeyondHistory; ++i) write({{"other", "1", 0}});
   follow();
   watcher_.apply_changes();
   EXPECT_NE(cluster_.job(kOther), nullptr);
--- a/tests/machine_type_loader_test.cpp
+++ b/tests/machine_type_loader_test.cpp
@@ -19,7 +19,7 @@
   routines.spawn(loader.run());
   run_for(0.1);
 
-  EXPECT_TRUE(job_api.knows_types());
+  EXPECT_TRUE(job_api.has_types());
   ASSERT_TRUE(state.values.contains(kTypesKey));
   EXPECT_TRUE(wire::parse_machine_types(state.values.at(kTypesKey).data));
 }
@@ -33,18 +33,18 @@
   routines.spawn(loader.run());
   run_for(0.1);
 
-  EXPECT_TRUE(job_api.knows_types());
+  EXPECT_TRUE(job_api.has_types());
 }
 
 TEST_F(MachineTypeLoaderTest, KeepsAskingUntilTypesAreKnown) {
   transport.cloud_reachable = false;
   routines.spawn(loader.run());
   run_for(2);
-  EXPECT_FALSE(job_api.knows_types());
+  EXPECT_FALSE(job_api.has_types());
 
   transport.cloud_reachable = true;
   run_for(settings.heartbeat_interval_s);
-  EXPECT_TRUE(job_api.knows_types());
+  EXPECT_TRUE(job_api.has_types());
 }
 
 TEST_F(MachineTypeLoaderTest, LeavesAStoredCopyAsItIs) {
@@ -52,7 +52,7 @@
   routines.spawn(loader.run());
   run_for(0.1);
 
-  EXPECT_TRUE(job_api.knows_types());
+  EXPECT_TRUE(job_api.has_types());
   EXPECT_EQ(state.values.at(kTypesKey).data, "[]");
 }
 
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -1,6 +1,6 @@
-// Pipelines of dependent jobs in whole clusters. The rule checker of each cluster checks all rules,
-// `too_early` and `orphaned` among them; what a scenario asserts itself is that the failure it is
-// about came about, and that work is served afterwards.
+// Pipelines of dependent jobs in simulated clusters. The rule checker of each cluster checks all
+// rules, including `too_early` and `orphaned`. The scenarios themselves assert that the intended
+// failure occurred and that jobs complete afterwards.
 #include <gtest/gtest.h>
 
 #include "test_cluster.hpp"
@@ -10,7 +10,7 @@
 
 using wire::JobKind;
 
-/// A stage of a pipeline, by number, and the numbers of the stages that it depends on.
+/// Makes a pipeline stage with this number, which depends on the stages with the given numbers.
 wire::JobSpec stage(int number, const std::vector<int>& dependencies = {},
                     std::uint32_t tasks = 1) {
   auto spec = make_job(name(number), JobKind::job_array, tasks, 1).spec;
@@ -40,7 +40,7 @@
   return name(stage_number) + "/" + std::to_string(task);
 }
 
-/// Whether every node that is up gives this state of a stage.
+/// Whether every running node reports this state for a stage.
 bool all_nodes_say(TestCluster& cluster, int stage_number, const std::string& state) {
   for (int node = 0; node < cluster.nodes(); ++node) {
     if (cluster.is_up(node) && cluster.state_of(node, name(stage_number)) != state) return false;
@@ -48,14 +48,14 @@
   return true;
 }
 
-/// Lets the cluster elect a leader, and gives it machines that are ready afterwards.
+/// Starts a cluster: waits for the election of a leader, then adds machines and waits for them.
 void start_with_workers(TestCluster& cluster, int workers) {
   cluster.run(1);
   for (int i = 0; i < workers; ++i) cluster.add_worker();
   cluster.run(3);
 }
 
-/// Submits to a node again and again, as a client does that is told to come back later.
+/// Submits to a node and retries, as a client does after a 503; false after 20 s.
 bool is_accepted_in_time(TestCluster& cluster, int node, const wire::JobSpec& spec) {
   constexpr double kTimeoutS = 20;
   return wait_for(cluster, kTimeoutS, [&] {
@@ -64,19 +64,19 @@
   });
 }
 
-/// Lets the tasks of stage 0 run for `min_s` and up to `spread_s` longer, so that they end one
-/// after the other.
+/// Sets the run times of the tasks of stage 0 between `min_s` and `min_s + spread_s`, so that they
+/// end one after another.
 void spread_run_times(TestCluster& cluster, int tasks, int min_s, int spread_s = 20) {
   for (int i = 0; i < tasks; ++i) cluster.run_s_of[task_name(0, i)] = min_s + i % spread_s;
 }
 
-/// An array as stage 0, and stage 1 that depends on it.
+/// Submits a job array as stage 0, and stage 1 that depends on it.
 void submit_array_and_successor(TestCluster& cluster, std::uint32_t tasks) {
   cluster.submit(0, stage(0, {}, tasks));
   cluster.submit(1, stage(1, {0}));
 }
 
-/// A team that may run arrays of hundreds of tasks at once.
+/// Settings with a team whose limits allow hundreds of concurrent tasks.
 base::Settings settings_for_long_arrays() {
   auto settings = small_settings();
   settings.teams = {{"red", 0, 0, 100, 200}};
@@ -87,7 +87,7 @@
   return (node + 1) % cluster.nodes();
 }
 
-/// A diamond: 0 first, 1 and 2 need it, 3 needs both.
+/// Submits a diamond of stages: 1 and 2 depend on 0, and 3 depends on both.
 void submit_diamond(TestCluster& cluster) {
   cluster.submit(0, stage(0));
   cluster.submit(1, stage(1, {0}));
@@ -95,13 +95,13 @@
   cluster.submit(0, stage(3, {1, 2}));
 }
 
-TEST(Pipeline, StagesRunInOrderOneRightAfterTheOther) {
+TEST(Pipeline, StagesRunInOrderWithoutDelay) {
   TestCluster cluster;
   start_with_workers(cluster, 1);
   submit_diamond(cluster);
   EXPECT_EQ(cluster.state_of(1, name(3)), "queued");
   ASSERT_TRUE(wait_for(cluster, 30, [&] { return ended(cluster, 0); }));
-  // The start goes out in the round that follows the answered write of the outcome.
+  // The start is sent in the round after the write of the outcome was confirmed.
   ASSERT_TRUE(wait_for(cluster, 1.5, [&] { return cluster.running(name(1)) == 1; }));
   ASSERT_TRUE(wait_for(cluster, 30, [&] { return ended(cluster, 3); }));
   EXPECT_TRUE(all_nodes_say(cluster, 3, "done"));
@@ -120,16 +120,16 @@
   EXPECT_EQ(cluster.state_of(1, name(1)), "404");
   cluster.submit(2, stage(1, {0}));
   EXPECT_EQ(cluster.ask(1, "POST", "/v1/jobs", submission(stage(1, {0}))).status, 200);
-  // Accepted is accepted, whatever a repeat says.
+  // A repeat of an accepted submission returns the job's state, whatever its body contains.
   EXPECT_EQ(cluster.ask(1, "POST", "/v1/jobs", submission(stage(1, {7}))).status, 200);
   ASSERT_TRUE(wait_for(cluster, 60, [&] { return ended(cluster, 1); }));
-  // What is over may be named, and moves between two keys without being missed.
+  // A dependency may have ended already: it is found although its data has moved to another key.
   cluster.submit(1, stage(2, {0, 1}));
   ASSERT_TRUE(wait_for(cluster, 60, [&] { return ended(cluster, 2); }));
 }
 
-// The jobs of a pipeline come one right after the other; a node's own share of the writes is
-// little.
+// The jobs of a pipeline are submitted in quick succession, which exceeds one node's share of the
+// write rate; user writes may overdraw it.
 TEST(Pipeline, TheJobsOfAPipelineAreAcceptedAtOnceByOneNode) {
   auto settings = small_settings();
   settings.state_write_rps = 21;
@@ -144,8 +144,9 @@
   EXPECT_EQ(cluster.state_service.refused_writes, 0);
 }
 
-// The leader's own records use up its share of the writes, a whole transaction at a time.
-TEST(Pipeline, UsersOfALeaderThatWritesManyRecordsAreAcceptedAtOnce) {
+// The leader's record writes use up its share of the write rate, a full transaction at a time. They
+// must not delay client requests to the same node.
+TEST(Pipeline, SubmissionsToALeaderThatWritesManyRecordsAreAcceptedAtOnce) {
   auto settings = small_settings();
   settings.state_write_rps = 21;
   settings.txn_ops = 8;
@@ -174,7 +175,7 @@
   EXPECT_FALSE(ended(cluster, 39));
 }
 
-TEST(Pipeline, WithoutTheStateServiceASubmissionIsNotRefusedForGood) {
+TEST(Pipeline, WithoutTheStateServiceASubmissionIsRefusedTemporarily) {
   TestCluster cluster;
   cluster.run(1);
   cluster.submit(0, stage(0));
@@ -185,7 +186,7 @@
   cluster.state_down = false;
 }
 
-TEST(Pipeline, ACancellationReachesAllStagesAndThoseSubmittedLater) {
+TEST(Pipeline, ACancellationAppliesToAllStagesAndThoseSubmittedLater) {
   TestCluster cluster;
   cluster.run_s = 1000;
   cluster.run(1);
@@ -200,7 +201,7 @@
   EXPECT_TRUE(all_nodes_say(cluster, 5, "withdrawn"));
 }
 
-TEST(Pipeline, ACancellationThatIsAnsweredWithDoneTakesNothingAlong) {
+TEST(Pipeline, ACancellationOfADoneJobDoesNotCancelDependents) {
   TestCluster cluster;
   cluster.run(1);
   submit_diamond(cluster);
@@ -211,9 +212,9 @@
   EXPECT_TRUE(all_nodes_say(cluster, 3, "done"));
 }
 
-// No leader has followed yet, and the question comes first: the answer is found in what the job
-// needs, and is stored before it is told, so that no node says less afterwards.
-TEST(Pipeline, AfterAnOutageNoNodeCallsAnOrphanQueued) {
+// After an outage a status request arrives before a leader is elected. The node checks the job's
+// dependencies and stores the cancellation before it responds, so that all nodes agree afterwards.
+TEST(Pipeline, AfterAnOutageNoNodeReportsADependentOfACancelledJobAsQueued) {
   TestCluster cluster;
   cluster.run_s = 1000;
   cluster.run(1);
@@ -226,7 +227,7 @@
   cluster.state_down = false;
   cluster.start_node(1);
   cluster.run(0.2);
-  // Nobody leads before the former leader's lease has ended.
+  // No leader is elected before the former leader's lease has ended.
   ASSERT_TRUE(wait_for(cluster, 2, [&] { return cluster.state_of(1, name(3)) != "503"; }));
   ASSERT_EQ(cluster.leader(), -1);
   EXPECT_EQ(cluster.state_of(1, name(3)), "withdrawn");
@@ -238,9 +239,9 @@
       cluster, 40, [&] { return ended(cluster, 1) && ended(cluster, 2) && ended(cluster, 3); }));
 }
 
-// One node trusts for a while that what a job needs is not cancelled, another finds that it is:
-// what the second says, the first must not take back.
-TEST(Pipeline, WhatOneNodeFindsCancelledNoOtherCallsQueued) {
+// One node has cached that a dependency is not cancelled, and another node finds that it is. Once
+// the second has reported the cancellation, the first must not report `queued`.
+TEST(Pipeline, AfterOneNodeReportsACancellationNoOtherReportsQueued) {
   TestCluster cluster;
   cluster.run_s = 1000;
   cluster.run(1);
@@ -258,8 +259,8 @@
   EXPECT_EQ(cluster.leader(), -1);
 }
 
-// A leader that the state service alone refuses knows nothing of the cancellation.
-TEST(Pipeline, ADependencyIsCancelledElsewhereWhileTheLeaderIsRefused) {
+// Only the leader is refused by the state service, so it does not learn of the cancellation.
+TEST(Pipeline, ADependencyIsCancelledThroughAnotherNodeWhileTheLeaderIsRefused) {
   TestCluster cluster;
   cluster.run_s = 6;
   cluster.run(1);
@@ -279,7 +280,7 @@
   EXPECT_EQ(cluster.starts[task_name(1, 0)], 0);
 }
 
-TEST(Pipeline, ANewLeaderReadsTheOutcomesThatItHasNotSeen) {
+TEST(Pipeline, ANewLeaderReadsOutcomesFromBeforeItsTerm) {
   TestCluster cluster;
   start_with_workers(cluster, 1);
   cluster.run_s_of[task_name(2, 0)] = 40;
@@ -295,8 +296,8 @@
   EXPECT_TRUE(all_nodes_say(cluster, 3, "done"));
 }
 
-// The outcome may be stored though nobody said so, or not stored though it was sent.
-TEST(Pipeline, AnOutcomeWhoseWriteIsNotAnsweredLetsNothingStartBeforeItIsResolved) {
+// The unanswered write of an outcome is either applied with its response lost, or applied late.
+TEST(Pipeline, NoDependentStartsBeforeTheWriteOfAnOutcomeIsResolved) {
   for (const bool late : {false, true}) {
     TestCluster cluster;
     start_with_workers(cluster, 1);
@@ -327,8 +328,9 @@
   ASSERT_TRUE(wait_for(cluster, 60, [&] { return ended(cluster, 3); }));
 }
 
-// Hundreds at once: every node has to say so in time, and other work must go on meanwhile.
-TEST(Pipeline, AWideFanIsCancelledWithinLimitsAndHoldsUpNothing) {
+// Hundreds of jobs are cancelled at once: every node must report it in time, and other jobs must
+// not be delayed.
+TEST(Pipeline, AWideFanOutIsCancelledWithinLimitsWithoutDelayingOtherJobs) {
   auto settings = small_settings();
   settings.state_write_rps = 21;
   settings.state_rps = 250;
@@ -341,7 +343,7 @@
   cluster.run_s = 1000;
   start_with_workers(cluster, 1);
   cluster.submit(0, stage(0));
-  cluster.submit(1, stage(2000));  // for which the machine is kept
+  cluster.submit(1, stage(2000));  // keeps the machine from being deleted
   for (int i = 1; i <= kFan; ++i) {
     ASSERT_TRUE(is_accepted_in_time(cluster, i % 3, stage(i, {0})));
   }
@@ -358,13 +360,13 @@
     return true;
   };
   EXPECT_TRUE(wait_for(cluster, 120, all_ended));
-  EXPECT_GT(cluster.reactor.now() - cancelled, 5);  // it took its time, as it must
+  EXPECT_GT(cluster.reactor.now() - cancelled, 5);  // paced by the write rate limit
   EXPECT_EQ(cluster.state_service.refused_as_too_large, 0);
   EXPECT_LT(cluster.state_service.refused_writes, 3);
   for (int i = 1; i <= kFan; i += 50) EXPECT_TRUE(all_nodes_say(cluster, i, "withdrawn"));
 }
 
-TEST(Pipeline, ALongChainIsCancelledWhole) {
+TEST(Pipeline, ALongChainIsCancelledCompletely) {
   auto settings = small_settings();
   settings.state_write_rps = 60;
   settings.state_rps = 600;
@@ -382,8 +384,9 @@
   EXPECT_TRUE(all_nodes_say(cluster, kLength - 1, "withdrawn"));
 }
 
-// One that is submitted in the very moment in which what it needs is cancelled elsewhere.
-TEST(Pipeline, ASuccessorIsSubmittedAsItsDependencyIsCancelled) {
+// A job is submitted within milliseconds of the cancellation of its dependency through another
+// node.
+TEST(Pipeline, ADependentIsSubmittedWhileItsDependencyIsCancelled) {
   for (const double apart : {-0.008, -0.004, 0.0, 0.004, 0.008}) {
     TestCluster cluster;
     cluster.run_s = 1000;
@@ -408,8 +411,9 @@
 
 // ---- limits of the key-value store ----
 
-// What comes without notice is kept from the start; a record from before is written smaller.
-TEST(Pipeline, TheLimitsFallWhileALongArrayRunsAndItsSuccessorWaits) {
+// The store may lower its limits without notice, so nodes observe the announced limits from the
+// start: when the store enforces them, no write is refused as too large, also not after a failover.
+TEST(Pipeline, LimitsFallWhileALongArrayRunsAndItsDependentWaits) {
   auto settings = settings_for_long_arrays();
   settings.value_kb = 2;
   settings.txn_ops = 4;
@@ -429,9 +433,9 @@
   cluster.start_node(former_leader);
 }
 
-// Stored in more parts than a transaction may now change: it is written again when enough of its
-// tasks are over, and the parts that its outcome leaves go later.
-TEST(Pipeline, ARecordStoredUnderLargerLimitsEndsUnderSmallOnes) {
+// A record has more parts than a transaction may now change. It is written again once enough of its
+// tasks have ended, and the parts that do not fit into the write of its outcome are removed later.
+TEST(Pipeline, AJobStoredUnderLargerLimitsEndsUnderSmallerOnes) {
   auto settings = settings_for_long_arrays();
   settings.value_kb = 1;
   TestCluster cluster(3, {}, settings);
@@ -451,8 +455,9 @@
   EXPECT_EQ(cluster.starts[task_name(0, 7)], 1);
 }
 
-// No coming limits were announced: a write that is refused as too large is cut down, not repeated.
-TEST(Pipeline, LimitsThatFallUnannouncedEndNoLeadership) {
+// The limits fall without notice: a write that is refused as too large is made smaller, not
+// repeated unchanged.
+TEST(Pipeline, UnannouncedLowerLimitsDoNotEndALeadership) {
   auto settings = settings_for_long_arrays();
   TestCluster cluster(3, {}, settings);
   start_with_workers(cluster, 16);
@@ -467,11 +472,12 @@
   EXPECT_LE(cluster.state_service.refused_as_too_large, 6);
 }
 
-// ---- the upgrade ----
+// ---- upgrades ----
 
-// Without dependent jobs the version in production differs in what it stores by the limits alone
-// that it keeps to. Here it leads first, then a newer node, then again it, while a long array runs.
-TEST(Pipeline, LeadersOfBothVersionsTakeOverFromEachOther) {
+// Without dependent jobs, the stored data of the production version differs only by the limits that
+// it observes. A node of that version leads first, then a newer one, then the older one again,
+// while a long array runs.
+TEST(Pipeline, LeadershipMovesBetweenVersions) {
   auto settings = settings_for_long_arrays();
   settings.value_kb = 2;
   settings.txn_ops = 4;
@@ -491,7 +497,7 @@
   cluster.run(2);
   cluster.crash_node(0);
   ASSERT_TRUE(wait_for(cluster, 20, [&] { return cluster.leader() == 1; }));
-  // Written again in small values as soon as it fits; then the older version has it back.
+  // The newer leader rewrites the record in small values once it fits; the older one then reads it.
   ASSERT_TRUE(wait_for(cluster, 40, [&] { return has_part(cluster, 0, 0); }));
   cluster.start_node(0);
   cluster.run(2);
@@ -501,7 +507,8 @@
   for (int i = 0; i < kTasks; ++i) EXPECT_EQ(cluster.starts[task_name(0, i)], 1) << i;
 }
 
-// All nodes are replaced one after the other, with a crash and a cut between, while pipelines run.
+// All nodes crash and restart one after another while pipelines run; meanwhile one is also cut off
+// from the state service.
 TEST(Pipeline, ARollingRestartLosesNothing) {
   TestCluster cluster(3, {"a", "a", "a"});
   cluster.run_s = 4;
--- a/tests/record_batch_test.cpp
+++ b/tests/record_batch_test.cpp
@@ -1,4 +1,4 @@
-// What one compare-and-swap of records holds.
+// Contents and limits of record batches.
 #include "control/record_batch.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   return keys;
 }
 
-TEST(RecordBatch, IsConditionalOnTheLeaderAndOnEachRecord) {
+TEST(RecordBatch, IsConditionalOnTheLeaderKeyAndOnEachRecord) {
   RecordBatch batch(kLeaderRevision, kLimits);
   EXPECT_TRUE(batch.empty());
   for (const auto& job : {stored_job("j-000001", 7), stored_job("j-000002", 9)}) {
@@ -45,7 +45,7 @@
             (std::vector<std::string>{"jobs/j-000001", "jobs/j-000002"}));
 }
 
-TEST(RecordBatch, IsFullWhenAnEntryExceedsItsMutations) {
+TEST(RecordBatch, IsFullWhenAnEntryExceedsTheMutationLimit) {
   RecordBatch batch(kLeaderRevision, kLimits);
   const auto shrinking_job = stored_job("j-000001", 7, 2);  // two parts to remove
   ASSERT_EQ(batch.add(make_record_entry(shrinking_job, kLimits.value_bytes)), AddResult::added);
@@ -54,8 +54,8 @@
   EXPECT_EQ(batch.entries().size(), 1U);
 }
 
-// Guards against one record that fits nowhere, which must not count as a batch that is full.
-TEST(RecordBatch, AnEntryThatFitsNoBatchIsTooLarge) {
+// A record that fits no batch must not be reported as a full batch, which would block all others.
+TEST(RecordBatch, AnEntryBeyondTheLimitsOfABatchIsTooLarge) {
   RecordBatch batch(kLeaderRevision, kLimits);
   const auto many_parts = stored_job("j-000001", 7, 4);
   EXPECT_EQ(batch.add(make_record_entry(many_parts, kLimits.value_bytes)), AddResult::too_large);
@@ -67,19 +67,19 @@
             AddResult::too_large);
 }
 
-TEST(RecordBatch, AnOutcomeReplacesTheRecordAndLeavesThePartsForWhichThereIsNoRoom) {
+TEST(RecordBatch, AnOutcomeReplacesTheRecordAndListsPartsBeyondTheMutationLimit) {
   const auto job = stored_job("j-000001", 7, 3);
   const auto entry = make_outcome_entry(job, {wire::JobState::done, 4, 0}, kLimits.mutations);
-  EXPECT_TRUE(entry.retires_job);
+  EXPECT_TRUE(entry.is_outcome);
   EXPECT_EQ(keys_of(entry.mutations),
             (std::vector<std::string>{"jobs/j-000001", "ended/j-000001", "parts/j-000001/0",
                                       "parts/j-000001/1"}));
   EXPECT_EQ(entry.mutations[0].data, "");
   EXPECT_EQ(entry.mutations[1].data, R"({"s":"done","n":4})");
-  EXPECT_EQ(entry.left_parts, std::vector<std::string>{"parts/j-000001/2"});
+  EXPECT_EQ(entry.remaining_parts, std::vector<std::string>{"parts/j-000001/2"});
 }
 
-TEST(RecordBatch, RemovesStalePartsAsFarAsThereIsRoom) {
+TEST(RecordBatch, RemovesStalePartsUpToTheMutationLimit) {
   RecordBatch batch(kLeaderRevision, kLimits);
   ASSERT_EQ(batch.add(make_record_entry(stored_job("j-000001", 7), kLimits.value_bytes)),
             AddResult::added);
@@ -91,7 +91,7 @@
   EXPECT_EQ(stale_parts, std::deque<std::string>{"parts/j-000009/3"});
 }
 
-TEST(RecordBatch, AnEntryTellsPlacementsByWhatTheRecordSaysOfThem) {
+TEST(RecordBatch, AnEntryGroupsPlacementsByTheirStateInTheRecord) {
   auto job = stored_job("j-000001", 7);
   for (std::uint32_t task = 0; task < 3; ++task) {
     sched::Placement placement;
--- a/tests/record_reloader_test.cpp
+++ b/tests/record_reloader_test.cpp
@@ -1,4 +1,4 @@
-// Records and outcomes that a leader reads again, or for the first time.
+// Reloading of job records, and reading of dependency outcomes, by the leader.
 #include "control/record_reloader.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 class RecordReloaderTest : public testing::LeaderPartTest {
  protected:
-  /// A job as the leader holds it, at a revision that is not that of the store.
+  /// Adds a job to the leader's cluster state, at the given revision.
   sched::Job& hold(const std::string& id, std::uint64_t revision) {
     sched::Job& job = cluster_.upsert_job(make_service(id), reactor_.now());
     job.record.revision = revision;
@@ -27,31 +27,31 @@
 
 TEST_F(RecordReloaderTest, AJobWithoutARecordIsRemoved) {
   hold(kJob, 1);
-  EXPECT_EQ(await(reloader_.reload(kJob)), RecordRead::complete);
+  EXPECT_EQ(await(reloader_.reload(kJob)), RecordReadStatus::complete);
   EXPECT_EQ(cluster_.job(kJob), nullptr);
 }
 
-TEST_F(RecordReloaderTest, ANewerRecordReplacesTheOneThatIsHeld) {
+TEST_F(RecordReloaderTest, ANewerRecordReplacesTheHeldOne) {
   hold(kJob, 0);
   store_cancelled_job(kJob);
-  EXPECT_EQ(await(reloader_.reload(kJob)), RecordRead::complete);
+  EXPECT_EQ(await(reloader_.reload(kJob)), RecordReadStatus::complete);
   ASSERT_NE(cluster_.job(kJob), nullptr);
   EXPECT_TRUE(cluster_.job(kJob)->cancelled());
   EXPECT_EQ(cluster_.job(kJob)->record.revision, stored_revision(kJob));
 }
 
-// Guards against a read that is taken for the last word on a write without an answer.
+// A read must not settle the outcome of an unanswered write, which may still be applied later.
 TEST_F(RecordReloaderTest, ARecordOfTheHeldRevisionChangesNothing) {
   store_cancelled_job(kJob);
   hold(kJob, stored_revision(kJob));
-  EXPECT_EQ(await(reloader_.reload(kJob)), RecordRead::complete);
+  EXPECT_EQ(await(reloader_.reload(kJob)), RecordReadStatus::complete);
   EXPECT_FALSE(cluster_.job(kJob)->cancelled());
 }
 
-TEST_F(RecordReloaderTest, AReadThatWasOvertakenByChangesIsNotApplied) {
+TEST_F(RecordReloaderTest, AReadOlderThanTheHeldRecordIsNotApplied) {
   store_cancelled_job(kJob);
   hold(kJob, stored_revision(kJob) + 1);
-  EXPECT_EQ(await(reloader_.reload(kJob)), RecordRead::unavailable);
+  EXPECT_EQ(await(reloader_.reload(kJob)), RecordReadStatus::unavailable);
   EXPECT_FALSE(cluster_.job(kJob)->cancelled());
 }
 
@@ -66,16 +66,16 @@
     mutations.push_back({part_key(kJob, static_cast<int>(i) - 1), values[i], 0});
   }
   write(mutations);
-  EXPECT_EQ(await(reloader_.reload(kJob)), RecordRead::unavailable);
+  EXPECT_EQ(await(reloader_.reload(kJob)), RecordReadStatus::unavailable);
   EXPECT_EQ(cluster_.job(kJob), nullptr);
   mutations.push_back({part_key(kJob, static_cast<int>(values.size()) - 2), values.back(), 0});
   write(mutations);
-  EXPECT_EQ(await(reloader_.reload(kJob)), RecordRead::complete);
+  EXPECT_EQ(await(reloader_.reload(kJob)), RecordReadStatus::complete);
   ASSERT_NE(cluster_.job(kJob), nullptr);
   EXPECT_EQ(cluster_.job(kJob)->done.size(), 200U);
 }
 
-TEST_F(RecordReloaderTest, ARequestIsRepeatedUntilTheRecordIsRead) {
+TEST_F(RecordReloaderTest, ARequestIsRetriedUntilTheRecordIsRead) {
   auto running = reloader_.run();
   running.start();
   transport_.refusal_status = 503;
@@ -99,7 +99,7 @@
     cluster_.upsert_job(std::move(dependent), reactor_.now());
   }
   void read_once() {
-    reader_.read_unknown();
+    reader_.read_unknown_outcomes();
     run(0.1);
   }
   bool dependencies_met() { return cluster_.job(kDependent)->dependencies_met; }
@@ -107,7 +107,7 @@
   OutcomeReader reader_{context_};
 };
 
-TEST_F(OutcomeReaderTest, AStoredOutcomeMeetsADependency) {
+TEST_F(OutcomeReaderTest, AStoredOutcomeSatisfiesADependency) {
   EXPECT_FALSE(dependencies_met());
   store_outcome(kJob, R"({"s":"done","n":2})");
   read_once();
@@ -122,8 +122,8 @@
   EXPECT_TRUE(cluster_.job(kDependent)->cancelled());
 }
 
-// Without an outcome a dependency proves nothing (invariant 14), and is read again after a pause.
-TEST_F(OutcomeReaderTest, AnOutcomeThatIsNotStoredIsReadAgainAfterAPause) {
+// A missing outcome leaves the dependency unmet (invariant 14) and is read again after a delay.
+TEST_F(OutcomeReaderTest, AMissingOutcomeIsReadAgainAfterADelay) {
   store_job(kJob);
   read_once();
   const int calls = transport_.calls;
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -1,4 +1,4 @@
-// Status requests that share syncs with the key-value store.
+// Status requests served from shared syncs with the key-value store.
 #include "control/status_cache.hpp"
 
 #include <gtest/gtest.h>
@@ -14,14 +14,14 @@
  protected:
   using Status = base::Result<JobStatus, StatusMiss>;
 
-  /// A status request, answered before this returns.
+  /// Sends a status request and waits for the result.
   Status find(const std::string& id) { return await(cache_.find(id)); }
   wire::JobState state_of(const std::string& id) { return find(id).value().state; }
 
   StatusCache cache_{reactor_, settings_, store_};
 };
 
-TEST_F(StatusCacheTest, ManyRequestsAtOnceShareOneSync) {
+TEST_F(StatusCacheTest, ConcurrentRequestsShareOneSync) {
   constexpr int kJobs = 50;
   for (int i = 0; i < kJobs; ++i) store_job(name(i));
   ASSERT_TRUE(find(name(0)));
@@ -39,9 +39,9 @@
   EXPECT_EQ(transport_.calls, calls_before + 1);
 }
 
-// Guards against an answer that is older than one already given elsewhere: what was written before
-// the request is in the answer, however recently the last sync was.
-TEST_F(StatusCacheTest, WhatWasWrittenBeforeARequestIsInItsAnswer) {
+// A response must not be older than one already given by another node: it includes all writes
+// before the request, however recent the last sync was (invariant 13).
+TEST_F(StatusCacheTest, AResponseIncludesAllWritesBeforeTheRequest) {
   store_job(kJob);
   ASSERT_EQ(state_of(kJob), wire::JobState::queued);
   store_cancelled_job(kJob);
@@ -50,18 +50,18 @@
   EXPECT_EQ(find(kJob).error(), StatusMiss::not_cached);
 }
 
-// The same when a sync is under way: a request that comes meanwhile waits for the next one.
+// The same during a sync: a request that arrives after it was sent waits for the next one.
 TEST_F(StatusCacheTest, ARequestDuringASyncWaitsForTheNextOne) {
   store_job(kJob);
   ASSERT_TRUE(find(kJob));
   auto first = cache_.find(kJob);
   first.start();
-  const double deadline = reactor_.now() + cache_.interval() + 0.1;
+  const double deadline = reactor_.now() + cache_.sync_interval_s() + 0.1;
   while (!first.done() && reactor_.now() < deadline) {
     const int calls = transport_.calls;
     run(testing::kLatencyS / 2);
     if (transport_.calls == calls) continue;
-    run(testing::kLatencyS);  // served, and the answer on its way
+    run(testing::kLatencyS);  // the store has served it; the response is in flight
     break;
   }
   ASSERT_FALSE(first.done());
@@ -71,49 +71,49 @@
   EXPECT_EQ(first.take().value().state, wire::JobState::queued);
 }
 
-// Guards against requests that hang on one that was given up: another carries the sync out.
-TEST_F(StatusCacheTest, ASyncWhoseRequestIsGivenUpIsCarriedOutByAnother) {
+// Waiting requests must not hang when the request that runs the sync is cancelled: another runs it.
+TEST_F(StatusCacheTest, AWaiterRunsTheSyncOfACancelledRequest) {
   store_job(kJob);
   ASSERT_TRUE(find(kJob));
-  auto given_up = std::make_unique<net::Task<Status>>(cache_.find(kJob));
-  given_up->start();
+  auto cancelled_request = std::make_unique<net::Task<Status>>(cache_.find(kJob));
+  cancelled_request->start();
   auto other = cache_.find(kJob);
   other.start();
-  given_up.reset();
+  cancelled_request.reset();
   run(1);
   ASSERT_TRUE(other.done());
   EXPECT_TRUE(other.take());
 }
 
-TEST_F(StatusCacheTest, ARefusalIsToldAtOnceAndServiceGoesOnAfterIt) {
+TEST_F(StatusCacheTest, ARefusedSyncIsReportedAtOnceAndTheNextOneSucceeds) {
   store_job(kJob);
   ASSERT_TRUE(find(kJob));
   transport_.refusal_status = 503;
-  const double asked = reactor_.now();
+  const double requested_at = reactor_.now();
   EXPECT_EQ(find(kJob).error(), StatusMiss::store_unavailable);
-  EXPECT_LT(reactor_.now(), asked + 2 * cache_.interval());
+  EXPECT_LT(reactor_.now(), requested_at + 2 * cache_.sync_interval_s());
   transport_.refusal_status = 0;
   EXPECT_TRUE(find(kJob));
 }
 
-// More jobs than a page holds, and a revision that the key-value store does not remember any more.
-TEST_F(StatusCacheTest, ReadsWhatIsStoredPageByPageAndAnewAfterAGap) {
+// More jobs than one page holds, and then a revision that the key-value store has compacted.
+TEST_F(StatusCacheTest, FullSyncsReadPageByPageAndRepeatAfterCompaction) {
   constexpr int kJobs = 500;
   constexpr int kFurtherPages = 3;
-  constexpr int kMoreWritesThanAreRemembered = 10'500;
+  constexpr int kWritesBeyondHistory = 10'500;
   for (int i = 0; i < kJobs; ++i) store_job(name(i));
   const auto last = name(kJobs - 1);
-  EXPECT_EQ(find(last).error(), StatusMiss::not_cached);  // not read yet: it is looked up
+  EXPECT_EQ(find(last).error(), StatusMiss::not_cached);  // its page is not read yet
   for (int i = 0; i < kFurtherPages; ++i) (void)find(last);
   EXPECT_TRUE(find(last));
   store_cancelled_job(last);
-  for (int i = 0; i < kMoreWritesThanAreRemembered; ++i) write({{"other", std::to_string(i), 0}});
+  for (int i = 0; i < kWritesBeyondHistory; ++i) write({{"other", std::to_string(i), 0}});
   for (int i = 0; i <= kFurtherPages; ++i) (void)find(last);
   EXPECT_EQ(state_of(last), wire::JobState::cancelled);
 }
 
-// A job that waits for others may be cancelled with them before its own record says so.
-TEST_F(StatusCacheTest, AJobThatWaitsForOthersIsLookedUp) {
+// A job that waits for dependencies may be cancelled with them before its own record shows it.
+TEST_F(StatusCacheTest, AJobThatWaitsForDependenciesIsNotCached) {
   const std::string dependent = "j-000002";
   auto job = make_service(dependent);
   job.spec.dependencies = {kJob};
@@ -122,16 +122,16 @@
   EXPECT_EQ(find(dependent).error(), StatusMiss::not_cached);
 }
 
-TEST_F(StatusCacheTest, IsWorthwhileOnceRequestsComeMoreOftenThanSyncs) {
-  EXPECT_FALSE(cache_.is_worthwhile());
-  const double pause = cache_.interval() / 4;
+TEST_F(StatusCacheTest, IsCheaperThanReadsOnceRequestsAreMoreFrequentThanSyncs) {
+  EXPECT_FALSE(cache_.is_cheaper_than_reads());
+  const double pause = cache_.sync_interval_s() / 4;
   for (double seconds = 0; seconds < 5; seconds += pause) {
     cache_.count_read();
     run(pause);
   }
-  EXPECT_TRUE(cache_.is_worthwhile());
+  EXPECT_TRUE(cache_.is_cheaper_than_reads());
   run(10);
-  EXPECT_FALSE(cache_.is_worthwhile());
+  EXPECT_FALSE(cache_.is_cheaper_than_reads());
 }
 
 }  // namespace
--- a/tests/storage_compatibility_test.cpp
+++ b/tests/storage_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// What stands in the key-value store, as literal bytes: keys and records. Controllers of other
-// versions read and write the same ones, so that no key and no field may change its name.
+// Keys and records in the key-value store, as literal bytes. Controllers of other versions read and
+// write the same data, so no key and no field may be renamed.
 #include <gtest/gtest.h>
 
 #include "complete_job.hpp"
@@ -29,7 +29,7 @@
   return result;
 }
 
-/// A job with every field that is stored.
+/// A job with a value in every stored field.
 sched::Job stored_job() {
   sched::Job job;
   job.spec = complete_job();
@@ -51,27 +51,27 @@
   return {RecordError::Kind::malformed_field, field};
 }
 
-// Keys.
+// ---- keys ----
 
-TEST(StorageKeys, JobsAndTheirPartsAndOutcomesHaveTheirKeys) {
+TEST(StorageKeys, JobKeys) {
   EXPECT_STREQ(control::kJobsPrefix, "jobs/");
   EXPECT_EQ(control::job_key("j-000412"), "jobs/j-000412");
-  EXPECT_EQ(control::job_of_key("jobs/j-000412"), "j-000412");
+  EXPECT_EQ(control::job_id_from_key("jobs/j-000412"), "j-000412");
   EXPECT_EQ(control::part_key("j-000412", 2), "parts/j-000412/2");
   EXPECT_EQ(control::outcome_key("j-000412"), "ended/j-000412");
 }
 
-TEST(StorageKeys, LeaderMachineTypesPoolsAndMovesHaveTheirKeys) {
+TEST(StorageKeys, LeaderMachineTypePoolAndMoveKeys) {
   EXPECT_STREQ(control::kLeaderKey, "leader");
   EXPECT_STREQ(control::kTypesKey, "types");
   EXPECT_STREQ(control::kPoolsPrefix, "pools/");
   EXPECT_EQ(control::pool_key("g8/spot"), "pools/g8/spot");
-  EXPECT_EQ(control::pool_of_key("pools/g8/spot"), "g8/spot");
+  EXPECT_EQ(control::pool_name_from_key("pools/g8/spot"), "g8/spot");
   EXPECT_STREQ(control::kMovesKey, "moves/record");
   EXPECT_STREQ(control::kMovesOffKey, "moves/off");
 }
 
-TEST(StorageKeys, RegionsHaveTheirKeys) {
+TEST(StorageKeys, RegionKeys) {
   EXPECT_STREQ(regions::kRegionsPrefix, "regions/");
   EXPECT_STREQ(regions::kBootstrapRegionKey, "regions/founder");
   EXPECT_STREQ(regions::kQuotaPrefix, "regions/shares/");
@@ -84,7 +84,7 @@
   EXPECT_EQ(regions::out_key("west", 42), "regions/out/west/00000000000000000042");
 }
 
-// Jobs.
+// ---- jobs ----
 
 TEST(StoredJob, EveryFieldIsWritten) {
   const std::string expected =
@@ -93,7 +93,7 @@
   EXPECT_EQ(control::write_record(stored_job(), kMaxValueBytes), Texts{expected});
 }
 
-TEST(StoredJob, AJobThatNeedsNoOtherStandsUnderAnotherName) {
+TEST(StoredJob, AJobWithoutDependenciesIsStoredUnderAnotherFieldName) {
   sched::Job job = stored_job();
   job.spec.dependencies.clear();
   job.cancelled_at_ms = 0;
@@ -103,8 +103,8 @@
   EXPECT_NE(texts[0].find(R"(,"at":1700000000001,"w":0,"n":9,"g":17,"d":)"), std::string::npos);
 }
 
-TEST(StoredJob, WhatDoesNotFitTheMainValueIsWrittenInParts) {
-  constexpr std::size_t kMaxBytes = 130;  // less than the main value takes without its lists
+TEST(StoredJob, ItemsBeyondTheMainValueAreWrittenInParts) {
+  constexpr std::size_t kMaxBytes = 130;  // less than the main value with empty lists
   EXPECT_EQ(control::write_record(stored_job(), kMaxBytes),
             (Texts{kDependentRecordHead + R"("d":[],"p":[],"parts":2})",
                    R"({"g":17,"d":[[0,2],[4,5]],"p":[[2,7,"n-000007"],[3,8,"n-000008"]]})",
@@ -136,18 +136,18 @@
   EXPECT_EQ(job->placements[1].machine, "n-000008");
 }
 
-TEST(StoredJob, ThePartOfAnotherWriteIsRefused) {
+TEST(StoredJob, APartOfAnotherWriteIsRefused) {
   auto job = control::read_record(kDependentRecordHead + R"("parts":1})");
   ASSERT_TRUE(job);
   EXPECT_EQ(control::add_part(R"({"g":18,"d":[],"p":[]})", job->record.revision, *job),
-            PartStatus::of_another_write);
+            PartStatus::different_write);
 }
 
-TEST(StoredJob, TheTimeOfItsCancellationIsFoundInItsText) {
+TEST(StoredJob, TheCancellationTimeIsReadFromTheText) {
   EXPECT_EQ(control::read_cancelled_at_ms(kDependentRecordHead + R"("parts":0})"), 1700000000002);
 }
 
-TEST(StoredJob, ACancellationChangesItsTimeAlone) {
+TEST(StoredJob, ACancellationChangesOnlyItsTime) {
   const std::string head = R"({"job":)" + kCompleteJob + R"(,"at":1700000000001,"w":)";
   const std::string tail = R"(,"n":9,"g":17,"d":[],"p":[],"parts":2})";
   const auto cancelled = control::with_cancellation(head + "0" + tail, 1700000000002);
@@ -155,14 +155,14 @@
   EXPECT_EQ(*cancelled, head + "1700000000002" + tail);
 }
 
-TEST(StoredJob, OneThatIsCancelledKeepsTheTimeOfItsCancellation) {
+TEST(StoredJob, ACancelledJobKeepsItsCancellationTime) {
   const auto again =
       control::with_cancellation(kDependentRecordHead + R"("parts":0})", 1700000000009);
   ASSERT_FALSE(again);
   EXPECT_EQ(again.error(), malformed("w"));
 }
 
-TEST(StoredJob, AMalformedMainValueIsRefusedWithItsField) {
+TEST(StoredJob, AnErrorNamesTheMalformedFieldOfAMainValue) {
   const auto error_of = [](std::string text, const std::string& from, const std::string& to) {
     text.replace(text.find(from), from.size(), to);
     return control::read_record(text).error();
@@ -215,7 +215,7 @@
   EXPECT_EQ(leader->nonce, "4f2a");
 }
 
-TEST(StoredOutcome, AMalformedOneIsRefusedWithItsField) {
+TEST(StoredOutcome, AnErrorNamesTheMalformedFieldOfAnOutcomeOrLeader) {
   EXPECT_EQ(control::read_outcome("").error().kind, RecordError::Kind::not_an_object);
   EXPECT_EQ(control::read_outcome(R"({"s":"running","n":2})").error(), malformed("s"));
   EXPECT_EQ(control::read_outcome(R"({"s":"done"})").error(), malformed("n"));
@@ -232,14 +232,14 @@
   EXPECT_EQ(*read, pool);
 }
 
-TEST(StoredPool, AnAbsentFieldIsReadAsZero) {
+TEST(StoredPool, AMissingFieldIsReadAsZero) {
   const auto read = control::read_pool(R"({"count":12})");
   ASSERT_TRUE(read);
   EXPECT_EQ(*read, (sched::PoolState{12, 0}));
   EXPECT_FALSE(control::read_pool("12"));
 }
 
-// Moves.
+// ---- moves ----
 
 const std::string kMoveRecord =
     R"({"plan":{"id":"41-1","job":"j-000412","begun_ms":1700000000004,"cost_s":12.5,)"
@@ -285,30 +285,30 @@
   EXPECT_EQ(defrag::read_move_record(kMoveRecord), move_record());
 }
 
-TEST(StoredMoves, ARecordWithoutAPlanLeavesItOut) {
+TEST(StoredMoves, ARecordWithoutAPlanOmitsTheField) {
   EXPECT_EQ(defrag::write_move_record({}), R"({"past":[]})");
   EXPECT_EQ(defrag::read_move_record(R"({"past":[]})"), defrag::MoveRecord{});
 }
 
-// Regions.
+// ---- regions ----
 
-// The order is: CPUs guaranteed, CPUs at most, GPUs guaranteed, GPUs at most.
+// In this order: guaranteed CPUs, CPU limit, guaranteed GPUs, GPU limit.
 const regions::QuotaAmounts kAmounts({1500, 2500, 3000, 4000});
 
-TEST(StoredRegions, AmountsStandInTheirOrder) {
+TEST(StoredRegions, AmountsAreInProtocolOrder) {
   EXPECT_EQ(kAmounts[regions::Resource::guaranteed_cpus], 1500);
   EXPECT_EQ(kAmounts[regions::Resource::cpus], 2500);
   EXPECT_EQ(kAmounts[regions::Resource::guaranteed_gpus], 3000);
   EXPECT_EQ(kAmounts[regions::Resource::gpus], 4000);
 }
 
-TEST(StoredRegions, AShareIsWrittenAndRead) {
+TEST(StoredRegions, AQuotaIsWrittenAndRead) {
   const std::string text = R"({"amounts":[1500,2500,3000,4000]})";
   EXPECT_EQ(regions::write_quota(kAmounts), text);
   EXPECT_EQ(regions::read_quota(text), kAmounts);
 }
 
-TEST(StoredRegions, TheNumberOfTheLastTransferIsWrittenAndRead) {
+TEST(StoredRegions, ATransferCounterIsWrittenAndRead) {
   EXPECT_EQ(regions::write_counter(42), R"({"n":42})");
   EXPECT_EQ(regions::read_counter(R"({"n":42})"), 42U);
 }
@@ -320,14 +320,14 @@
   EXPECT_EQ(regions::read_transfer(text), transfer);
 }
 
-TEST(StoredRegions, TheFounderIsWrittenAndRead) {
+TEST(StoredRegions, TheBootstrapRegionIsWrittenAndRead) {
   EXPECT_EQ(regions::write_bootstrap_region("east"), R"({"region":"east"})");
   EXPECT_EQ(regions::read_bootstrap_region(R"({"region":"east"})"), "east");
 }
 
-// What a whole cluster stores.
+// ---- records stored by a cluster ----
 
-/// The text with each number replaced by `#`.
+/// The text with each sequence of digits replaced by `#`.
 std::string without_numbers(const std::string& text) {
   std::string result;
   for (const char c : text) {
@@ -341,7 +341,7 @@
   return result;
 }
 
-TEST(StoredPool, ACountAndTheTimeOfTheLastScalingAreWritten) {
+TEST(StoredPool, AClusterStoresTheCountAndLastScalingTimeOfAPool) {
   TestCluster cluster;
   cluster.run(1);
   cluster.submit(0, make_job("j-000001", wire::JobKind::service, 2, 8).spec);
--- a/tests/stored_jobs.hpp
+++ b/tests/stored_jobs.hpp
@@ -1,4 +1,4 @@
-// Jobs in a key-value store, for tests of what nodes read from it.
+// A key-value store with jobs, for tests of its readers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,12 +17,11 @@
 
 inline constexpr double kLatencyS = 0.001;
 
-/// Requests reach the key-value store after a millisecond, as do its answers, and it can be made to
-/// refuse.
+/// Delays requests to the key-value store and its responses by kLatencyS each; can refuse requests.
 struct SlowTransport : net::Transport {
   FakeReactor& reactor;
   StateStandIn& store;
-  int refusal_status = 0;  ///< instead of serving; 0: it serves
+  int refusal_status = 0;  ///< HTTP status to refuse with; 0: requests are served
   int calls = 0;
 
   SlowTransport(FakeReactor& clock, StateStandIn& stand_in) : reactor(clock), store(stand_in) {}
@@ -43,13 +42,13 @@
 
 class StoredJobsTest : public ::testing::Test {
  protected:
-  static constexpr std::size_t kMaxBytes = 8192;  ///< of a value
+  static constexpr std::size_t kMaxBytes = 8192;  ///< of each value
   static constexpr const char* kJob = "j-000001";
 
   StoredJobsTest() { reactor_.run_until(100); }
 
   void run(double seconds) { reactor_.run_until(reactor_.now() + seconds); }
-  /// A service that has not started.
+  /// Makes a service that has not started.
   static sched::Job make_service(const std::string& id) {
     return make_job(id, wire::JobKind::service, 2, 1, "red");
   }
@@ -69,7 +68,7 @@
     const auto body = wire::compare_and_swap_request({}, mutations);
     ASSERT_EQ(stand_in_.handle({"POST", "/txn", "", body, true}).status, 200);
   }
-  /// Runs a routine to its end and returns its result.
+  /// Runs a task to completion and returns its result.
   template <typename Value>
   Value await(net::Task<Value> task) {
     task.start();
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -1,5 +1,6 @@
-// Two versions on each other's data. What the version in production stores stands here as it writes
-// it, and what this version stores goes through a reader that keeps to the other's bounds.
+// Compatibility of stored data between this version and the one in production. Records of the
+// production version are literals here; records of this version are checked by a reader with the
+// requirements and limits of the production version.
 #include <gtest/gtest.h>
 
 #include "control/job_record.hpp"
@@ -15,8 +16,8 @@
 using control::read_record;
 using control::write_record;
 
-/// Of a part whose main value was changed by a cancellation since: not that of the main value,
-/// which is 0 where a test sets none.
+/// Revision of a part whose main value was later changed by a cancellation. It differs from that of
+/// the main value, which is 0 unless a test sets it.
 constexpr std::uint64_t kOtherRevision = 1;
 
 const char* const kProductionRecord =
@@ -26,10 +27,10 @@
     R"("DueS":900.0},"at":1000,"w":0,"n":3,"g":17,"d":[[0,1]],"p":[[1,2,"n-000007"]],"parts":1})";
 const char* const kProductionPart = R"({"g":17,"d":[],"p":[[2,3,"n-000008"]]})";
 
-constexpr std::size_t kMaxBytes = 8192;  ///< of a value, by the present limits
+constexpr std::size_t kMaxBytes = 8192;  ///< of a value, by the current limits
 
-/// What the version in production insists on in a record's main value, from its sources; anything
-/// else it calls malformed and leaves alone.
+/// Whether the production version accepts a main value. The required fields are taken from its
+/// sources; it leaves any other record unchanged as malformed.
 bool older_version_reads(const std::string& text) {
   const wire::JsonDocument document(text);
   if (!document.is_object()) return false;
@@ -53,8 +54,8 @@
   return wire::read_count(*job, "Teeth").has_value();
 }
 
-/// How many placements the older version takes from main value and parts, in which it insists on
-/// three fields each; -1 when it finds a part of another write.
+/// Number of placements that the older version reads from a main value and its parts; -1 if a part
+/// belongs to another write or a placement does not have the three required fields.
 int placements_of_older_version(const std::vector<std::string>& values) {
   int placements = 0;
   std::uint64_t main_generation = 0;
@@ -76,7 +77,7 @@
   return placements;
 }
 
-/// An array all of whose tasks are placed.
+/// A job array with all tasks placed.
 sched::Job long_job(std::uint32_t tasks) {
   sched::Job job = make_job("j-000001", wire::JobKind::job_array, tasks, 1);
   job.record.revision = 17;
@@ -105,7 +106,7 @@
   EXPECT_EQ(outcome->ended_ms, 0);
 }
 
-TEST(Versions, ARecordWithoutDependenciesIsWrittenAsInProduction) {
+TEST(Versions, ARecordWithoutDependenciesHasTheProductionFormat) {
   auto job = read_record(kProductionRecord);
   ASSERT_TRUE(job);
   ASSERT_EQ(control::add_part(kProductionPart, kOtherRevision, *job), PartStatus::added);
@@ -121,9 +122,9 @@
   EXPECT_EQ(control::write_outcome({wire::JobState::done, 3, 0}), R"({"s":"done","n":3})");
 }
 
-// A record as large as the present limits allow is written again within the coming ones.
-TEST(Versions, ALongRecordIsWrittenInSmallValuesThatTheOlderVersionReads) {
-  constexpr std::size_t kComingMaxBytes = 2048;
+// A record written under the current value limit is rewritten under the announced lower one.
+TEST(Versions, ALongRecordIsRewrittenInSmallValuesThatTheOlderVersionReads) {
+  constexpr std::size_t kLowerMaxBytes = 2048;
   const auto job = long_job(300);
   const auto before = write_record(job, kMaxBytes);
   auto read = read_record(before[0]);
@@ -133,15 +134,16 @@
     ASSERT_EQ(control::add_part(before[i], kOtherRevision, *read), PartStatus::added);
   }
   read->record.revision = 18;
-  const auto texts = write_record(*read, kComingMaxBytes);
+  const auto texts = write_record(*read, kLowerMaxBytes);
   EXPECT_GT(texts.size(), before.size());
-  for (const auto& text : texts) EXPECT_LE(text.size(), kComingMaxBytes);
+  for (const auto& text : texts) EXPECT_LE(text.size(), kLowerMaxBytes);
   EXPECT_TRUE(older_version_reads(texts[0]));
   EXPECT_EQ(placements_of_older_version(texts), 300);
 }
 
-// As many live tasks as are allowed fit one transaction, with as many ranges of done ones between.
-TEST(Versions, TheRecordOfAsManyLiveTasksAsAllowedFitsATransaction) {
+// The maximum number of live tasks fits one transaction, with as many ranges of done tasks between
+// them.
+TEST(Versions, TheRecordOfTheMaximumNumberOfLiveTasksFitsATransaction) {
   for (const auto& [value_kb, txn_ops] :
        {std::pair(2.0, 4), std::pair(2.0, 8), std::pair(8.0, 12), std::pair(8.0, 24)}) {
     auto settings = small_settings();
@@ -159,9 +161,9 @@
   }
 }
 
-// The older version would start such a job too early, and write its record without its
-// dependencies.
-TEST(Versions, TheOlderVersionLeavesAJobWithDependenciesAlone) {
+// The older version does not know dependencies: it would start such a job too early and rewrite its
+// record without them.
+TEST(Versions, TheOlderVersionRejectsAJobWithDependencies) {
   sched::Job job = long_job(1);
   EXPECT_TRUE(older_version_reads(write_record(job, kMaxBytes)[0]));
   job.spec.dependencies = {"j-000007", "j-000008"};
@@ -170,14 +172,14 @@
   const auto read = read_record(texts[0]);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->spec.dependencies, job.spec.dependencies);
-  // It insists on these two fields of an outcome, and ignores others.
+  // It requires the first two fields of an outcome and ignores others.
   const std::string outcome = control::write_outcome({wire::JobState::done, 3, 1234});
   EXPECT_EQ(outcome, R"({"s":"done","n":3,"t":1234})");
   EXPECT_EQ(control::read_outcome(outcome)->ended_ms, 1234);
 }
 
-// The older version drops a link on which a frame has another version, kind or length.
-TEST(Versions, FramesBetweenControllersAreThoseOfProduction) {
+// The older version drops a connection on which a frame has another version, kind or length.
+TEST(Versions, FramesBetweenControllersHaveTheProductionFormat) {
   peer::PeerHeartbeat peer_heartbeat;
   peer_heartbeat.name = "n0";
   peer_heartbeat.fencing_token = 5;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -109,12 +109,12 @@
   const std::uint64_t same_revision = read->record.revision;
   const std::uint64_t other_revision = same_revision + 1;
   EXPECT_EQ(control::add_part(texts[1], other_revision, *read), PartStatus::added);
-  EXPECT_EQ(control::add_part(later[1], same_revision, *read), PartStatus::of_another_write);
+  EXPECT_EQ(control::add_part(later[1], same_revision, *read), PartStatus::different_write);
   // Parts from before there were generations go by their revision.
   const std::string without_generation = R"({"d":[],"p":[]})";
   EXPECT_EQ(control::add_part(without_generation, same_revision, *read), PartStatus::added);
   EXPECT_EQ(control::add_part(without_generation, other_revision, *read),
-            PartStatus::of_another_write);
+            PartStatus::different_write);
   EXPECT_EQ(control::read_cancelled_at_ms(texts[0]), 0);
   texts[0].replace(texts[0].rfind("\"w\":0"), 5, "\"w\":1700000000123");
   EXPECT_EQ(control::read_cancelled_at_ms(texts[0]), 1700000000123);
--- a/tests/write_order_test.cpp
+++ b/tests/write_order_test.cpp
@@ -1,4 +1,4 @@
-// The order in which records are written.
+// Order of record writes.
 #include "control/write_order.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 class WriteOrder : public ::testing::Test {
  protected:
-  /// A job that is stored and has not changed.
+  /// Adds a job whose record is stored and unchanged.
   sched::Job& add_stored(const std::string& id) {
     sched::Job& job = fleet_.add(make_job(id, wire::JobKind::job_array, 1, 1));
     job.record.dirty = false;
@@ -41,32 +41,32 @@
   std::string reloading_;
 };
 
-TEST_F(WriteOrder, WhatHasNotChangedIsNotWritten) {
+TEST_F(WriteOrder, AnUnchangedRecordIsNotWritten) {
   add_stored("j-000001");
   EXPECT_TRUE(order().empty());
 }
 
-TEST_F(WriteOrder, ARecordThatIsToBeReadAnewIsNotWritten) {
+TEST_F(WriteOrder, ARecordToBeReloadedIsNotWritten) {
   add_changed("j-000001", kNow);
   reloading_ = "j-000001";
   EXPECT_TRUE(order().empty());
 }
 
-TEST_F(WriteOrder, AChangeIsDatedWhenItIsFirstSeen) {
+TEST_F(WriteOrder, AChangeWithoutATimeIsDatedWhenFirstOrdered) {
   sched::Job& job = add_changed("j-000001", 0);
   order();
   EXPECT_EQ(job.record.dirty_since, kNow);
 }
 
-TEST_F(WriteOrder, StartsComeBeforeTheRest) {
+TEST_F(WriteOrder, StartsAreWrittenBeforeOtherRecords) {
   add_changed("j-000001", kNow);
   sched::Job& starting = add_changed("j-000002", kNow);
   fleet_.cluster.add_placement(starting, 0, 1, "n-1", kNow);
   EXPECT_EQ(order(), (std::vector<std::string>{"j-000002", "j-000001"}));
 }
 
-// Guards against outcomes that wait behind starts for ever.
-TEST_F(WriteOrder, OverdueRecordsAndStartsTakeTurns) {
+// A steady stream of starts must not delay outcomes indefinitely.
+TEST_F(WriteOrder, OverdueRecordsAndStartsAlternate) {
   constexpr double kOverdue = kNow - 2;
   add_changed("j-000001", kOverdue);
   add_changed("j-000002", kOverdue - 1);
@@ -77,14 +77,14 @@
             (std::vector<std::string>{"j-000002", "j-000003", "j-000001", "j-000004", "j-000005"}));
 }
 
-TEST_F(WriteOrder, ACancelledJobWithoutTasksMayWaitForAQuarterOfCancelS) {
+TEST_F(WriteOrder, ACancelledJobWithoutPlacementsMayWaitForAQuarterOfCancelS) {
   add_changed("j-000001", kNow);
   fleet_.cluster.cancel(add_changed("j-000002", kNow - kCancelS / 4 - 1), 1, kNow);
   fleet_.cluster.cancel(add_changed("j-000003", kNow - kCancelS / 4 + 1), 1, kNow);
   EXPECT_EQ(order(), (std::vector<std::string>{"j-000002", "j-000001", "j-000003"}));
 }
 
-TEST_F(WriteOrder, ACancelledJobWithoutTasksIsWrittenThoughNothingElseChanged) {
+TEST_F(WriteOrder, ACancelledJobWithoutPlacementsIsWrittenEvenIfNotDirty) {
   sched::Job& job = add_stored("j-000001");
   fleet_.cluster.cancel(job, 1, kNow);
   job.record.dirty = false;
