--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -239,7 +239,7 @@
       cluster, 40, [&] { return ended(cluster, 1) && ended(cluster, 2) && ended(cluster, 3); }));
 }
 
-// One node has cached that a dependency is not cancelled, and another node finds that it is. Once
+// One node has cached that a dependency is not cancelled; another node finds it cancelled. Once
 // the second has reported the cancellation, the first must not report `queued`.
 TEST(Pipeline, AfterOneNodeReportsACancellationNoOtherReportsQueued) {
   TestCluster cluster;
