--- a/src/control/agent_redirector.cpp
+++ b/src/control/agent_redirector.cpp
@@ -13,34 +13,36 @@
   return connection_load_ && connection_load_() > kMaxLoad;
 }
 
-// Whether heartbeats take more of this controller's processor or connections than they should. One
-// that comes straight here costs two packets and a connection; forwarded ones come and go together
-// with others, at the expense of a controller that has more to spare.
+// Whether heartbeats use more than their share of this controller's CPU or connections. A heartbeat
+// sent directly costs two packets and a connection; forwarded heartbeats arrive and are answered in
+// batches, at the expense of a less loaded controller.
 bool AgentRedirector::overloaded() {
-  constexpr double kMaxProcessorShare = 0.1;  // of this controller's own
+  constexpr double kMaxCpuFraction = 0.1;     // of this controller's CPU share
   constexpr double kPacketsPerHeartbeat = 2;  // the heartbeat and its response
   const double cost = direct_heartbeats_.per_second(services_.reactor.now()) *
                       kPacketsPerHeartbeat * base::kPacketCost;
-  return cost > kMaxProcessorShare * services_.settings.core_share || connections_overloaded();
+  return cost > kMaxCpuFraction * services_.settings.core_share || connections_overloaded();
 }
 
-// Seconds between two agents that could as well stay: in the time between two heartbeats of an
-// agent no more than a tenth of those that come straight here, or ten. The rate tells only later
-// what each has changed.
-double AgentRedirector::redirect_interval() {
-  constexpr double kMinPerInterval = 10, kMaxFraction = 0.1;
+// Minimum seconds between redirections of agents that may stay. Per heartbeat interval it allows a
+// tenth of the agents that send directly, or ten if that is more: the measured rate reflects each
+// redirection only with a delay.
+double AgentRedirector::min_redirect_interval_s() {
+  constexpr double kMinRedirectsPerInterval = 10, kMaxRedirectedFraction = 0.1;
   const double heartbeat_interval_s = services_.settings.heartbeat_interval_s;
-  const double direct =
+  const double direct_per_interval =
       direct_heartbeats_.per_second(services_.reactor.now()) * heartbeat_interval_s;
-  return heartbeat_interval_s / std::max(kMinPerInterval, kMaxFraction * direct);
+  return heartbeat_interval_s /
+         std::max(kMinRedirectsPerInterval, kMaxRedirectedFraction * direct_per_interval);
 }
 
-// The controllers of the zone; all others, where the zone has none.
-std::vector<const base::Peer*> AgentRedirector::possible_forwarders(const std::string& zone) const {
-  const bool any = !services_.settings.has_node(zone);
+// Returns the controllers of the zone, or all other controllers if the zone has none.
+std::vector<const base::Peer*> AgentRedirector::candidate_forwarders(
+    const std::string& zone) const {
+  const bool any_zone = !services_.settings.has_node(zone);
   std::vector<const base::Peer*> forwarders;
   for (const auto& other : services_.settings.others) {
-    if (any || other.zone == zone) forwarders.push_back(&other);
+    if (any_zone || other.zone == zone) forwarders.push_back(&other);
   }
   return forwarders;
 }
@@ -50,13 +52,13 @@
   const bool may_stay = heartbeat.zone == settings.zone || !settings.has_node(heartbeat.zone);
   const double now = services_.reactor.now();
   if (may_stay && (now < next_redirect_at_ || !overloaded())) return {};
-  const auto forwarders = possible_forwarders(heartbeat.zone);
-  // Each agent begins at another of them, so that they share the work.
+  const auto forwarders = candidate_forwarders(heartbeat.zone);
+  // Agents start at different forwarders, which spreads the load.
   const auto first = std::hash<std::string>{}(heartbeat.machine);
   for (std::size_t i = 0; i < forwarders.size(); ++i) {
     const std::string& forwarder = forwarders[(first + i) % forwarders.size()]->name;
     if (!handler.try_redirect(heartbeat.machine, forwarder)) continue;
-    if (may_stay) next_redirect_at_ = now + redirect_interval();
+    if (may_stay) next_redirect_at_ = now + min_redirect_interval_s();
     return forwarder;
   }
   return {};
--- a/src/control/agent_redirector.hpp
+++ b/src/control/agent_redirector.hpp
@@ -1,4 +1,4 @@
-// Which agents the leader hands on to a forwarder.
+// Selects the agents that the leader redirects to a forwarder.
 #pragma once
 
 #include <functional>
@@ -12,35 +12,36 @@
 
 namespace cranklock::control {
 
-/// Redirects agents of other controllers' zones to a controller of their zone, and, while
-/// heartbeats take too much of the leader's processor or connections, those that could as well
-/// stay.
+/// Redirects agents of other controllers' zones to a controller of their zone. While heartbeats use
+/// too much of the leader's CPU or connections, it also redirects agents that may stay.
 class AgentRedirector {
  public:
   explicit AgentRedirector(Services services);
 
-  /// `connection_load` tells the share of this controller's connections that is in use. Without it
-  /// no agent is redirected for want of connections.
+  /// `connection_load` returns the fraction of this controller's connections in use. Without it no
+  /// agent is redirected because of connection load.
   void set_connection_load(std::function<double()> connection_load) {
     connection_load_ = std::move(connection_load);
   }
-  /// Whether so many connections are in use that the rest must be left to clients and newcomers.
+  /// Whether so many connections are in use that the rest must be reserved for clients and new
+  /// agents.
   bool connections_overloaded() const;
 
-  /// Counts a heartbeat that came straight to this controller as the leader.
+  /// Counts a heartbeat that an agent sent directly to this controller as the leader.
   void note_direct_heartbeat() { direct_heartbeats_.note(services_.reactor.now()); }
-  /// The forwarder that the agent is to send its heartbeats to from now on; empty: it stays.
+  /// Returns the forwarder that the agent is to send its heartbeats to from now on; empty if it
+  /// stays.
   std::string redirect(const wire::Heartbeat& heartbeat, HeartbeatHandler& handler);
 
  private:
   bool overloaded();
-  double redirect_interval();
-  std::vector<const base::Peer*> possible_forwarders(const std::string& zone) const;
+  double min_redirect_interval_s();
+  std::vector<const base::Peer*> candidate_forwarders(const std::string& zone) const;
 
   Services services_;
   std::function<double()> connection_load_;
   base::EventRate direct_heartbeats_;
-  double next_redirect_at_ = 0;  ///< when an agent that could stay may be redirected again
+  double next_redirect_at_ = 0;  ///< no agent that may stay is redirected before this time
 };
 
 }  // namespace cranklock::control
--- a/src/control/cloud_inventory.cpp
+++ b/src/control/cloud_inventory.cpp
@@ -9,17 +9,17 @@
 using net::Task;
 
 namespace {
-constexpr double kTypesRetryS = 1;  ///< until the machine types were read for the first time
+constexpr double kTypesRetryS = 1;  ///< until the machine types have been read once
 }  // namespace
 
-Task<void> CloudInventory::follow_types() {
+Task<void> CloudInventory::poll_machine_types() {
   for (;;) {
     auto reading = context_.services.cloud.types();
     auto types = co_await reading;
     if (types && !types->empty()) {
       context_.cluster.set_types(std::move(*types));
       context_.cluster.mark_changed();
-      context_.work.set();
+      context_.state_changed.set();
     }
     const bool known = !context_.cluster.types().empty();
     Sleep pause(context_.services.reactor,
@@ -28,11 +28,11 @@
   }
 }
 
-Task<void> CloudInventory::follow_list() {
+Task<void> CloudInventory::poll_machines() {
   for (;;) {
     auto reading = context_.services.cloud.list();
     const auto listed_machines = co_await reading;
-    if (listed_machines) apply_list(*listed_machines);
+    if (listed_machines) apply_machine_list(*listed_machines);
     const auto known = context_.cluster.machines().size();
     Sleep pause(context_.services.reactor,
                 cloud::Client::list_interval(context_.services.settings, known));
@@ -40,7 +40,7 @@
   }
 }
 
-void CloudInventory::apply_list(const std::vector<wire::ListedMachine>& listed_machines) {
+void CloudInventory::apply_machine_list(const std::vector<wire::ListedMachine>& listed_machines) {
   const double now = context_.now();
   for (const auto& listed : listed_machines) {
     if (deleter_.is_deleted(listed.id)) continue;
--- a/src/control/cloud_inventory.hpp
+++ b/src/control/cloud_inventory.hpp
@@ -1,4 +1,4 @@
-// Follows the cloud's list of machines and its machine types.
+// Polls the cloud for its list of machines and its machine types.
 #pragma once
 
 #include <vector>
@@ -9,21 +9,21 @@
 
 namespace cranklock::control {
 
-/// Adds listed machines to the cluster state and keeps what is listed of them up to date. A machine
-/// that the list lacks is not removed, since the list lags (invariant 8).
+/// Adds listed machines to the cluster state and updates their listed properties. A machine that is
+/// missing from the list is not removed, since the list is delayed (invariant 8).
 class CloudInventory {
  public:
-  /// Made when the leader term begins. All that is referred to outlives it.
+  /// Created when the leader term begins. All referenced objects must outlive it.
   CloudInventory(const LeaderContext& context, const MachineDeleter& deleter)
       : context_(context), deleter_(deleter) {}
 
-  /// Reads the list of machines, for ever.
-  net::Task<void> follow_list();
-  /// Reads the machine types, for ever.
-  net::Task<void> follow_types();
+  /// Polls the list of machines until cancelled.
+  net::Task<void> poll_machines();
+  /// Polls the machine types until cancelled.
+  net::Task<void> poll_machine_types();
 
  private:
-  void apply_list(const std::vector<wire::ListedMachine>& listed_machines);
+  void apply_machine_list(const std::vector<wire::ListedMachine>& listed_machines);
 
   const LeaderContext& context_;
   const MachineDeleter& deleter_;
--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// Which commands the leader lease permits at present. Tasks of cancelled jobs are stopped whatever
-/// it permits, since no leader wants them to go on.
+/// Which commands the leader lease permits now. Tasks of cancelled jobs are stopped regardless of
+/// it, since no leader would continue them.
 struct PermittedCommands {
   bool start, stop;
 };
@@ -26,26 +26,26 @@
   return {lease.may_start(now), lease.valid(now)};
 }
 
-/// Only durable placements are started (invariant 2), and none that a start may already have
-/// reached (invariant 5).
+/// Only durable placements are started (invariant 2), and only if no earlier start command may have
+/// reached the agent (invariant 5).
 bool is_start_due(const Job& job, const Placement& placement, PermittedCommands permitted) {
   return permitted.start && !job.cancelled() && job.dependencies_met && placement.durable() &&
          !placement.ended && !placement.stop && !placement.seen &&
          placement.start_carrier.epoch == 0 && placement.unconfirmed_start_epoch == 0;
 }
 
-/// A placement that is drained is stopped in responses to heartbeats alone (invariant 19).
+/// A draining placement is stopped only in heartbeat responses (invariant 19).
 bool is_stop_due(const Job& job, const Placement& placement, PermittedCommands permitted) {
   const bool requested = placement.stop && !placement.drain_deadline && permitted.stop;
   return (requested || job.cancelled()) && placement.seen && !placement.ended &&
          !placement.stop_sent;
 }
 
-/// Whether the agent can be expected to answer.
+/// Whether the agent is expected to respond.
 bool is_reachable(const Machine& machine, double heartbeat_interval_s, double now) {
   if (!machine.agent.heartbeat_received || machine.lease.expired) return false;
   if (machine.cloud.terminating || machine.address.empty()) return false;
-  // Guards against indeterminate starts on machines that may be gone.
+  // Avoids indeterminate starts on machines that may no longer exist.
   return now - machine.agent.last_heartbeat <= 2 * heartbeat_interval_s;
 }
 
@@ -71,7 +71,7 @@
   for (const auto& machine_id : due) {
     const Machine* machine = context_.cluster.machine(machine_id);
     if (machine == nullptr || !is_reachable(*machine, heartbeat_interval_s, now)) continue;
-    if (calls_in_progress_.size() >= max_calls()) return;
+    if (calls_in_progress_.size() >= max_concurrent_calls()) return;
     if (calls_in_progress_.insert(machine_id).second) scope_.spawn(send_to(machine_id));
   }
 }
@@ -79,9 +79,9 @@
 std::vector<wire::Command> CommandSender::take_due_commands(Machine& machine) {
   std::vector<wire::Command> commands;
   const auto permitted = permitted_commands(context_.lease, context_.now());
-  for (const auto& held : machine.tasks) {
-    const Job& job = *held.job;
-    Placement& placement = held.placement();
+  for (const auto& placement_ref : machine.tasks) {
+    const Job& job = *placement_ref.job;
+    Placement& placement = placement_ref.placement();
     const wire::TaskName task{job.spec.id, placement.task};
     if (is_start_due(job, placement, permitted)) {
       commands.push_back({wire::CommandKind::start, task, placement.attempt, 0});
@@ -136,7 +136,7 @@
   }
   const auto heartbeat =
       reply.answered() ? wire::parse_heartbeat(reply.response.body) : std::nullopt;
-  // An answer that can't be read, or another machine's, leaves the starts indeterminate.
+  // A malformed response, or one from another machine, leaves the starts indeterminate.
   if (reply.answered() && (!heartbeat || heartbeat->machine != machine_id)) co_return;
   machine = context_.cluster.machine(machine_id);
   if (machine == nullptr) co_return;
@@ -147,7 +147,7 @@
     co_return;
   }
   context_.cluster.reconcile_heartbeat(*heartbeat, false, context_.now());
-  context_.work.set();
+  context_.state_changed.set();
 }
 
 Task<void> CommandSender::announce_fencing_token() {
@@ -156,13 +156,13 @@
     Sleep pause(context_.services.reactor, heartbeat_interval_s / 2);
     co_await pause;
     const double now = context_.now();
-    // Most agents send a heartbeat by themselves first.
+    // Most agents send a heartbeat to the new leader before this time.
     if (now - context_.term_started_at < 1.5 * heartbeat_interval_s) continue;
     std::erase_if(announced_at_, [&](const auto& announcement) {
       return context_.cluster.machine(announcement.first) == nullptr;
     });
     for (const auto& machine_id : due_announcements(now)) {
-      if (calls_in_progress_.size() >= max_calls() / 2) break;
+      if (calls_in_progress_.size() >= max_concurrent_calls() / 2) break;
       announced_at_[machine_id] = now;
       if (calls_in_progress_.insert(machine_id).second)
         scope_.spawn(send_fencing_token(machine_id));
@@ -170,7 +170,8 @@
   }
 }
 
-// Machines that run, send us no heartbeats, and were not told of our fencing token lately.
+// Running machines whose agents send no heartbeats to this leader and to which its fencing token
+// was not announced recently.
 std::vector<std::string> CommandSender::due_announcements(double now) const {
   const auto& settings = context_.services.settings;
   std::vector<std::string> due;
@@ -208,9 +209,9 @@
     }
     on_agent_message_();
     context_.cluster.reconcile_heartbeat(*heartbeat, false, context_.now());
-    context_.work.set();
+    context_.state_changed.set();
     if (reply.status() == 200 || heartbeat->agent_epoch == agent_epoch) break;
-    // The command named another agent epoch than the agent's own: it is sent once more.
+    // The request named an agent epoch other than the agent's own: retry with that one.
     agent_epoch = heartbeat->agent_epoch;
   }
   calls_in_progress_.erase(machine_id);
--- a/src/control/decision_loop.hpp
+++ b/src/control/decision_loop.hpp
@@ -1,4 +1,4 @@
-// The leader's decisions: placement passes, and the records that make them durable.
+// Runs the leader's placement passes and writes the records that make their results durable.
 #pragma once
 
 #include <memory>
@@ -16,29 +16,29 @@
 
 namespace cranklock::control {
 
-/// Takes in what has changed, runs a placement pass, writes the records of the jobs that it has
-/// changed, and sends the commands that are then durable (invariant 2); over and over, in this
-/// order, so that no pass runs while a record is being written.
+/// Repeats these steps in order: apply changes, run a placement pass, write the records of the jobs
+/// that the pass has changed, and send the commands whose placements are then durable (invariant
+/// 2). No pass runs while a record is being written.
 class DecisionLoop {
  public:
-  /// The parts of the term that the loop drives. They outlive it.
-  struct Parts {
+  /// The components of the term that the loop calls. They must outlive it.
+  struct Components {
     JobWatcher& jobs;
     OutcomeReader& outcomes;
     RecordWriter& writer;
     CommandSender& commands;
     PoolScaler& scaler;
     regions::QuotaService* quota_shares;  ///< nullptr: quota is not shared between regions
-    MoveService* moves;                   ///< nullptr: the operator allows no moves
+    MoveService* moves;                   ///< nullptr: moves are disabled in the settings
   };
 
-  /// Made when the term begins. All that is referred to outlives the loop.
-  DecisionLoop(const LeaderContext& context, Parts parts);
+  /// Created when the term begins. All referenced objects must outlive the loop.
+  DecisionLoop(const LeaderContext& context, Components components);
 
-  /// Decides until the leadership is lost.
+  /// Runs until the leadership is lost.
   net::Task<void> run();
-  /// A job has come, or one that others depend on has ended: a placement pass goes before records
-  /// that still wait to be written.
+  /// Requests a placement pass ahead of pending record writes, because a job has arrived or one
+  /// that others depend on has ended.
   void expedite_pass() { pass_expedited_ = true; }
 
  private:
@@ -49,8 +49,8 @@
   net::Task<void> write_records();
 
   const LeaderContext& context_;
-  Parts parts_;
-  std::unique_ptr<defrag::Advisor> advisor_;  ///< nullptr: the operator wants no advice
+  Components components_;
+  std::unique_ptr<defrag::Advisor> advisor_;  ///< nullptr: advice is disabled in the settings
   double last_pass_at_ = 0;
   double next_pass_at_ = 0;  ///< no placement pass before this time
   bool pass_expedited_ = false;
--- a/src/control/heartbeat_forwarder.cpp
+++ b/src/control/heartbeat_forwarder.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000;
-/// Seconds after which an agent gives a request up and tries the next controller (PROTOCOL).
-constexpr double kAgentTimeout = 4.0;
-/// The part of it within which an agent is responded to.
+/// Seconds after which an agent abandons a request and tries the next controller (PROTOCOL).
+constexpr double kAgentTimeoutS = 4.0;
+/// Fraction of the agent timeout within which a response is sent.
 constexpr double kMaxWaitFraction = 0.8;
 
 }  // namespace
@@ -27,10 +27,10 @@
   fencing_token_ = peer_heartbeat.fencing_token;
   leader_ = peer_heartbeat.name;
   leader_clock_ms_ = peer_heartbeat.sent_clock_ms;
-  leader_heard_at_ = reactor_.now();
+  last_leader_heartbeat_at_ = reactor_.now();
 }
 
-void HeartbeatForwarder::describe(peer::PeerHeartbeat& peer_heartbeat) const {
+void HeartbeatForwarder::fill_peer_heartbeat(peer::PeerHeartbeat& peer_heartbeat) const {
   peer_heartbeat.echoed_fencing_token = fencing_token_;
   peer_heartbeat.echoed_clock_ms = leader_clock_ms_;
   if (delegate_responded_at_ < 0) return;
@@ -39,17 +39,19 @@
       static_cast<std::uint32_t>(std::min(age_ms, peer::kNever - 1.0));
 }
 
-bool HeartbeatForwarder::reaches_leader() const {
-  return fencing_token_ > 0 && reactor_.now() - leader_heard_at_ < leader_timeout(settings_);
+bool HeartbeatForwarder::is_leader_reachable() const {
+  return fencing_token_ > 0 &&
+         reactor_.now() - last_leader_heartbeat_at_ < leader_timeout(settings_);
 }
 
-bool HeartbeatForwarder::leader_expected() const {
-  if (reaches_leader()) return true;
-  // The leader's lease ends within its life; the rest is for its successor to acquire the key.
-  constexpr double kFailoverInLeaseLives = 1.5;
-  if (fencing_token_ == 0 || !may_wait_()) return false;
-  return reactor_.now() - leader_heard_at_ <
-         leader_timeout(settings_) + kFailoverInLeaseLives * LeaderLease::lease_life(settings_);
+bool HeartbeatForwarder::is_leader_expected() const {
+  if (is_leader_reachable()) return true;
+  // The lease of a failed leader expires within one TTL; the rest is for its successor to acquire
+  // the leader key.
+  constexpr double kFailoverInLeaseTtls = 1.5;
+  if (fencing_token_ == 0 || !may_hold_requests_()) return false;
+  return reactor_.now() - last_leader_heartbeat_at_ <
+         leader_timeout(settings_) + kFailoverInLeaseTtls * LeaderLease::lease_ttl_s(settings_);
 }
 
 // ---- agents ----
@@ -57,55 +59,59 @@
 bool HeartbeatForwarder::may_forward(const wire::Heartbeat& heartbeat) const {
   if (!send_frame_) return false;
   if (heartbeat.zone == settings_.zone) {
-    return leader_expected() || may_respond_as_delegate(heartbeat);
+    return is_leader_expected() || may_respond_as_delegate(heartbeat);
   }
-  if (!leader_expected()) return false;
-  return !has_other_controllers(heartbeat) || is_first_visit(heartbeat.machine) ||
-         returned_within_lease(heartbeat.machine);
+  if (!is_leader_expected()) return false;
+  return !has_other_controllers(heartbeat) || is_first_within_lease(heartbeat.machine) ||
+         redirected_within_lease(heartbeat.machine);
 }
 
-// Whether the agent's zone is not ours and has controllers of its own to forward for it.
+// Whether the agent is in another zone that has controllers of its own.
 bool HeartbeatForwarder::has_other_controllers(const wire::Heartbeat& heartbeat) const {
   return heartbeat.zone != settings_.zone && settings_.has_node(heartbeat.zone);
 }
 
-HeartbeatForwarder::Visit HeartbeatForwarder::last_visit(const std::string& machine) const {
-  const Visit* visit = visits_.find(machine);
-  return visit != nullptr ? *visit : Visit{};
+HeartbeatForwarder::OtherZoneAgent HeartbeatForwarder::other_zone_agent(
+    const std::string& machine) const {
+  const OtherZoneAgent* agent = other_zone_agents_.find(machine);
+  return agent != nullptr ? *agent : OtherZoneAgent{};
 }
 
 void HeartbeatForwarder::note_forwarded(const wire::Heartbeat& heartbeat) {
   if (!has_other_controllers(heartbeat)) return;
-  Visit visit = last_visit(heartbeat.machine);
-  // Renewed with each heartbeat, so that the agent is forwarded for as long as it comes here.
-  if (returned_within_lease(heartbeat.machine)) visit.redirected_at = reactor_.now();
-  visit.forwarded_at = reactor_.now();
-  visits_.put(heartbeat.machine, visit);
+  OtherZoneAgent agent = other_zone_agent(heartbeat.machine);
+  // Updated with each heartbeat, so that the agent is forwarded for as long as its heartbeats
+  // arrive here.
+  if (redirected_within_lease(heartbeat.machine)) agent.redirected_at = reactor_.now();
+  agent.forwarded_at = reactor_.now();
+  other_zone_agents_.put(heartbeat.machine, agent);
 }
 
 void HeartbeatForwarder::note_redirected(const wire::Heartbeat& heartbeat) {
   if (!has_other_controllers(heartbeat)) return;
-  Visit visit = last_visit(heartbeat.machine);
-  visit.redirected_at = reactor_.now();
-  visits_.put(heartbeat.machine, visit);
+  OtherZoneAgent agent = other_zone_agent(heartbeat.machine);
+  agent.redirected_at = reactor_.now();
+  other_zone_agents_.put(heartbeat.machine, agent);
 }
 
-// Guards against a lease that ends on the way: an agent that comes from a controller which does not
-// respond has lost half of a short lease, and would lose the rest if it were sent back there.
-bool HeartbeatForwarder::is_first_visit(const std::string& machine) const {
-  const Visit visit = last_visit(machine);
-  return reactor_.now() - std::max(visit.forwarded_at, visit.redirected_at) >= settings_.lease_s;
+// Prevents lease expiry during redirection: an agent that arrives from an unresponsive controller
+// has already used half of a short lease, and would use up the rest if it were redirected back
+// there.
+bool HeartbeatForwarder::is_first_within_lease(const std::string& machine) const {
+  const OtherZoneAgent agent = other_zone_agent(machine);
+  return reactor_.now() - std::max(agent.forwarded_at, agent.redirected_at) >= settings_.lease_s;
 }
 
-// Guards against agents that are redirected to and fro until their leases end: one that is back so
-// soon has found that the leader, which this controller hears, can't be reached from its zone.
-bool HeartbeatForwarder::returned_within_lease(const std::string& machine) const {
-  return reactor_.now() - last_visit(machine).redirected_at < settings_.lease_s;
+// Prevents redirection loops until the agents' leases expire: an agent that returns this soon could
+// not reach from its zone the leader that this controller can reach.
+bool HeartbeatForwarder::redirected_within_lease(const std::string& machine) const {
+  return reactor_.now() - other_zone_agent(machine).redirected_at < settings_.lease_s;
 }
 
 // ---- forwarding ----
 
-/// A heartbeat on its way to whoever is the leader. Its end removes it from the pending ones.
+/// A heartbeat being forwarded to the current leader. The destructor removes it from the pending
+/// ones.
 struct HeartbeatForwarder::Forwarding {
   HeartbeatForwarder& forwarder;
   std::string body;
@@ -122,14 +128,14 @@
 
 void HeartbeatForwarder::on_response(const peer::ForwardedResponse& response) {
   const auto entry = pending_.find(response.id);
-  if (entry == pending_.end()) return;  // too late: its agent has been responded to otherwise
+  if (entry == pending_.end()) return;  // late: the agent has already received another response
   PendingResponse& pending = *entry->second;
   pending.response = response;
   pending.done = true;
   pending.arrived.set();
 }
 
-// Under a new id, so that what a former leader responds from now on is ignored.
+// Uses a new id, so that later responses of a former leader are ignored.
 void HeartbeatForwarder::send_to_leader(Forwarding& forwarding) {
   pending_.erase(forwarding.id);
   forwarding.id = ++last_id_;
@@ -138,17 +144,19 @@
   send_frame_(leader_, peer::ForwardedHeartbeat{forwarding.id, forwarding.body});
 }
 
-// Waits for the response of the leader, or of its successor if one is heard in time.
+// Waits for the response of the leader, or of its successor if one appears in time.
 Task<void> HeartbeatForwarder::await_response(Forwarding& forwarding, double until,
                                               std::function<bool()> cut_off) {
   auto& pending = forwarding.pending;
   while (!pending.done && reactor_.now() < until) {
-    // Guards against agents redirected to a leader that stands still: its successor is waited for.
-    if (reaches_leader() && forwarding.fencing_token != fencing_token_) send_to_leader(forwarding);
-    // A controller that is cut off may respond as a delegate at once, unless the leader has the
-    // heartbeat already.
-    const bool hopeless = cut_off() ? forwarding.id == 0 : !leader_expected();
-    if (!reaches_leader() && hopeless) co_return;
+    // Waits for the successor of an unresponsive leader instead of redirecting agents to that
+    // leader.
+    if (is_leader_reachable() && forwarding.fencing_token != fencing_token_)
+      send_to_leader(forwarding);
+    // A controller that is cut off may respond as a delegate immediately, unless the heartbeat was
+    // already sent to the leader.
+    const bool gives_up = cut_off() ? forwarding.id == 0 : !is_leader_expected();
+    if (!is_leader_reachable() && gives_up) co_return;
     net::Signal::Wait wait(pending.arrived,
                            std::min(settings_.heartbeat_interval_s / 4, until - reactor_.now()));
     co_await wait;
@@ -158,23 +166,23 @@
 Task<Response> HeartbeatForwarder::forward(wire::Heartbeat heartbeat, std::string body,
                                            std::function<double()> store_last_answer_at) {
   const double received_at = reactor_.now();
-  // Whether the store was heard last no later than the leader, give or take what lies between two
-  // peer heartbeats: then neither of them is reached.
+  // Whether the store's last answer is no newer than the leader's last heartbeat, allowing for the
+  // interval between two peer heartbeats: then neither is reachable.
   const auto cut_off = [&] {
-    return store_last_answer_at() < leader_heard_at_ + settings_.heartbeat_interval_s / 2;
+    return store_last_answer_at() < last_leader_heartbeat_at_ + settings_.heartbeat_interval_s / 2;
   };
   Response response;
   if (body.size() < peer::kMaxTextBytes) {
     Forwarding forwarding(*this, std::move(body));
     auto waiting =
-        await_response(forwarding, received_at + kMaxWaitFraction * kAgentTimeout, cut_off);
+        await_response(forwarding, received_at + kMaxWaitFraction * kAgentTimeoutS, cut_off);
     co_await waiting;
-    const auto& leaders = forwarding.pending.response;
-    if (forwarding.pending.done && leaders.status == 200) {
-      // Counted from the coming of the heartbeat, which was before the leader's response.
-      const double until = received_at + leaders.delegation_ms / kMsPerSecond;
-      delegations_.put(heartbeat.machine, {leaders.fencing_token, until});
-      response.body = leaders.body;
+    const auto& leader_response = forwarding.pending.response;
+    if (forwarding.pending.done && leader_response.status == 200) {
+      // Counted from the arrival of the heartbeat, which precedes the leader's response.
+      const double until = received_at + leader_response.delegation_ms / kMsPerSecond;
+      delegations_.put(heartbeat.machine, {leader_response.fencing_token, until});
+      response.body = leader_response.body;
       co_return response;
     }
   }
@@ -185,17 +193,17 @@
 
 // ---- responding as a delegate ----
 
-// Guards the leader's timing of leases: it counts on no response of ours while it is heard here,
-// nor after the delegation has ended (invariant 4). An agent that has seen a newer fencing token
-// would drop the response anyway.
+// The leader's lease expiry relies on this: this controller sends no response as a delegate while
+// the leader is reachable from here, nor after the delegation has expired (invariant 4). An agent
+// that has seen a newer fencing token would reject the response anyway.
 bool HeartbeatForwarder::may_respond_as_delegate(const wire::Heartbeat& heartbeat) const {
   const Delegation* delegation = delegations_.find(heartbeat.machine);
   if (delegation == nullptr || delegation->fencing_token != fencing_token_) return false;
   if (heartbeat.fencing_token > fencing_token_) return false;
-  return !reaches_leader() && reactor_.now() < delegation->until;
+  return !is_leader_reachable() && reactor_.now() < delegation->until;
 }
 
-// Prolongs the agent's lease and carries no commands.
+// Extends the agent's lease; contains no commands.
 Response HeartbeatForwarder::respond_as_delegate() {
   const double now = reactor_.now();
   if (delegate_responded_at_ < 0 || now - delegate_responded_at_ > settings_.lease_s) {
--- a/src/control/heartbeat_handler.cpp
+++ b/src/control/heartbeat_handler.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A response that prolongs no lease.
+/// A response that does not extend the agent's lease.
 Response refusal(int status, std::string body = "") {
   Response response;
   response.status = status;
@@ -26,8 +26,8 @@
 }  // namespace
 
 Response HeartbeatHandler::handle(const wire::Heartbeat& heartbeat) {
-  // The leader lease is judged at the moment of responding: the process may have been held up
-  // since the heartbeat came (invariant 10).
+  // The leader lease is checked when responding: the process may have been paused since the
+  // heartbeat arrived (invariant 10).
   const double now = context_.now();
   if (heartbeat.fencing_token > context_.lease.fencing_token()) {
     context_.leadership.step_down(LeadershipLoss::agent_saw_higher_token);
@@ -41,7 +41,7 @@
   const auto freshness = context_.cluster.reconcile_heartbeat(heartbeat, true, now);
   if (!was_quarantined && context_.cluster.machine(heartbeat.machine)->quarantined()) {
     base::log_info("machine quarantined", base::field("machine", heartbeat.machine),
-                   base::field("reason", "its tasks fail"));
+                   base::field("reason", "task failures"));
   }
   if (freshness == Freshness::late_copy) return refusal(503);
 
@@ -52,13 +52,13 @@
     commands = context_.cluster.commands_for(heartbeat, context_.lease.may_start(now), now);
   }
   context_.cluster.record_response(heartbeat.machine, now);
-  context_.work.set();
+  context_.state_changed.set();
   Response response;
   response.body = wire::heartbeat_response(context_.lease.fencing_token(), commands);
   return response;
 }
 
-// Tasks that this heartbeat was the first to show as running.
+// Logs tasks that this heartbeat is the first to report as running.
 void HeartbeatHandler::log_started_tasks(const wire::Heartbeat& heartbeat, double now) const {
   if (!spdlog::should_log(spdlog::level::debug)) return;
   for (const auto& status : heartbeat.tasks) {
@@ -85,8 +85,8 @@
     forwarded.status = 503;
     return forwarded;
   }
-  // Guards against a forwarder that prolongs the lease of a machine on which a task is to be
-  // stopped: the stop may not have arrived yet, be it with this very response.
+  // A forwarder must not extend the lease of a machine on which a task is to be stopped: the stop
+  // command, which may be part of this response, may not have arrived yet.
   if (machine->stopping()) return forwarded;
   if (!is_forwarder_of_zone(forwarder, machine->kind.zone)) return forwarded;
   const double until = context_.lease.may_respond_until();
@@ -107,17 +107,18 @@
 }
 
 void HeartbeatHandler::on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
-  // The forwarder keeps silent until its timeout after the moment that it echoes; a little less is
-  // counted on, since the two clocks differ.
-  constexpr double kCountedOn = 0.98;
+  // The forwarder does not respond as a delegate before its leader timeout has passed since the
+  // echoed time. The factor allows for drift between the two clocks.
+  constexpr double kClockDriftFactor = 0.98;
   constexpr double kNever = -1;
   const auto& settings = context_.services.settings;
   const double now = context_.now();
-  const bool echoes_us = peer_heartbeat.echoed_fencing_token == context_.lease.fencing_token();
+  const bool echoes_this_term =
+      peer_heartbeat.echoed_fencing_token == context_.lease.fencing_token();
   double silent_until = 0;
-  if (echoes_us) {
+  if (echoes_this_term) {
     silent_until = static_cast<double>(peer_heartbeat.echoed_clock_ms) / 1000 +
-                   HeartbeatForwarder::leader_timeout(settings) * kCountedOn;
+                   HeartbeatForwarder::leader_timeout(settings) * kClockDriftFactor;
   }
   double responded_at = kNever;
   if (peer_heartbeat.delegate_responded_ms != peer::kNever) {
@@ -132,8 +133,7 @@
   const double now = context_.now();
   if (machine == nullptr || !machine->agent.token_acknowledged) return false;
   if (!context_.cluster.is_forwarder_reachable(forwarder, now)) return false;
-  // Guards against an agent that is redirected to and fro: one that is back here so soon could not
-  // reach its forwarder.
+  // Prevents redirection loops: an agent that returns this soon could not reach its forwarder.
   const double min_interval_s = 2 * context_.services.settings.lease_s;
   if (machine->lease.redirected_at > 0 && now - machine->lease.redirected_at < min_interval_s)
     return false;
@@ -141,7 +141,7 @@
   return true;
 }
 
-bool HeartbeatHandler::agents_silent() const {
+bool HeartbeatHandler::agents_timed_out() const {
   const auto& settings = context_.services.settings;
   const double max_silence_s = std::max(3 * settings.heartbeat_interval_s, settings.lease_s / 3);
   return context_.now() > last_agent_message_at_ + max_silence_s;
--- a/src/control/heartbeat_router.cpp
+++ b/src/control/heartbeat_router.cpp
@@ -27,13 +27,13 @@
 
 void HeartbeatRouter::set_connection_load(std::function<double()> connection_load) {
   redirector_.set_connection_load(std::move(connection_load));
-  forwarder_.set_may_wait([this] { return !redirector_.connections_overloaded(); });
+  forwarder_.set_may_hold_requests([this] { return !redirector_.connections_overloaded(); });
 }
 
-void HeartbeatRouter::describe(peer::PeerHeartbeat& peer_heartbeat) const {
+void HeartbeatRouter::fill_peer_heartbeat(peer::PeerHeartbeat& peer_heartbeat) const {
   const double max_age = 2 * services_.settings.heartbeat_interval_s;
   peer_heartbeat.hears_workers = services_.reactor.now() - last_heartbeat_at_ < max_age;
-  forwarder_.describe(peer_heartbeat);
+  forwarder_.fill_peer_heartbeat(peer_heartbeat);
 }
 
 Task<Response> HeartbeatRouter::handle(Request request) {
@@ -45,7 +45,7 @@
   last_heartbeat_at_ = services_.reactor.now();
   if (election_.leads()) co_return handle_as_leader(*heartbeat);
   if (election_.term() != nullptr) co_return retry_later("taking over");
-  heartbeat->tasks.clear();  // of no use here: the leader reads them from the text
+  heartbeat->tasks.clear();  // not needed here: the leader parses them from the body
   if (forwarder_.may_forward(*heartbeat)) {
     auto forwarding = forwarder_.forward(*heartbeat, std::move(request.body),
                                          [this] { return store_monitor_.last_answer_at(); });
@@ -69,19 +69,20 @@
 }
 
 Response HeartbeatRouter::redirect_to_leader(const wire::Heartbeat& heartbeat) {
-  const std::string leader = believed_leader();
+  const std::string leader = likely_leader();
   if (!leader.empty()) forwarder_.note_redirected(heartbeat);
   base::log_debug("agent redirected", base::field("machine", heartbeat.machine),
                   base::field("to", leader));
   return make_response(421, wire::redirect_response(leader));
 }
 
-// Who is most likely the leader: whom the peers name, unless the store has named a later one; empty
-// if nobody is known, or this controller itself.
-std::string HeartbeatRouter::believed_leader() const {
-  const auto named = roster_.leader(services_.reactor.now());
-  if (named.fencing_token > 0 && named.fencing_token >= store_monitor_.leader_fencing_token()) {
-    return named.name;
+// The most likely leader: the one named by the peers, unless the store has named a later one. Empty
+// if none is known or if it is this controller itself.
+std::string HeartbeatRouter::likely_leader() const {
+  const auto peer_leader = roster_.leader(services_.reactor.now());
+  if (peer_leader.fencing_token > 0 &&
+      peer_leader.fencing_token >= store_monitor_.leader_fencing_token()) {
+    return peer_leader.name;
   }
   if (!store_monitor_.reaches_store()) return "";
   const auto& leader = store_monitor_.leader();
--- a/src/control/heartbeat_router.hpp
+++ b/src/control/heartbeat_router.hpp
@@ -1,4 +1,4 @@
-// Who responds to an agent's heartbeat.
+// Decides which controller responds to an agent's heartbeat.
 #pragma once
 
 #include <functional>
@@ -16,37 +16,38 @@
 
 namespace cranklock::control {
 
-/// Takes the heartbeats that come to this controller, from agents and from forwarders. As the
-/// leader it handles them; otherwise it forwards them to the leader or redirects the agent.
+/// Receives the heartbeats of agents and forwarders. The leader handles them itself; any other
+/// controller forwards them to the leader or redirects the agent.
 class HeartbeatRouter {
  public:
-  /// All that is referred to outlives the router.
+  /// All referenced objects must outlive the router.
   HeartbeatRouter(Services services, LeaderElection& election, const StoreMonitor& store_monitor,
                   const peer::Roster& roster);
 
-  /// How frames reach the other controllers. Without it each controller serves its own agents only.
+  /// Sets how frames are sent to the other controllers. Without it no heartbeats are forwarded and
+  /// the leader redirects no agents.
   void set_send_frame(HeartbeatForwarder::SendFrame send_frame);
-  /// Tells the share of this controller's connections that is in use.
+  /// Sets the function that returns the fraction of this controller's connections in use.
   void set_connection_load(std::function<double()> connection_load);
 
-  /// Answers the request of an agent: POST /checkin.
+  /// Handles an agent's request: POST /checkin.
   net::Task<net::Response> handle(net::Request request);
-  /// Answers the forwarder `from` with the leader's response, or with 503.
+  /// Sends the forwarder `from` the leader's response, or 503.
   void on_forwarded_heartbeat(const std::string& from, const peer::ForwardedHeartbeat& forwarded);
-  /// Takes a leader's response to a heartbeat that was forwarded to it.
+  /// Handles a leader's response to a forwarded heartbeat.
   void on_forwarded_response(const peer::ForwardedResponse& response) {
     forwarder_.on_response(response);
   }
   void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
     forwarder_.on_peer_heartbeat(peer_heartbeat);
   }
-  /// Adds to this controller's own peer heartbeat what concerns agents.
-  void describe(peer::PeerHeartbeat& peer_heartbeat) const;
+  /// Adds the fields about agents to this controller's own peer heartbeat.
+  void fill_peer_heartbeat(peer::PeerHeartbeat& peer_heartbeat) const;
 
  private:
   net::Response handle_as_leader(const wire::Heartbeat& heartbeat);
   net::Response redirect_to_leader(const wire::Heartbeat& heartbeat);
-  std::string believed_leader() const;
+  std::string likely_leader() const;
 
   Services services_;
   LeaderElection& election_;
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -37,11 +37,11 @@
 
 Task<bool> JobWatcher::load() {
   const double sent = context_.now();
-  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeout);
+  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeoutS);
   const auto jobs = co_await reading;
   if (jobs.status != Status::ok) co_return false;
   revision_ = jobs.page.revision;
-  context_.lease.caught_up(sent);
+  context_.lease.mark_caught_up(sent);
   for (const auto& value : jobs.page.items) {
     auto loading = load_job(value);
     if (!co_await loading) co_return false;
@@ -93,7 +93,7 @@
   constexpr int kMaxUnanswered = 3;
   const auto& settings = context_.services.settings;
   // As long as the pause between renewals: what an answer proves is as old as its request.
-  const double hold_s = LeaderLease::lease_life(settings) / 4;
+  const double hold_s = LeaderLease::lease_ttl_s(settings) / 4;
   int unanswered = 0;  // watches in a row
   for (;;) {
     const double sent = context_.now();
@@ -105,10 +105,10 @@
       on_changes(std::move(result.page.items), sent);
       continue;
     }
-    context_.lease.fell_behind();
+    context_.lease.mark_behind();
     // Guards against an answer that is too long to be read, and so would be asked for for ever. In
     // an outage renewals are not answered either.
-    const bool renewed = context_.lease.confirmed_sent() > sent;
+    const bool renewed = context_.lease.last_renewal_sent_at() > sent;
     unanswered = result.status == Status::indeterminate && renewed ? unanswered + 1 : 0;
     const bool too_far_behind = result.status == Status::compacted;
     if (too_far_behind || unanswered >= kMaxUnanswered) {
@@ -125,7 +125,7 @@
 
 Task<bool> JobWatcher::read_all_as_changes() {
   const double sent = context_.now();
-  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeout);
+  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeoutS);
   auto jobs = co_await reading;
   if (jobs.status != Status::ok) co_return false;
   revision_ = jobs.page.revision;
@@ -141,9 +141,9 @@
     if (cancel_at_once(value)) any_cancelled = true;
     pending_.push_back(std::move(value));
   }
-  context_.lease.caught_up(sent);
+  context_.lease.mark_caught_up(sent);
   known_before_ = std::max(known_before_, sent);
-  if (!pending_.empty()) context_.work.set();
+  if (!pending_.empty()) context_.state_changed.set();
   if (any_cancelled) callbacks_.job_cancelled();
 }
 
--- a/src/control/leader_context.hpp
+++ b/src/control/leader_context.hpp
@@ -1,4 +1,4 @@
-// What the parts of one leader term share.
+// State shared by the components of one leader term.
 #pragma once
 
 #include "control/leader_lease.hpp"
@@ -9,18 +9,19 @@
 
 namespace cranklock::control {
 
-/// Made by the leader term before its parts, and outlives them. Parts keep a reference to it.
+/// Created by the leader term before its components, which keep a reference to it, and destroyed
+/// after them.
 struct LeaderContext {
   Services services;
   LeaderLease& lease;
   LeadershipStatus& leadership;
   sched::ClusterState& cluster;
-  /// Wakes the decision loop: jobs, agents or machines have changed.
-  net::Signal& work;
-  /// When the term began, in steady seconds.
+  /// Set when jobs, agents or machines have changed; wakes the decision loop.
+  net::Signal& state_changed;
+  /// Steady time in seconds at which the term began.
   double term_started_at;
 
-  /// Steady seconds.
+  /// Steady time in seconds.
   double now() const { return services.reactor.now(); }
 };
 
--- a/src/control/leader_election.cpp
+++ b/src/control/leader_election.cpp
@@ -19,16 +19,16 @@
     : services_(services),
       store_monitor_(store_monitor),
       roster_(roster),
-      lost_(services.reactor) {}
+      leadership_lost_(services.reactor) {}
 
 LeaderElection::~LeaderElection() {
-  term_routines_.clear();
+  term_scope_.clear();
 }
 
 Task<void> LeaderElection::run() {
-  const double retry_interval = lease_life() / 8;
+  const double retry_interval = lease_ttl_s() / 8;
   for (;;) {
-    auto reading = services_.store.read(kLeaderKey, kStoreTimeout);
+    auto reading = services_.store.read(kLeaderKey, kStoreTimeoutS);
     const auto found = co_await reading;
     if (found.status == Status::ok) {
       store_monitor_.note_leader(found);
@@ -53,40 +53,41 @@
   }
 }
 
-// The key may name an earlier run of this very controller, whose lease then ends by itself.
+// The key may name a previous process of this controller; its lease then expires without being
+// revoked.
 Task<void> LeaderElection::wait_for_vacancy(std::uint64_t revision) {
-  auto watching = services_.store.watch(kLeaderKey, revision, 2 * lease_life());
+  auto watching = services_.store.watch(kLeaderKey, revision, 2 * lease_ttl_s());
   const auto change = co_await watching;
   if (change.status == Status::ok) co_return;
-  Sleep pause(services_.reactor, lease_life() / 8);
+  Sleep pause(services_.reactor, lease_ttl_s() / 8);
   co_await pause;
 }
 
 // ---- acquiring ----
 
 Task<LeaderElection::LeadershipGrant> LeaderElection::acquire_leadership() {
-  const double timeout = lease_life() / 3;
+  const double timeout = lease_ttl_s() / 3;
   LeadershipGrant grant;
   grant.sent_at = now();
-  auto granting = services_.store.grant_lease(lease_life(), timeout);
+  auto granting = services_.store.grant_lease(lease_ttl_s(), timeout);
   const auto lease_id = co_await granting;
   if (!lease_id) co_return grant;
   grant.lease_id = *lease_id;
   auto writing = write_leader_key(grant);
   co_await writing;
   if (!grant.acquired) {
-    auto dropping = services_.store.revoke_lease(grant.lease_id, timeout);
-    co_await dropping;
+    auto revoking = services_.store.revoke_lease(grant.lease_id, timeout);
+    co_await revoking;
   }
   co_return grant;
 }
 
-// Guards against two leaders after a write without an answer, which may be applied later: what is
-// stored decides, and repeating the write under the same condition lets only one of the two through
+// A write without a response may still be applied later. To prevent two leaders, the stored record
+// decides, and a repeated write has the same condition, so at most one of the writes is applied
 // (invariant 1).
 Task<void> LeaderElection::write_leader_key(LeadershipGrant& grant) {
   constexpr int kMaxTries = 3;
-  const double timeout = lease_life() / 3;
+  const double timeout = lease_ttl_s() / 3;
   const std::string nonce = std::to_string(services_.reactor.wall_ms()) + "-" +
                             std::to_string(++acquisitions_) + "-" + std::to_string(grant.lease_id);
   const std::string text = write_leader(LeaderRecord{services_.settings.name, nonce});
@@ -122,7 +123,7 @@
   store_monitor_.set_leader(services_.settings.name);
   services_.store.set_leading(true);
   lease_ = std::make_unique<LeaderLease>(services_.settings, grant.fencing_token, grant.sent_at);
-  term_ = std::make_unique<LeaderTerm>(services_, *lease_, lost_, region_network_);
+  term_ = std::make_unique<LeaderTerm>(services_, *lease_, leadership_lost_, region_network_);
 }
 
 Task<void> LeaderElection::serve_term(LeadershipGrant grant) {
@@ -131,7 +132,7 @@
   const auto outcome = co_await loading;
   if (outcome == LeaderTerm::LoadOutcome::loaded) {
     serving_ = true;
-    term_->start(term_routines_);
+    term_->start(term_scope_);
     base::log_info(base::kLeadershipServing, base::field("fencing_token", grant.fencing_token),
                    base::field("jobs", term_->cluster().jobs().size()));
     auto renewing = renew_until_lost(grant.lease_id);
@@ -140,30 +141,30 @@
     abstain();
   }
   end_term();
-  auto dropping = services_.store.revoke_lease(grant.lease_id, lease_life() / 3);
-  co_await dropping;
+  auto revoking = services_.store.revoke_lease(grant.lease_id, lease_ttl_s() / 3);
+  co_await revoking;
 }
 
 Task<void> LeaderElection::renew_until_lost(std::uint64_t lease_id) {
   while (!term_->is_lost()) {
     const double sent_at = now();
-    auto renewing = services_.store.renew_lease(lease_id, lease_life() / 3);
+    auto renewing = services_.store.renew_lease(lease_id, lease_ttl_s() / 3);
     const auto renewed = co_await renewing;
     if (renewed == Status::not_found) {
       log_leadership_lost(lease_->fencing_token(), LeadershipLoss::lease_ended);
       co_return;
     }
-    lease_->not_refused(sent_at);
+    lease_->record_renewal_not_refused(sent_at);
     const bool confirmed = renewed == Status::ok;
-    if (confirmed) lease_->confirm(sent_at);
+    if (confirmed) lease_->record_renewal(sent_at);
     if (is_cut_off_from_agents()) {
       base::log_info("leadership relinquished",
                      base::field("fencing_token", lease_->fencing_token()),
-                     base::field("reason", "no agent is heard"));
+                     base::field("reason", "no agent heartbeats received"));
       abstain();
       co_return;
     }
-    net::Signal::Wait wait(lost_, lease_life() / (confirmed ? 4 : 10));
+    net::Signal::Wait wait(leadership_lost_, lease_ttl_s() / (confirmed ? 4 : 10));
     co_await wait;
   }
 }
@@ -171,22 +172,23 @@
 void LeaderElection::end_term() {
   serving_ = false;
   store_monitor_.set_leader("");
-  term_routines_.clear();
+  term_scope_.clear();
   term_.reset();
   lease_.reset();
   services_.store.set_leading(false);
 }
 
-// Leaves the leadership to a controller that is better placed to have it.
+// Stays out of elections for two agent leases, so that a controller with better connectivity can
+// become the leader.
 void LeaderElection::abstain() {
   abstain_until_ = now() + 2 * services_.settings.lease_s;
 }
 
-// Guards against a leader that the agents can't reach while they could reach another controller.
-// Where no controller hears any agent, there are none, or they are cut off from all. But a
-// controller that hears neither agents nor peers has itself lost the network.
+// Detects a leader that agents cannot reach while they could reach another controller. If no
+// controller receives heartbeats, there are no agents, or all controllers are cut off from them. A
+// controller that receives neither agent nor peer heartbeats has itself lost the network.
 bool LeaderElection::is_cut_off_from_agents() const {
-  if (!term_->agents_silent() || services_.settings.others.empty()) return false;
+  if (!term_->agents_timed_out() || services_.settings.others.empty()) return false;
   if (roster_.any_hears_workers(now())) return true;
   return !roster_.any_alive(now()) && !term_->cluster().machines().empty();
 }
@@ -194,8 +196,8 @@
 void LeaderElection::on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
   if (term_ == nullptr) return;
   term_->on_peer_heartbeat(peer_heartbeat);
-  // A leader that lost only the key-value store learns here that it has a successor, long before
-  // it would have to stop responding to heartbeats; until it does, its agents stay with it.
+  // A leader that has lost only the key-value store detects its successor here, long before it
+  // would have to stop responding to heartbeats; until then its agents keep using it.
   if (peer_heartbeat.fencing_token > lease_->fencing_token()) {
     term_->step_down(LeadershipLoss::peer_has_higher_token);
   }
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -17,8 +17,8 @@
                        regions::RegionNetwork* regions)
     : status_(lease.fencing_token(), lost),
       cluster_(services.settings, lease.fencing_token(), services.reactor.now()),
-      work_(services.reactor),
-      context_{services, lease, status_, cluster_, work_, services.reactor.now()},
+      state_changed_(services.reactor),
+      context_{services, lease, status_, cluster_, state_changed_, services.reactor.now()},
       machines_(context_),
       heartbeats_(context_, machines_),
       outcomes_(context_),
@@ -56,7 +56,7 @@
           [this](const std::string& team) { return regions::allocated_quota(cluster_, team); },
           [this] {
             cluster_.mark_changed();
-            work_.set();
+            state_changed_.set();
           },
           [this] { step_down(LeadershipLoss::leader_key_changed); }};
 }
@@ -80,15 +80,16 @@
   co_return moves_loaded ? LoadOutcome::loaded : LoadOutcome::store_unavailable;
 }
 
-// Guards against a controller whose operator's file names no regions, as after a roll-back: it
-// would use the whole of each team's limit, which other regions hold parts of (invariant 16).
+// A controller whose operator settings name no regions, for example after a rollback, must not lead
+// while regions share quota: it would use each team's whole limit although parts of it are
+// allocated to other regions (invariant 16).
 Task<LeaderTerm::LoadOutcome> LeaderTerm::load_quota_shares() {
   if (quota_shares_) {
     auto loading = quota_shares_->load();
     const bool loaded = co_await loading;
     co_return loaded ? LoadOutcome::loaded : LoadOutcome::store_unavailable;
   }
-  auto reading = context_.services.store.read(regions::kBootstrapRegionKey, kStoreTimeout);
+  auto reading = context_.services.store.read(regions::kBootstrapRegionKey, kStoreTimeoutS);
   const auto found = co_await reading;
   if (found.status == Status::not_found) co_return LoadOutcome::loaded;  // quota is not shared
   if (found.status != Status::ok) co_return LoadOutcome::store_unavailable;
@@ -97,9 +98,9 @@
   co_return LoadOutcome::ineligible;
 }
 
-// Where none are stored the leader learns them from the cloud.
+// If none are stored, the leader reads them from the cloud later.
 Task<LeaderTerm::LoadOutcome> LeaderTerm::load_machine_types() {
-  auto reading = context_.services.store.read(kTypesKey, kStoreTimeout);
+  auto reading = context_.services.store.read(kTypesKey, kStoreTimeoutS);
   const auto found = co_await reading;
   if (found.status == Status::not_found) co_return LoadOutcome::loaded;
   if (found.status != Status::ok) co_return LoadOutcome::store_unavailable;
--- a/src/control/leader_term.hpp
+++ b/src/control/leader_term.hpp
@@ -1,5 +1,5 @@
-// One leader term: what the leader knows and does, from the write that took the leadership until it
-// is lost.
+// One leader term: the leader's state and components, from the write that acquired the leadership
+// until the leadership is lost.
 #pragma once
 
 #include <memory>
@@ -25,26 +25,28 @@
 
 namespace cranklock::control {
 
-/// Owns the cluster state and wires the parts that act on it. Made by the election when it has
-/// acquired the leadership, loaded once, then started; destroying it ends all that its parts have
-/// under way.
+/// Owns the cluster state and wires the components that act on it. Created by the election after it
+/// has acquired the leadership, loaded once, then started. Destroying it cancels all operations of
+/// its components.
 class LeaderTerm {
  public:
-  /// What has become of loading.
+  /// The result of loading.
   enum class LoadOutcome {
     loaded,
-    store_unavailable,  ///< a read was refused or not answered; another try may succeed
+    store_unavailable,  ///< a read was refused or not answered; a retry may succeed
     ineligible,         ///< this controller's settings don't let it lead
   };
 
-  /// `lost` is set when the leadership is found to be lost. `regions` reaches the leaders of other
-  /// regions; nullptr where the settings name none. All that is referred to outlives the term.
+  /// `lost` is set when the loss of leadership is detected. `regions` connects to the leaders of
+  /// other regions; nullptr if the settings name none. All referenced objects must outlive the
+  /// term.
   LeaderTerm(Services services, LeaderLease& lease, net::Signal& lost,
              regions::RegionNetwork* regions);
 
-  /// The failover: reads quota shares, machine types, pools, live jobs and the plan of moves.
+  /// Failover: reads quota shares, machine types, pools, unfinished jobs and the move plan.
   net::Task<LoadOutcome> load();
-  /// Starts the routines of all parts, after load(). The scope is cleared before the term goes.
+  /// Starts the coroutines of all components; call after load(). The scope must be cleared before
+  /// the term is destroyed.
   void start(net::Scope& scope);
 
   bool is_lost() const { return status_.is_lost(); }
@@ -55,13 +57,13 @@
   void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
     heartbeats_.on_peer_heartbeat(peer_heartbeat);
   }
-  /// Takes a frame from another region's leader.
+  /// Handles a frame from the leader of another region.
   void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
-  /// No agent has been heard for so long that this controller may be cut off from them.
-  bool agents_silent() const { return heartbeats_.agents_silent(); }
+  /// No agent message has arrived for so long that this controller may be cut off from the agents.
+  bool agents_timed_out() const { return heartbeats_.agents_timed_out(); }
 
   sched::ClusterState& cluster() { return cluster_; }
-  /// Quota shared with other regions; nullptr where the settings name no regions.
+  /// Quota shared with other regions; nullptr if the settings name no regions.
   const regions::QuotaService* quotas() const { return quota_shares_.get(); }
 
  private:
@@ -69,17 +71,17 @@
   std::unique_ptr<MoveService> make_moves();
   net::Task<LoadOutcome> load_quota_shares();
   net::Task<LoadOutcome> load_machine_types();
-  /// What the decision loop and the command sender are told of jobs.
+  /// Notify the decision loop and the command sender of changed jobs.
   JobWatcher::Callbacks job_callbacks();
-  /// What quota shares ask of the cluster state and tell the decision loop.
+  /// Give the quota service access to the cluster state and the decision loop.
   regions::QuotaService::Callbacks quota_callbacks();
 
   LeadershipStatus status_;
   sched::ClusterState cluster_;
-  net::Signal work_;
+  net::Signal state_changed_;
   LeaderContext context_;
 
-  // The parts. Each may refer to those above it, and to those below it only once the term runs.
+  // Components. Each may use those above it at any time, and those below it only after start().
   MachineLifecycle machines_;
   HeartbeatHandler heartbeats_;
   OutcomeReader outcomes_;
@@ -89,7 +91,7 @@
   CommandSender commands_;
   PoolScaler scaler_;
   std::unique_ptr<regions::QuotaService> quota_shares_;
-  std::unique_ptr<MoveService> moves_;  ///< nullptr: the operator allows no moves
+  std::unique_ptr<MoveService> moves_;  ///< nullptr: moves are disabled in the settings
   DecisionLoop decisions_;
 };
 
--- a/src/control/machine_deleter.cpp
+++ b/src/control/machine_deleter.cpp
@@ -34,10 +34,9 @@
   wake_.set();
 }
 
-// A cancelled task must be gone in time even while the leader lease can't be renewed: no leader
-// wants it to go on. Guards against a leader whose process stood still, and which knows neither
-// that the task has ended since nor what its successor has placed on the machine: it has to renew
-// its lease first.
+// A cancelled task must end in time even while the leader lease cannot be renewed; no leader would
+// continue it. A leader whose process was paused may know neither that the task has ended since nor
+// what its successor has placed on the machine, so it has to renew its lease first.
 bool MachineDeleter::may_delete(const Machine& machine) const {
   if (context_.lease.valid(context_.now())) return true;
   return holds_cancelled_task(machine) && context_.lease.may_still_lead(context_.now());
@@ -57,9 +56,9 @@
   return batch;
 }
 
-// Guards against a machine that the cloud refuses to delete, and with it all that are named in the
-// same request: the next request names half as many, and other machines, until the refused one is
-// named alone.
+// The cloud rejects a whole request if it refuses to delete one of the machines in it. The next
+// request therefore names half as many, and other machines, until the refused machine is named
+// alone.
 void MachineDeleter::handle_result(const std::vector<std::string>& batch, DeletionResult result) {
   if (result == DeletionResult::indeterminate) return;
   last_in_batch_ = batch.back();
@@ -72,15 +71,16 @@
   max_batch_ = std::min(2 * max_batch_, cloud::kMaxDeletions);
   record_deleted(batch);
   for (const auto& machine : batch) context_.cluster.remove_machine(machine, context_.now());
-  context_.work.set();
+  context_.state_changed.set();
 }
 
 void MachineDeleter::record_deleted(const std::vector<std::string>& batch) {
-  constexpr double kKept = 20;  ///< times the lag of the list or a lease, whichever is longer
+  // Multiple of the list lag or an agent lease, whichever is longer.
+  constexpr double kRetentionFactor = 20;
   const auto& settings = context_.services.settings;
-  const double kept_s = kKept * std::max(settings.list_lag_s, settings.lease_s);
+  const double retention_s = kRetentionFactor * std::max(settings.list_lag_s, settings.lease_s);
   std::erase_if(deleted_at_,
-                [&](const auto& entry) { return entry.second < context_.now() - kept_s; });
+                [&](const auto& entry) { return entry.second < context_.now() - retention_s; });
   for (const auto& machine : batch) deleted_at_[machine] = context_.now();
 }
 
--- a/src/control/machine_deleter.hpp
+++ b/src/control/machine_deleter.hpp
@@ -1,4 +1,4 @@
-// Deletes terminating machines at the cloud.
+// Deletes terminating machines through the cloud API.
 #pragma once
 
 #include <cstddef>
@@ -13,40 +13,39 @@
 
 namespace cranklock::control {
 
-/// Marks machines as terminating, asks the cloud to delete them, and removes those whose deletion
-/// was answered 200 from the cluster state. That answer alone proves a machine gone, never its
-/// absence from the list (invariants 4 and 8).
+/// Marks machines as terminating, requests their deletion, and removes them from the cluster state
+/// when the cloud answers 200. Only that answer proves that a machine is gone; its absence from the
+/// list does not (invariants 4 and 8).
 class MachineDeleter {
  public:
-  /// Made when the leader term begins. The context outlives it.
+  /// Created when the leader term begins. The context must outlive it.
   explicit MachineDeleter(const LeaderContext& context);
 
   /// Marks the machine for deletion; nothing is placed on it from now on. No effect if it is
-  /// terminating already.
+  /// already terminating.
   void terminate(sched::Machine& machine, TerminationReason reason);
-  /// Whether its deletion was answered lately: a lagging list or a late heartbeat may still show
-  /// it.
+  /// Whether the machine was deleted recently: a delayed list or heartbeat may still show it.
   bool is_deleted(const std::string& machine) const { return deleted_at_.contains(machine); }
-  /// Deletes terminating machines, for ever.
+  /// Deletes terminating machines until cancelled.
   net::Task<void> run();
 
  private:
   bool may_delete(const sched::Machine& machine) const;
-  /// Machines to be deleted next, no more than one request may name.
+  /// Returns the machines to delete next, at most as many as one request may name.
   std::vector<std::string> next_batch() const;
   void handle_result(const std::vector<std::string>& batch, cloud::DeletionResult result);
   void record_deleted(const std::vector<std::string>& batch);
 
   const LeaderContext& context_;
   net::Signal wake_;
-  /// Machines that the next request names at most. Halved when the cloud refuses a request, doubled
-  /// when it carries one out.
+  /// Maximum number of machines in the next request. Halved when the cloud rejects a request,
+  /// doubled when one succeeds.
   std::size_t max_batch_ = cloud::kMaxDeletions;
-  /// The next batch begins with the machine that follows this one, so that a machine that the cloud
-  /// refuses to delete does not hold up all others.
+  /// The next batch starts after this machine, so that a machine that the cloud refuses to delete
+  /// does not block all others.
   std::string last_in_batch_;
-  /// Steady time of each deletion. Names of machines are never reused, but a lagging list or a late
-  /// heartbeat may show them for a while yet.
+  /// Steady time in seconds of each deletion, by machine. Machine names are never reused, but a
+  /// delayed list or heartbeat may show them for some time.
   std::map<std::string, double> deleted_at_;
 };
 
--- a/src/control/machine_lifecycle.hpp
+++ b/src/control/machine_lifecycle.hpp
@@ -1,4 +1,4 @@
-// The leader's machines, from the list to their deletion.
+// Manages the leader's machines from discovery to deletion.
 #pragma once
 
 #include <string>
@@ -10,21 +10,21 @@
 
 namespace cranklock::control {
 
-/// Owns the parts that keep the cluster state's machines in step with the cloud: the inventory, the
-/// supervisor and the deleter.
+/// Owns the components that reconcile the machines of the cluster state with the cloud: the
+/// inventory, the supervisor and the deleter.
 class MachineLifecycle {
  public:
-  /// Made when the leader term begins. The context outlives it.
+  /// Created when the leader term begins. The context must outlive it.
   explicit MachineLifecycle(const LeaderContext& context)
       : deleter_(context), inventory_(context, deleter_), supervisor_(context, deleter_) {}
-  /// Its parts refer to one another.
+  /// Not copyable: its members reference one another.
   MachineLifecycle(const MachineLifecycle&) = delete;
   MachineLifecycle& operator=(const MachineLifecycle&) = delete;
 
-  /// Starts following the cloud, supervision and deletions; they end with the scope.
+  /// Starts the inventory, the supervisor and the deleter; they run until the scope is destroyed.
   void start(net::Scope& scope) {
-    scope.spawn(inventory_.follow_list());
-    scope.spawn(inventory_.follow_types());
+    scope.spawn(inventory_.poll_machines());
+    scope.spawn(inventory_.poll_machine_types());
     scope.spawn(supervisor_.run());
     scope.spawn(deleter_.run());
   }
--- a/src/control/machine_supervisor.cpp
+++ b/src/control/machine_supervisor.cpp
@@ -30,11 +30,11 @@
 void MachineSupervisor::expire_leases(double now) {
   for (const auto& machine : context_.cluster.expire_leases(now)) {
     base::log_info("machine lease expired", base::field("machine", machine));
-    context_.work.set();
+    context_.state_changed.set();
   }
   for (const auto& zone : context_.cluster.update_zone_reachability(now)) {
     base::log_info("zone unreachable", base::field("zone", zone));
-    context_.work.set();
+    context_.state_changed.set();
   }
 }
 
@@ -60,8 +60,8 @@
   if (machine.lease.expired && unanswered && now > machine.lease.grace_until) {
     return TerminationReason::lease_expired;
   }
-  // Its deletion proves at once what the end of its lease would prove only later, so its tasks
-  // start elsewhere the sooner.
+  // Deletion proves immediately that its tasks have ended, which lease expiry would prove only
+  // later, so the tasks are restarted elsewhere sooner.
   if (sched::is_reclaimed(context_.cluster, machine, zones, now))
     return TerminationReason::reclaimed;
   const bool fault_confirmed = machine.faults.quarantine == sched::Quarantine::confirmed;
@@ -73,9 +73,9 @@
   return std::nullopt;
 }
 
-// A list alone proves nothing. But a machine that has sent no heartbeat for several boot times, to
-// a leader that has been there for long enough to hear it, does no work. `grace_until`
-// excepts those that an unreachable zone keeps from reporting: they have not failed to come up.
+// The machine list alone proves nothing. But a machine that has sent no heartbeat for several boot
+// times, to a leader whose term is long enough to have received one, does no work. `grace_until`
+// exempts machines that cannot report because their zone is unreachable: their boot has not failed.
 bool MachineSupervisor::is_boot_timed_out(const Machine& machine, double now) const {
   const auto& settings = context_.services.settings;
   const auto* type = context_.cluster.type(machine.kind.type);
@@ -87,36 +87,36 @@
          now - context_.term_started_at > settings.lease_s * 2 && now > machine.lease.grace_until;
 }
 
-// Tasks with checkpoints are stopped while the machine still runs, early enough to save theirs.
+// Stops tasks with checkpoints early enough to save them before the machine is reclaimed.
 void MachineSupervisor::checkpoint_before_reclaim(Machine& machine, double now) {
-  constexpr double kHeartbeats = 3;  ///< for the stop to arrive and its effect to be reported
+  constexpr double kStopHeartbeats = 3;  ///< for the stop to arrive and its result to be reported
   const double left_s = *machine.cloud.reclaim_at - now;
-  for (const auto& held : machine.tasks) {
-    const auto& spec = held.job->spec;
-    const double needed_s =
-        2 * spec.checkpoint_save_s + kHeartbeats * context_.services.settings.heartbeat_interval_s;
+  for (const auto& placement_ref : machine.tasks) {
+    const auto& spec = placement_ref.job->spec;
+    const double needed_s = 2 * spec.checkpoint_save_s +
+                            kStopHeartbeats * context_.services.settings.heartbeat_interval_s;
     if (spec.checkpoint_interval_s > 0 && left_s < needed_s) {
-      held.placement().request_stop(spec.checkpoint_save_s, now);
+      placement_ref.placement().request_stop(spec.checkpoint_save_s, now);
     }
   }
 }
 
-// A new leader first hears those machines that report, as long as there is time for it.
+// A new leader first waits for heartbeats, as far as the time limit for cancellations permits.
 double MachineSupervisor::cancellation_deadline(const Job& job) const {
   constexpr double kHeartbeatsAfterFailover = 2.5;
-  constexpr double kLatestShare = 0.75;  ///< of the time that a cancellation may take
+  constexpr double kMaxDelayFraction = 0.75;  ///< of the time limit for a cancellation
   const auto& settings = context_.services.settings;
-  const double regular =
+  const double default_deadline =
       job.cancelled_since + (settings.cancel_s - settings.heartbeat_interval_s) / 2;
-  const double machines_heard =
+  const double heartbeats_expected_by =
       context_.term_started_at + kHeartbeatsAfterFailover * settings.heartbeat_interval_s;
-  const double latest = job.cancelled_since + settings.cancel_s * kLatestShare;
-  return std::max(regular, std::min(machines_heard, latest));
+  const double latest_deadline = job.cancelled_since + settings.cancel_s * kMaxDelayFraction;
+  return std::max(default_deadline, std::min(heartbeats_expected_by, latest_deadline));
 }
 
-// Terminates machines whose cancelled tasks could not be confirmed as ended in time, and machines
-// that a record names though neither the list nor a heartbeat has shown them: for both, the
-// deletion is the only proof left (invariants 4 and 7).
+// Terminates machines whose cancelled tasks were not confirmed to have ended in time, and machines
+// that a record names but that neither the list nor a heartbeat has shown. For both, deletion is
+// the only remaining proof that their tasks have ended (invariants 4 and 7).
 void MachineSupervisor::check_placements(double now) {
   const auto& settings = context_.services.settings;
   const bool all_known =
--- a/src/control/machine_supervisor.hpp
+++ b/src/control/machine_supervisor.hpp
@@ -1,5 +1,5 @@
-// Supervises machines: lease expiry, boots, reclaimed and quarantined machines, and cancelled tasks
-// that may still run.
+// Supervises machines: lease expiry, boot timeouts, reclaimed and quarantined machines, and
+// cancelled tasks that may still run.
 #pragma once
 
 #include <map>
@@ -13,15 +13,15 @@
 
 namespace cranklock::control {
 
-/// Ends leases that have run out, and terminates machines that failed, never came up, are
+/// Expires agent leases, and terminates machines that failed, did not boot in time, are
 /// unresponsive, reclaimed or quarantined, or may still run a cancelled task (invariants 4 and 7).
 class MachineSupervisor {
  public:
-  /// Made when the leader term begins. All that is referred to outlives it.
+  /// Created when the leader term begins. All referenced objects must outlive it.
   MachineSupervisor(const LeaderContext& context, MachineDeleter& deleter)
       : context_(context), deleter_(deleter) {}
 
-  /// Checks all machines three times in a heartbeat interval, for ever.
+  /// Checks all machines three times per heartbeat interval until cancelled.
   net::Task<void> run();
 
  private:
@@ -34,7 +34,8 @@
   bool is_boot_timed_out(const sched::Machine& machine, double now) const;
   void checkpoint_before_reclaim(sched::Machine& machine, double now);
   void check_placements(double now);
-  /// When a cancelled job whose tasks are not proven gone takes their machines along.
+  /// When the machines of a cancelled job's tasks are terminated if the tasks are not confirmed to
+  /// have ended.
   double cancellation_deadline(const sched::Job& job) const;
 
   const LeaderContext& context_;
--- a/src/control/machine_termination.hpp
+++ b/src/control/machine_termination.hpp
@@ -1,4 +1,4 @@
-// Why the leader deletes a machine.
+// Reasons for which the leader deletes a machine.
 #pragma once
 
 namespace cranklock::control {
@@ -6,19 +6,19 @@
 enum class TerminationReason {
   stopped,                     ///< the cloud lists it as failed
   boot_timeout,                ///< it never sent a heartbeat
-  lease_expired,               ///< its agent was not answered for two leases
-  reclaimed,                   ///< the cloud has taken a spot machine back
-  quarantined,                 ///< tasks of several jobs failed on it
+  lease_expired,               ///< no response was sent to its agent for two leases
+  reclaimed,                   ///< the cloud has reclaimed the spot machine
+  quarantined,                 ///< task failures are attributed to it
   cancelled_task_unconfirmed,  ///< a cancelled task may still run on it (invariant 7)
-  unknown_machine,             ///< named by a job record, but neither listed nor heard
-  scaled_in,                   ///< idle, and more than its pool needs
+  unknown_machine,  ///< named by a job record, but neither listed nor seen in a heartbeat
+  scaled_in,        ///< idle and not needed by its pool
 };
 
 /// The value of the `reason` field of log lines.
 constexpr const char* to_string(TerminationReason reason) {
   switch (reason) {
     case TerminationReason::stopped:
-      return "stopped on its own";
+      return "listed as failed";
     case TerminationReason::boot_timeout:
       return "boot timeout";
     case TerminationReason::lease_expired:
--- a/src/control/machine_type_loader.cpp
+++ b/src/control/machine_type_loader.cpp
@@ -12,14 +12,15 @@
 using store::Status;
 
 Task<void> MachineTypeLoader::run() {
-  constexpr double kInterval = 60;
+  constexpr double kRefreshIntervalS = 60;
   const double retry_interval = services_.settings.heartbeat_interval_s / 3;
   for (;;) {
-    auto asking = services_.cloud.types();
-    auto types = co_await asking;
+    auto fetching = services_.cloud.types();
+    auto types = co_await fetching;
     if (!types || types->empty()) {
-      // The cloud may be down just when this controller starts; another may have stored its types.
-      auto reading = services_.store.read(kTypesKey, kStoreTimeout);
+      // The cloud may be unavailable when this controller starts; another controller may have
+      // stored the types.
+      auto reading = services_.store.read(kTypesKey, kStoreTimeoutS);
       const auto found = co_await reading;
       if (found.status == Status::ok) types = wire::parse_machine_types(found.value.data);
     } else if (!is_stored_) {
@@ -28,24 +29,24 @@
     }
     if (types && !types->empty()) job_api_.set_types(std::move(*types));
     const bool done = job_api_.knows_types() && is_stored_;
-    Sleep pause(services_.reactor, done ? kInterval : retry_interval);
+    Sleep pause(services_.reactor, done ? kRefreshIntervalS : retry_interval);
     co_await pause;
   }
 }
 
-// Written only where there is none: the first copy stays.
+// Written only if none is stored: the first copy is kept.
 Task<void> MachineTypeLoader::store_types(std::vector<wire::MachineType> types) {
   wire::JsonWriter writer;
   wire::write_machine_types(writer, types);
   std::string text = writer.take();
   if (text.size() > services_.store.max_value_bytes()) {
-    is_stored_ = true;  // too long to be stored at all
+    is_stored_ = true;  // longer than the store's value limit
     co_return;
   }
   std::vector<wire::Compare> compares{{kTypesKey, 0}};
   std::vector<wire::Mutation> mutations{{kTypesKey, std::move(text), 0}};
   auto writing =
-      services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeout);
+      services_.store.compare_and_swap(std::move(compares), std::move(mutations), kStoreTimeoutS);
   const auto written = co_await writing;
   is_stored_ = written.status == Status::ok || written.status == Status::precondition_failed;
 }
--- a/src/control/machine_type_loader.hpp
+++ b/src/control/machine_type_loader.hpp
@@ -1,4 +1,4 @@
-// Learns the machine types that clients' submissions are checked against.
+// Loads the machine types that job submissions are validated against.
 #pragma once
 
 #include <vector>
@@ -9,14 +9,15 @@
 
 namespace cranklock::control {
 
-/// Asks the cloud for its machine types and gives them to the job API. One copy is kept in the
-/// key-value store for controllers that start while the cloud is down.
+/// Reads the machine types from the cloud and passes them to the job API. A copy is stored in the
+/// key-value store for controllers that start while the cloud is unavailable.
 class MachineTypeLoader {
  public:
-  /// `job_api` outlives the loader.
+  /// `job_api` must outlive the loader.
   MachineTypeLoader(Services services, JobApi& job_api) : services_(services), job_api_(job_api) {}
 
-  /// Asks about every minute, and more often until types are known and stored; until cancelled.
+  /// Reads the types about once a minute, and more often until they are known and stored. Runs
+  /// until cancelled.
   net::Task<void> run();
 
  private:
@@ -24,7 +25,7 @@
 
   Services services_;
   JobApi& job_api_;
-  bool is_stored_ = false;  ///< there is a copy in the store, or it can't be stored
+  bool is_stored_ = false;  ///< the store has a copy, or the types are too long to be stored
 };
 
 }  // namespace cranklock::control
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -22,7 +22,7 @@
       wake_(context.services.reactor) {}
 
 Task<bool> MoveService::load() {
-  auto reading = context_.services.store.read(kMovesKey, kStoreTimeout);
+  auto reading = context_.services.store.read(kMovesKey, kStoreTimeoutS);
   const auto found = co_await reading;
   if (found.status == Status::not_found) co_return true;
   if (found.status != Status::ok) co_return false;
@@ -44,7 +44,7 @@
     executor_.advance(wall_ms(), now());
     search_for_plan();
     log_events();
-    if (executor_.take_changed()) context_.work.set();
+    if (executor_.take_changed()) context_.state_changed.set();
     auto writing = write_record();
     co_await writing;
     for (auto& request : executor_.take_due_drains(now())) {
@@ -80,7 +80,7 @@
   if (record.plan) compares.push_back({kMovesOffKey, 0});
   std::vector<wire::Mutation> mutations{{kMovesKey, defrag::write_move_record(record), 0}};
   auto writing = context_.services.store.compare_and_swap(std::move(compares), std::move(mutations),
-                                                          kStoreTimeout);
+                                                          kStoreTimeoutS);
   auto result = co_await writing;
   is_indeterminate_ = is_indeterminate_ || result.status == Status::indeterminate;
   if (result.status == Status::ok) {
@@ -115,7 +115,7 @@
 // Nobody but this leader writes the record: what has changed it is a write of ours without an
 // answer, so what is wanted still decides.
 Task<void> MoveService::read_revision() {
-  auto reading = context_.services.store.read(kMovesKey, kStoreTimeout);
+  auto reading = context_.services.store.read(kMovesKey, kStoreTimeoutS);
   const auto found = co_await reading;
   if (found.status == Status::ok) {
     revision_ = found.value.revision;
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-/// Peer heartbeats older than this many intervals say nothing any more.
+/// Peer heartbeats older than this many intervals are ignored.
 constexpr double kMaxPeerHeartbeatAge = 4;
 
-/// /v1/jobs and all below it.
+/// Whether the path is /v1/jobs or below it.
 bool is_job_path(std::string_view path) {
   constexpr std::string_view kJobs = "/v1/jobs";
   return path.starts_with(kJobs) && (path.size() == kJobs.size() || path[kJobs.size()] == '/');
@@ -57,8 +57,9 @@
 bool Node::ready() const {
   if (!job_api_.knows_types()) return false;
   if (store_monitor_.reaches_store()) return true;
-  // When no controller reaches the store, clients are better told so at once by one of them than
-  // turned away by the load balancer, which takes its time to come back.
+  // If no controller reaches the store, this controller stays ready so that clients get an
+  // immediate error from it. If the load balancer removed all controllers, it would take time to
+  // add them back.
   return store_monitor_.ever_reached_store() && !roster_.any_reaches_state(services_.reactor.now());
 }
 
@@ -70,7 +71,7 @@
   peer_heartbeat.reaches_state = store_monitor_.reaches_store();
   peer_heartbeat.incarnation = incarnation_;
   peer_heartbeat.sent_clock_ms = static_cast<std::uint64_t>(services_.reactor.now() * kMsPerSecond);
-  heartbeat_router_.describe(peer_heartbeat);
+  heartbeat_router_.fill_peer_heartbeat(peer_heartbeat);
   return peer_heartbeat;
 }
 
--- a/src/control/node.hpp
+++ b/src/control/node.hpp
@@ -1,4 +1,4 @@
-// One controller: wires the parts that take part in elections, respond to agents and serve clients.
+// One controller: wires the components for elections, agent heartbeats and the client API.
 #pragma once
 
 #include <cstdint>
@@ -17,50 +17,53 @@
 
 namespace cranklock::control {
 
-/// A controller, without the sockets that it is reached by: the process (src/app) and the test
-/// cluster hand it requests and frames, and tell it how to send.
+/// A controller without its sockets: the process (src/app) and the test cluster pass requests and
+/// frames to it, and set how it sends frames.
 class Node {
  public:
   explicit Node(Services services);
 
-  /// Starts its routines, which run until the scope is destroyed. The node must outlive it.
+  /// Starts the coroutines, which run until the scope is destroyed. The node must outlive the
+  /// scope.
   void start(net::Scope& scope);
 
-  /// How frames reach the other controllers; without it each controller serves its own agents only.
+  /// Sets how frames are sent to the other controllers; without it no heartbeats are forwarded and
+  /// the leader redirects no agents.
   void set_send_frame(HeartbeatForwarder::SendFrame send_frame);
-  /// Tells the share of this controller's connections that is in use; without it no agent is
-  /// redirected for want of connections.
+  /// Sets the function that returns the fraction of this controller's connections in use; without
+  /// it no agent is redirected because of connection load.
   void set_connection_load(std::function<double()> connection_load);
-  /// How leaders of other regions are reached, where the settings name regions.
+  /// Sets the connection to the leaders of other regions; needed only if the settings name regions.
   void set_region_network(regions::RegionNetwork* network);
 
-  /// Answers any request that comes to the public address.
+  /// Handles a request to the public address.
   net::Task<net::Response> handle(net::Request request);
-  /// Takes a frame from another controller of the region.
+  /// Handles a frame from another controller of the region.
   void on_peer_frame(const std::string& from, const peer::Frame& frame);
-  /// Takes a frame from the leader of another region; ignored while this controller does not lead.
+  /// Handles a frame from the leader of another region; ignored while this controller does not
+  /// lead.
   void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
 
-  /// What this controller tells the others of itself, every peer_heartbeat_interval().
+  /// The heartbeat sent to the other controllers every peer_heartbeat_interval().
   peer::PeerHeartbeat peer_heartbeat() const;
   static double peer_heartbeat_interval(const base::Settings& settings) {
     return settings.heartbeat_interval_s / 3;
   }
-  /// The answer to GET /ready, by which the load balancer chooses controllers.
+  /// The result of GET /ready, which the load balancer uses to select controllers.
   bool ready() const;
 
   /// Whether this controller is the leader and has loaded its cluster state.
   bool leads() const { return election_.leads(); }
-  /// Of the present leadership; 0: this controller does not lead.
+  /// The fencing token of the current term; 0 if this controller does not lead.
   std::uint64_t leader_fencing_token() const { return election_.fencing_token(); }
-  /// The present leader term, which may still be loading; nullptr: there is none.
+  /// The current leader term, which may still be loading; nullptr if there is none.
   LeaderTerm* term() { return election_.term(); }
 
  private:
   void on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat);
 
   Services services_;
-  std::uint64_t incarnation_;  ///< of this process, as its peer heartbeats name it
+  std::uint64_t incarnation_;  ///< identifies this process in its peer heartbeats
   StoreMonitor store_monitor_;
   peer::Roster roster_;
   JobApi job_api_;
--- a/src/control/outcome_reader.cpp
+++ b/src/control/outcome_reader.cpp
@@ -26,7 +26,7 @@
 }
 
 Task<void> OutcomeReader::read_one(std::string id) {
-  auto reading = context_.services.store.read(outcome_key(id), kStoreTimeout);
+  auto reading = context_.services.store.read(outcome_key(id), kStoreTimeoutS);
   const auto found = co_await reading;
   reading_.erase(id);
   const auto outcome = read_outcome(found.status == Status::ok ? found.value.data : "");
@@ -45,7 +45,7 @@
     known.since = context_.now();
   }
   context_.cluster.record_outcome(id, known);
-  context_.work.set();
+  context_.state_changed.set();
 }
 
 }  // namespace cranklock::control
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -52,15 +52,15 @@
 }
 
 std::vector<std::string> PoolScaler::scale_pools() {
-  const double time = context_.now();
-  requester_.forget_expired(time);
+  const double now = context_.now();
+  requester_.forget_expired(now);
   const double high = context_.services.settings.operators.scaler.high;
   const auto readings = sched::read_pools(context_.cluster, shortfall_, high);
   std::vector<std::string> changed;
   for (const auto& [id, reading] : readings) {
     const std::string name = id.name();
     const auto before = pool(name).state;
-    scale_pool(id, reading, time);
+    scale_pool(id, reading, now);
     if (pool(name).state != before) changed.push_back(name);
   }
   return changed;
@@ -78,7 +78,7 @@
                   base::field("change", change));
   if (change == 0 || !context_.lease.valid(now)) return;
   if (change > 0) {
-    // Stamped now: a refused scale-out request waits for a cooldown like any other.
+    // Recorded before the answer: the cooldown applies to refused scale-out requests too.
     scaled.record_scaling(reading.machines + change, wall_ms);
     log_scaling("pool scaled out", name, change, reading);
     scale_out(id, change);
@@ -94,7 +94,8 @@
   requester_.request(choose_zones({id, machines, shortfall_.wanted, available_zones(id)}));
 }
 
-// A zone without a controller loses its work in a cut, so it gets half as many ordinary machines.
+// A zone without a controller loses its tasks in a network partition, so it gets half as many
+// on-demand machines.
 std::map<std::string, ZoneLoad> PoolScaler::available_zones(const PoolId& id) const {
   std::map<std::string, ZoneLoad> zones;
   for (const auto& zone : context_.cluster.type(id.type)->zones) {
@@ -121,13 +122,13 @@
   return static_cast<int>(terminated);
 }
 
-/// The pool's machines that have been idle for two heartbeats, longest idle first.
+/// The pool's machines that have been idle for two heartbeat intervals, longest idle first.
 std::vector<Machine*> PoolScaler::idle_machines(const PoolId& id) {
-  constexpr double kHeartbeats = 2;
-  const double min_idle_s = context_.services.settings.heartbeat_interval_s * kHeartbeats;
+  constexpr double kMinIdleHeartbeats = 2;
+  const double min_idle_s = context_.services.settings.heartbeat_interval_s * kMinIdleHeartbeats;
   std::vector<Machine*> idle;
   for (auto& [machine_id, machine] : context_.cluster.machines()) {
-    // An emptied machine that a plan holds for large work is not idle.
+    // A drained machine that a move plan reserves for a large job is not idle.
     if (context_.cluster.reservations().any_on(machine_id)) continue;
     if (sched::pool_of(machine.kind) == id && sched::is_schedulable(context_.cluster, machine) &&
         machine.idle() && context_.now() - machine.idle_since > min_idle_s) {
--- a/src/control/pool_scaler.hpp
+++ b/src/control/pool_scaler.hpp
@@ -1,4 +1,4 @@
-// Scales the pools of machines out and in.
+// Scales machine pools out and in.
 #pragma once
 
 #include <map>
@@ -16,24 +16,25 @@
 
 namespace cranklock::control {
 
-/// Carries out what `sched::Pool` decides. The state of a pool is written only when it changes; a
-/// refused scale-out request stamps the scale time like a granted one.
+/// Executes the decisions of `sched::Pool`. The state of a pool is written only when it changes; a
+/// refused scale-out request updates the scale time like a granted one.
 class PoolScaler {
  public:
-  /// Made when the leader term begins. All that is referred to outlives it.
+  /// Created when the leader term begins. All referenced objects must outlive it.
   PoolScaler(const LeaderContext& context, MachineLifecycle& machines)
       : context_(context), machines_(machines), requester_(context, machines), store_(context) {}
 
-  /// Reads what is stored of the pools; false when the key-value store did not answer with it.
+  /// Reads the stored state of the pools; returns false if the key-value store did not return it.
   net::Task<bool> load();
-  /// Reads the pools and scales them, for ever.
+  /// Evaluates and scales the pools periodically until cancelled.
   net::Task<void> run();
 
-  /// The shortfall of the last placement pass that was not cut short.
+  /// The shortfall of the last complete placement pass.
   void set_shortfall(sched::Shortfall shortfall) { shortfall_ = std::move(shortfall); }
   const sched::Shortfall& shortfall() const { return shortfall_; }
-  /// Kinds that the cloud lately had none of, and until when they are passed over.
-  const std::map<sched::MachineKind, double>& refused_until() const {
+  /// Machine kinds that the cloud recently had too few of, and until when they are not requested,
+  /// in steady seconds.
+  const std::map<sched::MachineKind, double>& unavailable_until() const {
     return requester_.unavailable_until();
   }
 
@@ -52,7 +53,7 @@
   MachineLifecycle& machines_;
   ScaleOutRequester requester_;
   PoolStore store_;
-  bool is_first_term_ = false;  ///< no earlier leader has stored a pool
+  bool is_first_term_ = false;  ///< no earlier leader has stored a pool state
   std::map<std::string, sched::Pool> pools_;
   sched::Shortfall shortfall_;
 };
--- a/src/control/pool_store.hpp
+++ b/src/control/pool_store.hpp
@@ -11,19 +11,20 @@
 
 namespace cranklock::control {
 
-/// Reads and writes the records of pools, `pools/<name>`. Each write is conditional on the leader's
-/// key and on the record's revision (invariant 1).
+/// Reads and writes the pool records, `pools/<name>`. Each write is conditional on the revisions of
+/// the leader key and of the record (invariant 1).
 class PoolStore {
  public:
-  /// The states that are stored, by pool name.
+  /// Stored states by pool name.
   using States = std::map<std::string, sched::PoolState>;
 
-  /// Made when the leader term begins. The context outlives it.
+  /// Created when the leader term begins. The context must outlive it.
   explicit PoolStore(const LeaderContext& context) : context_(context) {}
 
-  /// Reads all records into `states`; false when the key-value store did not answer with them.
+  /// Reads all records into `states`; returns false if the key-value store did not return them.
   net::Task<bool> load(States& states);
-  /// Writes one record. A write that fails is not repeated: the pool's next change writes it.
+  /// Writes one record. A failed write is not retried: the next change of the pool writes the
+  /// record again.
   net::Task<void> write(std::string name, sched::PoolState state);
 
  private:
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -45,12 +45,12 @@
   if (read != RecordRead::complete) co_return;
   requested_.erase(id);
   requested_signal_.set();
-  context_.work.set();
+  context_.state_changed.set();
 }
 
 Task<RecordRead> RecordReloader::read_parts(Job& job) {
   for (int part = 0; part < job.record.parts; ++part) {
-    auto reading = context_.services.store.read(part_key(job.spec.id, part), kStoreTimeout);
+    auto reading = context_.services.store.read(part_key(job.spec.id, part), kStoreTimeoutS);
     const auto found = co_await reading;
     if (found.status != Status::ok) co_return RecordRead::unavailable;
     const auto added = add_part(found.value.data, found.value.revision, job);
@@ -62,7 +62,7 @@
 Task<RecordRead> RecordReloader::reload(std::string id) {
   constexpr int kMaxTries = 3;
   for (int tries = 0; tries < kMaxTries; ++tries) {
-    auto reading = context_.services.store.read(job_key(id), kStoreTimeout);
+    auto reading = context_.services.store.read(job_key(id), kStoreTimeoutS);
     const auto found = co_await reading;
     if (found.status == Status::not_found) {
       context_.cluster.remove_job(id);
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -44,7 +44,7 @@
   const RecordBatch batch = next_batch();
   if (batch.empty()) co_return Written::nothing;
   auto writing =
-      context_.services.store.compare_and_swap(batch.compares(), batch.mutations(), kStoreTimeout);
+      context_.services.store.compare_and_swap(batch.compares(), batch.mutations(), kStoreTimeoutS);
   const auto result = co_await writing;
   if (result.status == Status::ok) {
     apply_stored(batch, result.revision);
--- a/src/control/scale_out_requester.cpp
+++ b/src/control/scale_out_requester.cpp
@@ -30,7 +30,7 @@
 }
 
 Task<void> ScaleOutRequester::send_request(MachineKind kind, int machines) {
-  // The fencing token makes the name unique among leaders, the sequence among our own requests.
+  // The fencing token makes the name unique across terms, the sequence number within this one.
   const std::string name = "r-" + std::to_string(context_.lease.fencing_token()) + "-" +
                            std::to_string(++last_sequence_);
   for (;;) {
@@ -50,7 +50,7 @@
     case ScaleOutResult::Kind::granted:
       add_machines(result, kind);
       if (static_cast<int>(result.machines.size()) < machines) mark_unavailable(kind);
-      context_.work.set();
+      context_.state_changed.set();
       return true;
     case ScaleOutResult::Kind::no_capacity:
       base::log_info("capacity unavailable", base::field("type", kind.type),
@@ -59,9 +59,9 @@
       context_.cluster.mark_changed();
       return true;
     case ScaleOutResult::Kind::rejected:
-      return true;  // the pool's next step, after a cooldown, makes a request of its own
+      return true;  // the pool's next scaling step, after a cooldown, sends a new request
     case ScaleOutResult::Kind::indeterminate:
-      break;  // it may have been carried out
+      break;  // the request may have been executed
   }
   return false;
 }
--- a/src/control/services.hpp
+++ b/src/control/services.hpp
@@ -1,4 +1,4 @@
-// The connections and settings that every part of a controller works with.
+// The connections and settings shared by the components of a controller.
 #pragma once
 
 #include "base/settings.hpp"
@@ -9,17 +9,17 @@
 
 namespace cranklock::control {
 
-/// Seconds that a leader waits for an answer of the key-value store.
-inline constexpr double kStoreTimeout = 2.0;
+/// Timeout in seconds for a leader's requests to the key-value store.
+inline constexpr double kStoreTimeoutS = 2.0;
 
-/// Copied freely; what it refers to belongs to the process and outlives all parts of the
+/// Cheap to copy; the referenced objects are owned by the process and outlive all components of the
 /// controller.
 struct Services {
   net::Reactor& reactor;           ///< clock, timers and event loop
   net::Transport& transport;       ///< calls to agents and routers
-  const base::Settings& settings;  ///< read once, at the start of the process
+  const base::Settings& settings;  ///< read once at process start
   store::Client& store;            ///< the key-value store
-  cloud::Client& cloud;            ///< the cloud that machines are rented from
+  cloud::Client& cloud;            ///< the cloud API for machines
 };
 
 }  // namespace cranklock::control
--- a/src/control/store_monitor.cpp
+++ b/src/control/store_monitor.cpp
@@ -12,23 +12,23 @@
 using store::Status;
 
 Task<void> StoreMonitor::run() {
-  constexpr double kTimeout = 1.0;
-  constexpr double kInterval = 1.0, kIntervalUnreached = 0.25;
+  constexpr double kTimeoutS = 1.0;
+  constexpr double kIntervalS = 1.0, kUnreachableIntervalS = 0.25;
   for (;;) {
-    auto reading = services_.store.read(kLeaderKey, kTimeout);
+    auto reading = services_.store.read(kLeaderKey, kTimeoutS);
     const auto found = co_await reading;
     if (found.status == Status::ok || found.status == Status::not_found) {
       note_answer();
       note_leader(found);
     }
-    Sleep pause(services_.reactor, reaches_store() ? kInterval : kIntervalUnreached);
+    Sleep pause(services_.reactor, reaches_store() ? kIntervalS : kUnreachableIntervalS);
     co_await pause;
   }
 }
 
 bool StoreMonitor::reaches_store() const {
-  constexpr double kMaxAge = 2.5;  // the store is asked every second
-  return services_.reactor.now() - last_answer_at_ < kMaxAge;
+  constexpr double kMaxAnswerAgeS = 2.5;  // seconds; the leader key is read every second
+  return services_.reactor.now() - last_answer_at_ < kMaxAnswerAgeS;
 }
 
 void StoreMonitor::note_leader(const store::ReadResult& found) {
--- a/src/control/store_monitor.hpp
+++ b/src/control/store_monitor.hpp
@@ -1,4 +1,4 @@
-// What this controller knows from the key-value store of the store itself and of the leader.
+// Monitors the key-value store: whether it is reachable, and which leader it names.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace cranklock::control {
 
-/// Reads the leader key again and again. Hints only: no invariant rests on what this says.
+/// Polls the leader key. The results are hints only: no invariant depends on them.
 class StoreMonitor {
  public:
   explicit StoreMonitor(Services services) : services_(services) {}
@@ -17,22 +17,22 @@
   /// Reads the leader key about every second, until cancelled.
   net::Task<void> run();
 
-  /// Whether the store has lately answered this controller.
+  /// Whether the store has answered this controller recently.
   bool reaches_store() const;
   /// Whether the store has ever answered.
   bool ever_reached_store() const { return last_answer_at_ > 0; }
-  /// When the store last answered, in steady seconds; 0: never.
+  /// When the store last answered, in steady seconds; 0 if never.
   double last_answer_at() const { return last_answer_at_; }
-  /// The controller that the leader key last named; empty: none.
+  /// The controller that the leader key last named; empty if none.
   const std::string& leader() const { return leader_; }
-  /// The highest revision that the leader key was seen with.
+  /// The highest revision of the leader key seen so far.
   std::uint64_t leader_fencing_token() const { return leader_fencing_token_; }
 
-  /// The store has answered a request just now.
+  /// Records that the store has answered a request now.
   void note_answer() { last_answer_at_ = services_.reactor.now(); }
-  /// Takes in what was read of the leader key.
+  /// Records the result of reading the leader key.
   void note_leader(const store::ReadResult& found);
-  /// This controller has become the leader, or is the leader no longer.
+  /// Sets the leader: the name of this controller when its term begins, empty when it ends.
   void set_leader(std::string name) { leader_ = std::move(name); }
 
  private:
--- a/tests/agent_redirector_test.cpp
+++ b/tests/agent_redirector_test.cpp
@@ -1,4 +1,4 @@
-// Which agents the leader hands on, and how fast.
+// Which agents the leader redirects, and at which rate.
 #include "control/agent_redirector.hpp"
 
 #include <gtest/gtest.h>
@@ -11,9 +11,9 @@
 using testing::heartbeat;
 using testing::kFencingToken;
 
-constexpr double kLow = 0.4, kHigh = 0.6;  ///< shares of the connections in use
+constexpr double kLow = 0.4, kHigh = 0.6;  ///< fractions of the connections in use
 
-/// The leader n0 stands in zone a, as does n1; n2 stands in zone b, and zone c has no controller.
+/// The leader n0 and controller n1 are in zone a, n2 is in zone b; zone c has no controller.
 struct AgentRedirectorTest : ::testing::Test, testing::TermFixture {
   HeartbeatHandler handler{context, machines};
   AgentRedirector redirector{services};
@@ -22,9 +22,9 @@
   AgentRedirectorTest() {
     settings.others = {{"n1", "a", "peer-1"}, {"n2", "b", "peer-2"}};
     redirector.set_connection_load([this] { return connection_load; });
-    hear_forwarders();
+    receive_forwarder_heartbeats();
   }
-  void hear_forwarders() {
+  void receive_forwarder_heartbeats() {
     for (const auto& other : settings.others) {
       peer::PeerHeartbeat peer_heartbeat;
       peer_heartbeat.name = other.name;
@@ -33,7 +33,7 @@
       handler.on_peer_heartbeat(peer_heartbeat);
     }
   }
-  /// Where the agent is redirected to, after a heartbeat that was responded to.
+  /// Handles a heartbeat and returns the forwarder that the agent is redirected to.
   std::string redirect(const std::string& machine, const std::string& zone) {
     const auto received = heartbeat(machine, 1, 1, {}, kFencingToken, zone);
     handler.handle(received);
@@ -41,36 +41,36 @@
   }
 };
 
-TEST_F(AgentRedirectorTest, SendsAgentsOfOtherControllersZonesThere) {
+TEST_F(AgentRedirectorTest, RedirectsAgentsOfOtherZonesToTheirController) {
   EXPECT_EQ(redirect("n-1", "b"), "n2");
 }
 
-TEST_F(AgentRedirectorTest, KeepsAgentsOfItsOwnZoneAndOfNobodysWhileThereIsRoom) {
+TEST_F(AgentRedirectorTest, KeepsAgentsOfItsOwnZoneAndOfZonesWithoutControllerBelowTheLoadLimit) {
   EXPECT_EQ(redirect("n-1", "a"), "");
   EXPECT_EQ(redirect("n-2", "c"), "");
 }
 
-TEST_F(AgentRedirectorTest, HandsOnAgentsOfItsOwnZoneOneAfterTheOtherForWantOfConnections) {
+TEST_F(AgentRedirectorTest, RedirectsAgentsOfItsOwnZoneAtALimitedRateUnderConnectionLoad) {
   connection_load = kHigh;
   EXPECT_TRUE(redirector.connections_overloaded());
   EXPECT_EQ(redirect("n-1", "a"), "n1");
   EXPECT_EQ(redirect("n-2", "a"), "");
 
-  // Ten of them at most in the time between two heartbeats of an agent.
+  // At most ten agents are redirected per heartbeat interval.
   run_for(settings.heartbeat_interval_s / 10);
   EXPECT_EQ(redirect("n-2", "a"), "n1");
 }
 
-TEST_F(AgentRedirectorTest, HandsOnAgentsOfItsOwnZoneForWantOfProcessor) {
+TEST_F(AgentRedirectorTest, RedirectsAgentsOfItsOwnZoneUnderCpuLoad) {
   constexpr int kHeartbeats = 4000;
   settings.core_share = 0.1;
   for (int i = 0; i < kHeartbeats; ++i) redirector.note_direct_heartbeat();
   run_for(2 * settings.heartbeat_interval_s);
-  hear_forwarders();
+  receive_forwarder_heartbeats();
   EXPECT_EQ(redirect("n-1", "a"), "n1");
 }
 
-TEST_F(AgentRedirectorTest, KeepsAnAgentWhoseForwardersAreNotHeard) {
+TEST_F(AgentRedirectorTest, KeepsAnAgentWhoseForwardersAreUnreachable) {
   run_for(settings.lease_s / 2);
   EXPECT_EQ(redirect("n-1", "b"), "");
 }
--- a/tests/compound_failures_test.cpp
+++ b/tests/compound_failures_test.cpp
@@ -82,7 +82,7 @@
   if (refusal == Refusal::with_a_moment_of_service) {
     // Renewals come through before the changes do.
     cluster.state_down = false;
-    cluster.run(0.6 * control::LeaderLease::lease_life(settings));
+    cluster.run(0.6 * control::LeaderLease::lease_ttl_s(settings));
     cluster.state_down = true;
   }
   cluster.run(settings.cancel_s);
@@ -119,20 +119,20 @@
                         settings_with_intervals(5, 29, 49), settings_with_intervals(4, 22, 52)}) {
     control::LeaderLease lease(s, 7, 100);
     EXPECT_FALSE(lease.may_respond(101));  // leading alone is not knowledge
-    lease.caught_up(90);
+    lease.mark_caught_up(90);
     // A cancellation may have been confirmed from 90 on. A heartbeat that is answered at the last
     // moment was sent no later, and its lease is counted from there.
     const double last_answer = lease.may_respond_until() * (1 + 2 * base::kClockDrift);
     EXPECT_LT(last_answer + s.lease_s * (1 + 2 * base::kClockDrift), 90 + s.cancel_s);
     EXPECT_FALSE(lease.may_respond(lease.may_respond_until()));
-    EXPECT_FALSE(lease.may_start(90 + control::LeaderLease::lease_life(s)));
+    EXPECT_FALSE(lease.may_start(90 + control::LeaderLease::lease_ttl_s(s)));
     EXPECT_TRUE(lease.valid(101));
-    lease.caught_up(100.5);
+    lease.mark_caught_up(100.5);
     EXPECT_TRUE(lease.may_start(101));
-    lease.fell_behind();
+    lease.mark_behind();
     EXPECT_FALSE(lease.may_start(101));  // others may be cancelling
     EXPECT_TRUE(lease.may_respond(101));
-    lease.caught_up(95);  // an answer that comes after a later one proves no less
+    lease.mark_caught_up(95);  // an answer that comes after a later one proves no less
     EXPECT_TRUE(lease.may_start(101));
   }
 }
--- a/tests/heartbeat_forwarder_test.cpp
+++ b/tests/heartbeat_forwarder_test.cpp
@@ -25,12 +25,12 @@
       sent.push_back(std::get<peer::ForwardedHeartbeat>(frame));
     });
   }
-  void hear_leader(std::uint64_t fencing_token = 7) {
+  void receive_leader_heartbeat(std::uint64_t fencing_token = 7) {
     peer::PeerHeartbeat peer_heartbeat{"n9", fencing_token, true, true};
     peer_heartbeat.sent_clock_ms = 5;
     forwarder.on_peer_heartbeat(peer_heartbeat);
   }
-  /// The status of the response, which comes before the agent's timeout at the latest.
+  /// Returns the status of the response, which must arrive before the agent's timeout.
   int forward(std::uint64_t fencing_token = 7, int delegation_ms = -1) {
     auto task = forwarder.forward(heartbeat("n-1", 1, 1, {}, fencing_token), "{}",
                                   [this] { return store_last_answer_at; });
@@ -45,25 +45,25 @@
   }
   bool responded_as_delegate() const {
     peer::PeerHeartbeat peer_heartbeat;
-    forwarder.describe(peer_heartbeat);
+    forwarder.fill_peer_heartbeat(peer_heartbeat);
     return peer_heartbeat.delegate_responded_ms != peer::kNever;
   }
 };
 
-TEST(HeartbeatForwarder, ForwardsAnotherZonesAgentOnceAndForGoodWhenItIsBackWithinALease) {
+TEST(HeartbeatForwarder, ForwardsAnotherZonesAgentOnceAndContinuouslyAfterItReturnsWithinALease) {
   ForwarderFixture fixture;
-  EXPECT_FALSE(fixture.forwarder.may_forward(heartbeat("n-1", 1, 1)));  // no leader is heard
-  fixture.hear_leader();
+  EXPECT_FALSE(fixture.forwarder.may_forward(heartbeat("n-1", 1, 1)));  // no leader is known
+  fixture.receive_leader_heartbeat();
   EXPECT_TRUE(fixture.forwarder.may_forward(heartbeat("n-1", 1, 1)));
-  // Another zone's agent is forwarded for once, and redirected to the leader then.
+  // Another zone's agent is forwarded once and then redirected to the leader.
   const auto other_zone = heartbeat("n-2", 1, 1, {}, 7, "b");
   EXPECT_TRUE(fixture.forwarder.may_forward(other_zone));
   fixture.forwarder.note_forwarded(other_zone);
   EXPECT_FALSE(fixture.forwarder.may_forward(other_zone));
   fixture.reactor.run_until(fixture.reactor.now() + 1);
-  fixture.hear_leader();
+  fixture.receive_leader_heartbeat();
   EXPECT_FALSE(fixture.forwarder.may_forward(other_zone));
-  // Back within a lease, it is forwarded for as long as it comes.
+  // After returning within a lease it is forwarded for as long as its heartbeats arrive.
   fixture.forwarder.note_redirected(other_zone);
   EXPECT_TRUE(fixture.forwarder.may_forward(other_zone));
   fixture.forwarder.note_forwarded(other_zone);
@@ -74,9 +74,9 @@
 
 TEST(HeartbeatForwarder, RespondsAsDelegateOnlyWhenCutOffAndWithinTheDelegation) {
   ForwarderFixture fixture;
-  fixture.hear_leader();
+  fixture.receive_leader_heartbeat();
   ASSERT_EQ(fixture.forward(7, 20'000), 200);
-  // No response came, and neither the leader nor the key-value store is heard.
+  // No response arrives, and neither the leader nor the key-value store is reachable.
   EXPECT_EQ(fixture.forward(), 200);
   EXPECT_TRUE(fixture.responded_as_delegate());
   fixture.reactor.run_until(119.9);
@@ -86,22 +86,22 @@
   EXPECT_EQ(fixture.forward(), 421);
 }
 
-TEST(HeartbeatForwarder, ForwardsForAZoneWithoutAControllerAndIsNeverItsDelegate) {
+TEST(HeartbeatForwarder, ForwardsForAZoneWithoutAControllerButNeverAsItsDelegate) {
   ForwarderFixture fixture;
-  const auto exposed = heartbeat("n-2", 1, 1, {}, 7, "c");
-  EXPECT_FALSE(fixture.forwarder.may_forward(exposed));  // no leader is heard
-  fixture.hear_leader();
-  EXPECT_TRUE(fixture.forwarder.may_forward(exposed));
+  const auto agent_without_controller = heartbeat("n-2", 1, 1, {}, 7, "c");
+  EXPECT_FALSE(fixture.forwarder.may_forward(agent_without_controller));  // no leader is known
+  fixture.receive_leader_heartbeat();
+  EXPECT_TRUE(fixture.forwarder.may_forward(agent_without_controller));
   fixture.reactor.run_until(fixture.reactor.now() + 5);
-  EXPECT_FALSE(fixture.forwarder.may_forward(exposed));
+  EXPECT_FALSE(fixture.forwarder.may_forward(agent_without_controller));
 }
 
-// 4,200 agents at one controller: what is remembered of each must not go with the 4,097th.
-TEST(HeartbeatForwarder, RemembersEveryAgentOfALargeFleet) {
+// 4,200 agents use one controller: the state of earlier agents must not be evicted by the 4,097th.
+TEST(HeartbeatForwarder, KeepsTheStateOfEveryAgentOfALargeFleet) {
   constexpr int kAgents = 4200;
   ForwarderFixture fixture;
   const auto name = [](int i) { return "n-" + std::to_string(i); };
-  fixture.hear_leader();
+  fixture.receive_leader_heartbeat();
   for (int i = 0; i < kAgents; ++i) {
     const auto own = heartbeat(name(i), 1, 1);
     auto task =
@@ -114,27 +114,28 @@
   }
   for (int i = 0; i < kAgents; ++i) {
     const auto other_zone = heartbeat("b-" + name(i), 1, 2, {}, 7, "b");
-    ASSERT_FALSE(fixture.forwarder.may_forward(other_zone)) << i;  // not taken for a first visit
+    ASSERT_FALSE(fixture.forwarder.may_forward(other_zone)) << i;  // not its first heartbeat
     fixture.forwarder.note_redirected(other_zone);
   }
   for (int i = 0; i < kAgents; ++i) {
     ASSERT_TRUE(fixture.forwarder.may_forward(heartbeat("b-" + name(i), 1, 2, {}, 7, "b"))) << i;
   }
-  fixture.reactor.run_until(fixture.reactor.now() + 5);  // the leader is not heard any more
+  fixture.reactor.run_until(fixture.reactor.now() + 5);  // the leader has become unreachable
   for (int i = 0; i < kAgents; ++i) {
     ASSERT_TRUE(fixture.forwarder.may_forward(heartbeat(name(i), 1, 2))) << i;
   }
 }
 
-// Guards the leader's timing of leases: it counts on its forwarders' silence while it is heard.
-TEST(HeartbeatForwarder, NeverRespondsAsDelegateWhileTheLeaderIsHeard) {
+// The leader's lease expiry relies on forwarders not responding as delegates while they receive its
+// heartbeats.
+TEST(HeartbeatForwarder, NeverRespondsAsDelegateWhileTheLeaderIsReachable) {
   ForwarderFixture fixture;
-  fixture.hear_leader();
+  fixture.receive_leader_heartbeat();
   ASSERT_EQ(fixture.forward(7, 20'000), 200);
   auto task = fixture.forwarder.forward(heartbeat("n-1", 1, 2), "{}", [&] { return 0.0; });
   task.start();
   for (int i = 0; i < 40 && !task.done(); ++i) {
-    fixture.hear_leader();
+    fixture.receive_leader_heartbeat();
     fixture.reactor.run_until(fixture.reactor.now() + 0.1);
   }
   ASSERT_TRUE(task.done());
@@ -142,24 +143,24 @@
   EXPECT_FALSE(fixture.responded_as_delegate());
 }
 
-// Guards against holding agents back from a leader's successor.
-TEST(HeartbeatForwarder, RedirectsAgentsWhenOnlyTheLeaderIsGone) {
+// If only the leader has failed, agents must not be kept from its successor.
+TEST(HeartbeatForwarder, RedirectsAgentsWhenOnlyTheLeaderHasFailed) {
   ForwarderFixture fixture;
-  fixture.hear_leader();
+  fixture.receive_leader_heartbeat();
   ASSERT_EQ(fixture.forward(7, 20'000), 200);
   fixture.store_last_answer_at = 101;
   EXPECT_EQ(fixture.forward(), 421);
   fixture.store_last_answer_at = 0;
-  fixture.hear_leader(9);  // a successor: the delegation of its predecessor is void
+  fixture.receive_leader_heartbeat(9);  // a successor: the earlier delegation is void
   fixture.reactor.run_until(fixture.reactor.now() + 2);
   EXPECT_EQ(fixture.forward(), 421);
 }
 
-// A leader that is not heard any more, and its successor before the agent's timeout: the same
-// heartbeat is responded to by the successor, and what the former leader responds late is ignored.
+// The leader becomes unreachable and its successor appears before the agent's timeout: the
+// successor responds to the same heartbeat, and a late response of the former leader is ignored.
 TEST(HeartbeatForwarder, AHeartbeatWaitsForTheLeadersSuccessor) {
   ForwarderFixture fixture;
-  fixture.hear_leader();
+  fixture.receive_leader_heartbeat();
   fixture.store_last_answer_at = 200;  // this node is not cut off
   auto task = fixture.forwarder.forward(heartbeat("n-1", 1, 1), "{}",
                                         [&] { return fixture.store_last_answer_at; });
@@ -169,7 +170,7 @@
   for (int i = 0; i < 20; ++i) fixture.reactor.run_until(fixture.reactor.now() + 0.1);
   ASSERT_FALSE(task.done());
   EXPECT_EQ(fixture.sent.size(), 1U);
-  fixture.hear_leader(9);
+  fixture.receive_leader_heartbeat(9);
   fixture.reactor.run_until(fixture.reactor.now() + 0.5);
   ASSERT_EQ(fixture.sent.size(), 2U);
   fixture.forwarder.on_response({first, 200, 7, 20'000, "old"});
@@ -183,20 +184,20 @@
   EXPECT_EQ(response.body, "new");
 }
 
-// Guards against prolonging the lease of a machine whose tasks are to be stopped: a response with a
-// stop command delegates nothing.
+// The lease of a machine whose tasks are being stopped must not be extended: a response with a stop
+// command contains no delegation.
 TEST(HeartbeatForwarder, AResponseWithoutADelegationEndsAnEarlierOne) {
   ForwarderFixture fixture;
-  fixture.hear_leader();
+  fixture.receive_leader_heartbeat();
   ASSERT_EQ(fixture.forward(7, 20'000), 200);
-  fixture.hear_leader();
+  fixture.receive_leader_heartbeat();
   ASSERT_EQ(fixture.forward(7, 0), 200);
   EXPECT_EQ(fixture.forward(), 421);
 }
 
-TEST(HeartbeatForwarder, ResponsesToAnEarlierRunAreNotTakenForItsOwn) {
+TEST(HeartbeatForwarder, IgnoresResponsesToAnEarlierProcess) {
   ForwarderFixture before;
-  before.hear_leader();
+  before.receive_leader_heartbeat();
   before.forward(7, 20'000);
   ForwarderFixture fixture;  // the same controller, restarted a little later
   fixture.reactor.run_until(100.2);
--- a/tests/heartbeat_handler_test.cpp
+++ b/tests/heartbeat_handler_test.cpp
@@ -26,8 +26,8 @@
     return handler.handle_forwarded(heartbeat("n-1", 1, sequence, std::move(tasks)), forwarder,
                                     kRequestId);
   }
-  /// The forwarder echoes this leader's clock.
-  void hear_forwarder(const std::string& name) {
+  /// Handles a peer heartbeat in which the forwarder echoes this leader's clock.
+  void receive_forwarder_heartbeat(const std::string& name) {
     peer::PeerHeartbeat peer_heartbeat;
     peer_heartbeat.name = name;
     peer_heartbeat.echoed_fencing_token = kFencingToken;
@@ -52,7 +52,7 @@
   EXPECT_EQ(status_for(heartbeat("n-2", 1, 1)), kUnavailable);
 }
 
-TEST_F(HeartbeatHandlerTest, ProlongsNoLeaseOnceTheLeaderLeaseIsInDoubt) {
+TEST_F(HeartbeatHandlerTest, ExtendsNoLeaseOnceTheLeaderLeaseMayHaveExpired) {
   ASSERT_EQ(status_for(heartbeat("n-1", 1, 1)), kOk);
 
   reactor.run_until(lease.may_respond_until());
@@ -61,7 +61,7 @@
   EXPECT_EQ(cluster.machine("n-1")->lease.last_response, kTermStart);
 }
 
-TEST_F(HeartbeatHandlerTest, ProlongsNoLeaseForALateCopy) {
+TEST_F(HeartbeatHandlerTest, ExtendsNoLeaseForADelayedDuplicate) {
   ASSERT_EQ(status_for(heartbeat("n-1", 1, 2)), kOk);
   reactor.run_until(kTermStart + 1);
 
@@ -80,7 +80,7 @@
   EXPECT_EQ(cluster.machine("n-1")->lease.delegated_until.at("n1"), until);
 }
 
-TEST_F(HeartbeatHandlerTest, DelegatesToForwardersOfTheAgentsZoneAlone) {
+TEST_F(HeartbeatHandlerTest, DelegatesOnlyToForwardersOfTheAgentsZone) {
   const auto response = forward("n2", 1);
 
   EXPECT_EQ(response.status, kOk);
@@ -88,7 +88,8 @@
   EXPECT_TRUE(cluster.machine("n-1")->lease.delegated_until.empty());
 }
 
-// Guards against a lease that is prolonged although a stop may not have arrived.
+// A delegation would let the forwarder extend the lease although the stop command may not have
+// arrived.
 TEST_F(HeartbeatHandlerTest, DelegatesNothingWhileATaskIsBeingStopped) {
   ASSERT_EQ(forward("n1", 1).status, kOk);
   auto& job = cluster.upsert_job(make_job("j-000001", wire::JobKind::service, 1, 4), kTermStart);
@@ -103,38 +104,38 @@
   EXPECT_EQ(forward("n1", 3, {running}).delegation_ms, 0u);
 }
 
-TEST_F(HeartbeatHandlerTest, RedirectsOnlyToAForwarderThatIsHeard) {
+TEST_F(HeartbeatHandlerTest, RedirectsOnlyToAReachableForwarder) {
   ASSERT_EQ(status_for(heartbeat("n-1", 1, 1)), kOk);
   EXPECT_FALSE(handler.try_redirect("n-1", "n1"));
 
-  hear_forwarder("n1");
+  receive_forwarder_heartbeat("n1");
 
   EXPECT_TRUE(handler.try_redirect("n-1", "n1"));
   EXPECT_FALSE(handler.try_redirect("unknown", "n1"));
 }
 
-TEST_F(HeartbeatHandlerTest, RedirectsNoAgentThatIsBackWithinTwoLeases) {
+TEST_F(HeartbeatHandlerTest, DoesNotRedirectAnAgentAgainWithinTwoLeases) {
   ASSERT_EQ(status_for(heartbeat("n-1", 1, 1)), kOk);
-  hear_forwarder("n1");
+  receive_forwarder_heartbeat("n1");
   ASSERT_TRUE(handler.try_redirect("n-1", "n1"));
 
   reactor.run_until(kTermStart + 2 * settings.lease_s - 0.1);
-  hear_forwarder("n1");
+  receive_forwarder_heartbeat("n1");
   EXPECT_FALSE(handler.try_redirect("n-1", "n1"));
   reactor.run_until(kTermStart + 2 * settings.lease_s);
-  hear_forwarder("n1");
+  receive_forwarder_heartbeat("n1");
   EXPECT_TRUE(handler.try_redirect("n-1", "n1"));
 }
 
-TEST_F(HeartbeatHandlerTest, AgentsAreSilentAfterAThirdOfALeaseWithoutAny) {
+TEST_F(HeartbeatHandlerTest, AgentsTimeOutAfterAThirdOfALeaseWithoutMessages) {
   const double max_silence_s = settings.lease_s / 3;
   reactor.run_until(kTermStart + max_silence_s - 0.1);
-  EXPECT_FALSE(handler.agents_silent());
+  EXPECT_FALSE(handler.agents_timed_out());
   reactor.run_until(kTermStart + max_silence_s + 0.1);
-  EXPECT_TRUE(handler.agents_silent());
+  EXPECT_TRUE(handler.agents_timed_out());
 
   handler.note_agent_message();
-  EXPECT_FALSE(handler.agents_silent());
+  EXPECT_FALSE(handler.agents_timed_out());
 }
 
 }  // namespace
--- a/tests/job_watcher_test.cpp
+++ b/tests/job_watcher_test.cpp
@@ -15,14 +15,14 @@
   void SetUp() override {
     store_job(kJob);
     ASSERT_TRUE(await(watcher_.load()));
-    lease_.confirm(reactor_.now());
+    lease_.record_renewal(reactor_.now());
   }
   /// Follows the changes for a moment.
   void follow() {
     auto following = watcher_.follow();
     following.start();
     run(1);
-    lease_.confirm(reactor_.now());
+    lease_.record_renewal(reactor_.now());
   }
 
   RecordReloader reloader_{context_,
--- a/tests/leader_part.hpp
+++ b/tests/leader_part.hpp
@@ -1,4 +1,5 @@
-// A leader's context over a key-value store with jobs, for tests of single parts of a leader term.
+// A leader context over a key-value store with jobs, for tests of single components of a leader
+// term.
 #pragma once
 
 #include "cloud/client.hpp"
@@ -7,12 +8,12 @@
 
 namespace cranklock::testing {
 
-/// What a leader term gives its parts.
+/// The objects that a leader term passes to its components.
 class LeaderPartTest : public StoredJobsTest {
  protected:
   cloud::Client cloud_{reactor_, transport_, settings_};
   net::Signal lost_{reactor_};
-  net::Signal work_{reactor_};
+  net::Signal state_changed_{reactor_};
   control::LeaderLease lease_{settings_, kFencingToken, reactor_.now()};
   control::LeadershipStatus leadership_{kFencingToken, lost_};
   sched::ClusterState cluster_{settings_, kFencingToken, reactor_.now()};
@@ -20,7 +21,7 @@
                                   lease_,
                                   leadership_,
                                   cluster_,
-                                  work_,
+                                  state_changed_,
                                   reactor_.now()};
 };
 
--- a/tests/leadership_status_test.cpp
+++ b/tests/leadership_status_test.cpp
@@ -1,4 +1,4 @@
-// A leadership that is lost stays lost, and wakes whoever renews its lease.
+// A lost leadership stays lost, and its loss wakes the coroutine that renews the leader lease.
 #include "control/leadership_status.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   co_return signalled;
 }
 
-TEST(LeadershipStatus, StepsDownOnceAndForGood) {
+TEST(LeadershipStatus, StepsDownOncePermanently) {
   testing::FakeReactor reactor;
   net::Signal lost(reactor);
   LeadershipStatus leadership(7, lost);
@@ -31,7 +31,7 @@
   EXPECT_TRUE(leadership.is_lost());
 }
 
-TEST(LeadershipStatus, WakesWhoeverRenewsTheLease) {
+TEST(LeadershipStatus, WakesTheCoroutineThatRenewsTheLease) {
   testing::FakeReactor reactor;
   net::Signal lost(reactor);
   LeadershipStatus leadership(7, lost);
@@ -39,14 +39,14 @@
   waiting.start();
 
   leadership.step_down(LeadershipLoss::peer_has_higher_token);
-  EXPECT_FALSE(waiting.done());  // woken from the loop, never from within the caller
+  EXPECT_FALSE(waiting.done());  // resumed by the event loop, not by the caller
   reactor.run_until(reactor.now() + 0.1);
 
   ASSERT_TRUE(waiting.done());
   EXPECT_TRUE(waiting.take());
 }
 
-TEST(LeadershipStatus, EachReasonReadsDifferently) {
+TEST(LeadershipStatus, EachReasonHasADistinctText) {
   const std::set<std::string_view> reasons{to_string(LeadershipLoss::agent_saw_higher_token),
                                            to_string(LeadershipLoss::peer_has_higher_token),
                                            to_string(LeadershipLoss::leader_key_changed),
--- a/tests/machine_type_loader_test.cpp
+++ b/tests/machine_type_loader_test.cpp
@@ -1,4 +1,4 @@
-// Where a controller learns the machine types from.
+// Loading the machine types from the cloud or from the stored copy.
 #include "control/machine_type_loader.hpp"
 
 #include <gtest/gtest.h>
@@ -12,11 +12,11 @@
 struct MachineTypeLoaderTest : ::testing::Test, testing::ServicesFixture {
   JobApi job_api{services, [] { return true; }};
   MachineTypeLoader loader{services, job_api};
-  net::Scope routines;
+  net::Scope scope;
 };
 
-TEST_F(MachineTypeLoaderTest, AsksTheCloudAndStoresACopy) {
-  routines.spawn(loader.run());
+TEST_F(MachineTypeLoaderTest, ReadsTheCloudAndStoresACopy) {
+  scope.spawn(loader.run());
   run_for(0.1);
 
   EXPECT_TRUE(job_api.knows_types());
@@ -24,21 +24,21 @@
   EXPECT_TRUE(wire::parse_machine_types(state.values.at(kTypesKey).data));
 }
 
-TEST_F(MachineTypeLoaderTest, ReadsTheCopyWhileTheCloudIsDown) {
+TEST_F(MachineTypeLoaderTest, ReadsTheStoredCopyWhileTheCloudIsUnavailable) {
   wire::JsonWriter writer;
   wire::write_machine_types(writer, {testing::machine_type()});
   store_value(kTypesKey, writer.take());
   transport.cloud_reachable = false;
 
-  routines.spawn(loader.run());
+  scope.spawn(loader.run());
   run_for(0.1);
 
   EXPECT_TRUE(job_api.knows_types());
 }
 
-TEST_F(MachineTypeLoaderTest, KeepsAskingUntilTypesAreKnown) {
+TEST_F(MachineTypeLoaderTest, RetriesUntilTypesAreKnown) {
   transport.cloud_reachable = false;
-  routines.spawn(loader.run());
+  scope.spawn(loader.run());
   run_for(2);
   EXPECT_FALSE(job_api.knows_types());
 
@@ -47,9 +47,9 @@
   EXPECT_TRUE(job_api.knows_types());
 }
 
-TEST_F(MachineTypeLoaderTest, LeavesAStoredCopyAsItIs) {
+TEST_F(MachineTypeLoaderTest, DoesNotOverwriteAStoredCopy) {
   store_value(kTypesKey, "[]");
-  routines.spawn(loader.run());
+  scope.spawn(loader.run());
   run_for(0.1);
 
   EXPECT_TRUE(job_api.knows_types());
--- a/tests/services_fixture.hpp
+++ b/tests/services_fixture.hpp
@@ -1,5 +1,5 @@
-// A controller's services in simulated time, with a key-value store in memory: for tests of single
-// parts.
+// A controller's services in simulated time with an in-memory key-value store, for tests of single
+// components.
 #pragma once
 
 #include <string>
@@ -14,9 +14,10 @@
 
 namespace cranklock::testing {
 
-/// Carries calls to the store and to the cloud's machine types. Agents and routers answer nothing.
+/// Transports calls to the store and to the cloud's machine types. Agents and routers are not
+/// simulated.
 struct OutsideTransport : net::Transport {
-  static constexpr double kOneWay = 0.001;  ///< seconds
+  static constexpr double kOneWayLatencyS = 0.001;
   static constexpr const char* kMachineTypesPath = "/machine_types";
 
   FakeReactor& reactor;
@@ -28,13 +29,13 @@
   OutsideTransport(FakeReactor& loop, StateStandIn& store) : reactor(loop), state(store) {}
 
   net::Task<net::Reply> call(std::string, net::Request request, double) override {
-    net::Sleep there(reactor, kOneWay);
-    co_await there;
+    net::Sleep request_delay(reactor, kOneWayLatencyS);
+    co_await request_delay;
     const bool is_cloud = request.path == kMachineTypesPath;
     if (is_cloud ? !cloud_reachable : !store_reachable) co_return net::Reply{};
     auto response = is_cloud ? list_machine_types() : state.handle(request);
-    net::Sleep back(reactor, kOneWay);
-    co_await back;
+    net::Sleep response_delay(reactor, kOneWayLatencyS);
+    co_await response_delay;
     co_return net::Reply{net::Reply::Kind::answered, std::move(response)};
   }
 
@@ -56,7 +57,7 @@
   control::Services services{reactor, transport, settings, store, cloud};
 
   void run_for(double seconds) { reactor.run_until(reactor.now() + seconds); }
-  /// Stores a value without a lease, as somebody else.
+  /// Stores a value without a lease, as another client would.
   void store_value(const std::string& key, const std::string& text) {
     const std::vector<wire::Mutation> mutations{{key, text, 0}};
     state.handle({"POST", "/txn", "", wire::compare_and_swap_request({}, mutations), true});
--- a/tests/store_monitor_test.cpp
+++ b/tests/store_monitor_test.cpp
@@ -1,4 +1,4 @@
-// What a controller learns by reading the leader key again and again.
+// What the store monitor reports from polling the leader key.
 #include "control/store_monitor.hpp"
 
 #include <gtest/gtest.h>
@@ -12,11 +12,11 @@
 
 struct StoreMonitorTest : ::testing::Test, testing::ServicesFixture {
   StoreMonitor monitor{services};
-  net::Scope routines;
+  net::Scope scope;
 
   StoreMonitorTest() {
     reactor.run_until(100);
-    routines.spawn(monitor.run());
+    scope.spawn(monitor.run());
   }
 };
 
@@ -36,7 +36,7 @@
   EXPECT_TRUE(monitor.reaches_store());
 }
 
-TEST_F(StoreMonitorTest, NamesTheLeaderWhileItsKeyStands) {
+TEST_F(StoreMonitorTest, NamesTheLeaderWhileItsKeyExists) {
   run_for(0.1);
   EXPECT_EQ(monitor.leader(), "");
 
--- a/tests/term_fixture.hpp
+++ b/tests/term_fixture.hpp
@@ -1,4 +1,4 @@
-// A leader term whose parts are tested one by one.
+// The context of a leader term, for tests of single components.
 #pragma once
 
 #include "control/leader_context.hpp"
@@ -7,8 +7,8 @@
 
 namespace cranklock::testing {
 
-/// What a part of a leader term is made of. The term begins at kTermStart with its leader lease
-/// certain and all changes of jobs known.
+/// The objects that components of a leader term depend on. The term begins at kTermStart with a
+/// valid leader lease and all changes of jobs known.
 struct TermFixture : ServicesFixture {
   static constexpr double kTermStart = 100;
 
@@ -16,13 +16,13 @@
   net::Signal lost{reactor};
   control::LeadershipStatus leadership{kFencingToken, lost};
   sched::ClusterState cluster{settings, kFencingToken, kTermStart};
-  net::Signal work{reactor};
-  control::LeaderContext context{services, lease, leadership, cluster, work, kTermStart};
+  net::Signal state_changed{reactor};
+  control::LeaderContext context{services, lease, leadership, cluster, state_changed, kTermStart};
   control::MachineLifecycle machines{context};
 
   TermFixture() {
     reactor.run_until(kTermStart);
-    lease.caught_up(kTermStart);
+    lease.mark_caught_up(kTermStart);
     cluster.set_types({machine_type()});
   }
 };
--- a/tests/zone_choice_test.cpp
+++ b/tests/zone_choice_test.cpp
@@ -1,4 +1,4 @@
-// Which zones the machines of a scale-out go to.
+// Which zones are chosen for the machines of a scale-out.
 #include "control/zone_choice.hpp"
 
 #include <gtest/gtest.h>
@@ -19,46 +19,46 @@
   EXPECT_EQ(choose_zones(demand), (Chosen{{in_zone("b"), 3}}));
 }
 
-TEST(ZoneChoice, ServesKindsInTurnWhereTheStepIsSmallerThanTheShortfall) {
+TEST(ZoneChoice, ServesKindsInTurnIfTheStepIsSmallerThanTheShortfall) {
   const ScaleOutDemand demand{
       kPool, 3, {{in_zone("a"), 5}, {in_zone("b"), 5}}, {{"a", {0, 1}}, {"b", {0, 1}}}};
   EXPECT_EQ(choose_zones(demand), (Chosen{{in_zone("a"), 2}, {in_zone("b"), 1}}));
 }
 
-TEST(ZoneChoice, ServesTheShortfallOfAZoneThatIsNotAvailable) {
+TEST(ZoneChoice, ServesTheShortfallOfAnUnavailableZone) {
   const ScaleOutDemand demand{kPool, 1, {{in_zone("b"), 1}}, {{"a", {0, 1}}}};
   EXPECT_EQ(choose_zones(demand), (Chosen{{in_zone("b"), 1}}));
 }
 
-TEST(ZoneChoice, PassesOverTheShortfallOfOtherPools) {
+TEST(ZoneChoice, IgnoresTheShortfallOfOtherPools) {
   const sched::MachineKind spot{"g8", "b", true};
   const sched::MachineKind other_type{"c16", "b", false};
   const ScaleOutDemand demand{kPool, 1, {{spot, 4}, {other_type, 4}}, {{"a", {0, 1}}}};
   EXPECT_EQ(choose_zones(demand), (Chosen{{in_zone("a"), 1}}));
 }
 
-TEST(ZoneChoice, LevelsTheZonesWithWhatIsBeyondTheShortfall) {
+TEST(ZoneChoice, BalancesZonesWithMachinesBeyondTheShortfall) {
   const ScaleOutDemand demand{kPool, 5, {{in_zone("a"), 1}}, {{"a", {3, 1}}, {"b", {1, 1}}}};
-  // What the shortfall got does not count as a machine of its zone.
+  // Machines allocated to the shortfall are not counted as machines of their zone.
   EXPECT_EQ(choose_zones(demand), (Chosen{{in_zone("a"), 2}, {in_zone("b"), 3}}));
 }
 
-TEST(ZoneChoice, GivesAZoneOfWeightTwoHalfAsMany) {
+TEST(ZoneChoice, AllocatesHalfAsManyMachinesToAZoneOfWeightTwo) {
   const ScaleOutDemand demand{kPool, 6, {}, {{"a", {0, 1}}, {"b", {0, 2}}}};
   EXPECT_EQ(choose_zones(demand), (Chosen{{in_zone("a"), 4}, {in_zone("b"), 2}}));
 }
 
-TEST(ZoneChoice, CountsMachinesThatAreThereByTheWeightOfTheirZone) {
+TEST(ZoneChoice, WeighsExistingMachinesByTheirZone) {
   const ScaleOutDemand demand{kPool, 2, {}, {{"a", {2, 1}}, {"b", {2, 2}}}};
   EXPECT_EQ(choose_zones(demand), (Chosen{{in_zone("a"), 2}}));
 }
 
-TEST(ZoneChoice, TakesTheFirstZoneByNameWhereSeveralAreEqual) {
+TEST(ZoneChoice, BreaksTiesByZoneName) {
   const ScaleOutDemand demand{kPool, 1, {}, {{"b", {1, 1}}, {"a", {1, 1}}}};
   EXPECT_EQ(choose_zones(demand), (Chosen{{in_zone("a"), 1}}));
 }
 
-TEST(ZoneChoice, ChoosesNothingBeyondTheShortfallWhereNoZoneIsAvailable) {
+TEST(ZoneChoice, ChoosesOnlyTheShortfallIfNoZoneIsAvailable) {
   const ScaleOutDemand demand{kPool, 4, {{in_zone("a"), 1}}, {}};
   EXPECT_EQ(choose_zones(demand), (Chosen{{in_zone("a"), 1}}));
 }
