--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -37,11 +37,11 @@
 
 Task<bool> JobWatcher::load() {
   const double sent = context_.now();
-  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeout);
+  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeoutS);
   const auto jobs = co_await reading;
   if (jobs.status != Status::ok) co_return false;
   revision_ = jobs.page.revision;
-  context_.lease.caught_up(sent);
+  context_.lease.mark_caught_up(sent);
   for (const auto& value : jobs.page.items) {
     auto loading = load_job(value);
     if (!co_await loading) co_return false;
@@ -94,7 +94,7 @@
   constexpr int kMaxUnansweredWatches = 3;  // in a row
   const auto& settings = context_.services.settings;
   // Equal to the interval between renewals: an answer proves the state only as of its request.
-  const double watch_wait_s = LeaderLease::lease_life(settings) / 4;
+  const double watch_wait_s = LeaderLease::lease_ttl_s(settings) / 4;
   int unanswered_watches = 0;
   for (;;) {
     const double sent = context_.now();
@@ -106,10 +106,10 @@
       on_changes(std::move(result.page.items), sent);
       continue;
     }
-    context_.lease.fell_behind();
+    context_.lease.mark_behind();
     // Repeated timeouts although lease renewals succeed: the response may be too long to be read,
     // so that the same watch would never succeed. In an outage of the store, renewals fail as well.
-    const bool renewed = context_.lease.confirmed_sent() > sent;
+    const bool renewed = context_.lease.last_renewal_sent_at() > sent;
     unanswered_watches =
         result.status == Status::indeterminate && renewed ? unanswered_watches + 1 : 0;
     const bool too_far_behind = result.status == Status::compacted;
@@ -128,7 +128,7 @@
 
 Task<bool> JobWatcher::resync() {
   const double sent = context_.now();
-  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeout);
+  auto reading = context_.services.store.read_all(kJobsPrefix, kStoreTimeoutS);
   auto jobs = co_await reading;
   if (jobs.status != Status::ok) co_return false;
   revision_ = jobs.page.revision;
@@ -144,9 +144,9 @@
     if (apply_cancellation(value)) any_cancelled = true;
     pending_.push_back(std::move(value));
   }
-  context_.lease.caught_up(sent);
+  context_.lease.mark_caught_up(sent);
   changes_known_until_ = std::max(changes_known_until_, sent);
-  if (!pending_.empty()) context_.work.set();
+  if (!pending_.empty()) context_.state_changed.set();
   if (any_cancelled) callbacks_.job_cancelled();
 }
 
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -44,7 +44,7 @@
   const RecordBatch batch = next_batch();
   if (batch.empty()) co_return WriteResult::nothing_to_write;
   auto writing =
-      context_.services.store.compare_and_swap(batch.compares(), batch.mutations(), kStoreTimeout);
+      context_.services.store.compare_and_swap(batch.compares(), batch.mutations(), kStoreTimeoutS);
   const auto result = co_await writing;
   if (result.status == Status::ok) {
     apply_stored(batch, result.revision);
