--- a/lab/chats.cpp
+++ b/lab/chats.cpp
@@ -23,15 +23,15 @@
 /// One request of a chat, as the user sends it to the router.
 std::string write_turn(int chat, const std::string& job) {
   wire::JsonWriter w;
-  w.begin().key("chat").integer(chat).key("job").text(job).end();
+  w.begin_object().key("chat").integer(chat).key("job").text(job).end_object();
   return w.take();
 }
 
 /// The same as the router sends it to a replica.
 std::string write_replica_turn(const testing::RouterStandIn::Replica& replica) {
   wire::JsonWriter w;
-  w.begin().key("task").text(wire::to_string(replica.task));
-  w.key("attempt").count(replica.attempt).end();
+  w.begin_object().key("task").text(wire::to_string(replica.task));
+  w.key("attempt").count(replica.attempt).end_object();
   return w.take();
 }
 
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -187,13 +187,13 @@
   const auto [entry, first] = rentals_.try_emplace(asked["Charter"].GetString());
   if (first) {
     wire::JsonWriter w;
-    w.begin().key("Rigs").list();
+    w.begin_object().key("Rigs").begin_array();
     for (int i = 0; i < count; ++i) {
       const double ready_at = reactor_.now() + plan_.boot_s * (0.6 + 0.9 * chance());
       w.text(
           add_worker(asked["Yard"].GetString(), asked["Loaners"].GetBool(), ready_at).stand_in.id);
     }
-    w.list_end().end();
+    w.end_array().end_object();
     entry->second = w.take();
   }
   return answer(200, entry->second);
@@ -202,21 +202,21 @@
 Response Region::list(const Request& request) const {
   const std::size_t most = std::stoul(net::query_field(request.query, "Most"));
   wire::JsonWriter w;
-  w.begin().key("Rigs").list();
+  w.begin_object().key("Rigs").begin_array();
   std::size_t rows = 0;
   auto next = workers_.upper_bound(net::query_field(request.query, "Since"));
   for (; next != workers_.end() && rows < most; ++next) {
     const Worker& worker = *next->second;
     if (worker.gone) continue;
     const auto& machine = worker.stand_in;
-    w.begin().key("Id").text(machine.id).key("Address").text(machine.address);
+    w.begin_object().key("Id").text(machine.id).key("Address").text(machine.address);
     w.key("Frame").text(machine.kind.type).key("Yard").text(machine.kind.zone);
     w.key("Loaners").flag(machine.kind.spot);
     w.key("Stance").text(reactor_.now() < worker.ready_at ? "booting" : "running");
-    w.key("HeldS").amount(reactor_.now() - machine.began).end();
+    w.key("HeldS").amount(reactor_.now() - machine.began).end_object();
     ++rows;
   }
-  w.list_end().key("HasNext").flag(next != workers_.end()).end();
+  w.end_array().key("HasNext").flag(next != workers_.end()).end_object();
   return answer(200, w.take());
 }
 
--- a/lab/run_report.cpp
+++ b/lab/run_report.cpp
@@ -18,12 +18,12 @@
 
 void write_percentiles(wire::JsonWriter& writer, const char* name, std::vector<double> values) {
   std::sort(values.begin(), values.end());
-  writer.key(name).begin().key("count").count(values.size());
+  writer.key(name).begin_object().key("count").count(values.size());
   for (const auto& [key, share] :
        {std::pair("least", 0.0), {"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"max", 1.0}}) {
     writer.key(key).amount(percentile(values, share));
   }
-  writer.end();
+  writer.end_object();
 }
 
 }  // namespace
@@ -73,34 +73,34 @@
 
 std::string Run::report() const {
   wire::JsonWriter writer;
-  writer.begin();
+  writer.begin_object();
   writer.key("kind").text("lab run with stand-ins on loopback").key("passed").flag(passed());
   writer.key("played_s").amount(plan_.settle_s + plan_.duration_s + plan_.drain_s);
   writer.key("teams").integer(plan_.teams).key("faults_played").integer(faults_played_);
   writer.key("seed").count(plan_.seed);
   if (fragments_) fragments_->report(writer);
-  writer.key("broken").begin();
+  writer.key("broken").begin_object();
   for (const auto& [rule, how] : rules_.broken) writer.key(rule).text(how);
-  writer.end();
+  writer.end_object();
   write_classes(writer);
   write_starts(writer);
   write_regions(writer);
   write_controllers(writer);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
 void Run::write_classes(wire::JsonWriter& writer) const {
-  writer.key("classes").begin();
+  writer.key("classes").begin_object();
   for (const auto& [name, counts] : counts_) {
-    writer.key(name).begin().key("submitted").integer(counts.submitted);
+    writer.key(name).begin_object().key("submitted").integer(counts.submitted);
     writer.key("accepted").integer(counts.accepted).key("done").integer(counts.done);
     writer.key("cancelled").integer(counts.cancelled);
     writer.key("task_starts").integer(counts.task_starts);
     write_percentiles(writer, "start_s", counts.start_s);
-    writer.end();
+    writer.end_object();
   }
-  writer.end();
+  writer.end_object();
 }
 
 void Run::write_starts(wire::JsonWriter& writer) const {
@@ -126,10 +126,10 @@
   write_percentiles(writer, "shortage_requests", requests);
   writer.key("teams_with_wrong_sums").integer(quotas_.teams_with_wrong_sums);
   writer.key("bytes_between_regions").count(controllers_.bytes_between_regions());
-  writer.key("regions").begin();
+  writer.key("regions").begin_object();
   for (const auto& region : regions_) {
     const auto& state = region->state();
-    writer.key(region->plan().name).begin().key("workers").integer(region->workers());
+    writer.key(region->plan().name).begin_object().key("workers").integer(region->workers());
     writer.key("state_requests").count(state.requests).key("state_writes").count(state.writes);
     writer.key("state_writes_refused").integer(state.refused_writes);
     writer.key("state_keys").count(state.values.size());
@@ -139,19 +139,23 @@
     writer.key("leases_ended").integer(region->ended_leases());
     const auto held = quotas_.held_gpus.find(region->plan().name);
     if (held != quotas_.held_gpus.end()) write_percentiles(writer, "share_gpus", held->second);
-    writer.end();
+    writer.end_object();
   }
-  writer.end();
+  writer.end_object();
 }
 
 void Run::write_controllers(wire::JsonWriter& writer) const {
-  writer.key("controllers").list();
+  writer.key("controllers").begin_array();
   for (const auto& usage : usage_) {
-    writer.begin().key("member").text(usage.member).key("led").flag(usage.led);
+    writer.begin_object().key("member").text(usage.member).key("led").flag(usage.led);
     writer.key("alive").flag(usage.alive).key("cpu_s").amount(usage.cpu_s);
-    writer.key("memory_mb").amount(usage.memory_mb).key("sockets").integer(usage.sockets).end();
+    writer.key("memory_mb")
+        .amount(usage.memory_mb)
+        .key("sockets")
+        .integer(usage.sockets)
+        .end_object();
   }
-  writer.list_end();
+  writer.end_array();
 }
 
 }  // namespace cranklock::lab
--- a/lab/settings.cpp
+++ b/lab/settings.cpp
@@ -170,13 +170,16 @@
                     {"state_write_rps", plan.state_write_rps, 1}});
   if (in.has("teams")) plan.teams = in.count("teams", 1);
   if (in.has("fd_limit")) plan.fd_limit = in.count("fd_limit", 32);
-  in.each("regions", [&](const TomlReader& one) { plan.regions.push_back(read_region(one)); });
+  in.for_each_table("regions",
+                    [&](const TomlReader& one) { plan.regions.push_back(read_region(one)); });
   if (plan.regions.empty()) in.fail("regions", "at least one region");
-  in.each("classes", [&](const TomlReader& one) { plan.classes.push_back(read_class(one)); });
+  in.for_each_table("classes",
+                    [&](const TomlReader& one) { plan.classes.push_back(read_class(one)); });
   if (in.has("seed")) plan.seed = static_cast<unsigned>(in.count("seed", 0));
   if (in.has("fragments")) plan.fragments = read_fragments(in.table("fragments"), plan);
   if (plan.classes.empty() && !plan.fragments) in.fail("classes", "at least one class");
-  in.each("faults", [&](const TomlReader& one) { plan.faults.push_back(read_fault(one, plan)); });
+  in.for_each_table("faults",
+                    [&](const TomlReader& one) { plan.faults.push_back(read_fault(one, plan)); });
   return plan;
 }
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// The daemon: reads the settings, wires the parts together and runs the loop.
+// Entry point of the daemon: loads the settings, constructs the components and runs the event loop.
 #include <ev.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -9,6 +9,7 @@
 #include <iostream>
 #include <optional>
 
+#include "base/event_log.hpp"
 #include "base/settings.hpp"
 #include "cloud/client.hpp"
 #include "control/node.hpp"
@@ -23,7 +24,7 @@
 
 using cranklock::base::Settings;
 
-void set_up_log() {
+void set_up_logging() {
   auto logger = spdlog::stderr_logger_st("cranklock");
   logger->set_pattern("%L %v");
   logger->flush_on(spdlog::level::trace);
@@ -37,27 +38,28 @@
 
 constexpr std::size_t kMiB = std::size_t{1024} * 1024;
 
-/// Bytes of an answer. A page of the state service holds up to 512 KiB, a watch's changes any
-/// number: what is too long is read page by page instead. Text, parsed tree and what is made of it
-/// stand side by side for a moment, some six times the text in all.
-std::size_t max_response(const Settings& settings) {
-  constexpr double kPartOfMemory = 1.0 / 16;
-  const auto part = static_cast<std::size_t>(settings.ram_mb * kPartOfMemory * kMiB);
-  return std::clamp(part, kMiB, 4 * kMiB);
+/// Limit for the body of a response. A page of the key-value store holds up to 512 KiB; the changes
+/// of a watch are unbounded and are read page by page if they exceed the limit. The text, the
+/// parsed JSON and the resulting records exist at the same time, together about six times the text.
+std::size_t max_response_bytes(const Settings& settings) {
+  constexpr double kMemoryShare = 1.0 / 16;
+  const auto share_bytes = static_cast<std::size_t>(settings.ram_mb * kMemoryShare * kMiB);
+  return std::clamp(share_bytes, kMiB, 4 * kMiB);
 }
 
-/// Bytes of all requests together that are being received or answered.
+/// Limit for the total size of all requests that are being received or answered.
 std::size_t max_request_bytes(const Settings& settings) {
-  constexpr double kPartOfMemory = 1.0 / 6;
-  return static_cast<std::size_t>(settings.ram_mb * kPartOfMemory * kMiB);
+  constexpr double kMemoryShare = 1.0 / 6;
+  return static_cast<std::size_t>(settings.ram_mb * kMemoryShare * kMiB);
 }
 
 int serve(const Settings& settings) {
   using namespace cranklock;
   net::EvReactor reactor;
-  // Of the sockets that are not public: a sixth and an eighth for calls, to workers for the most
-  // part, and the connections kept for them. The rest is for the other controllers.
-  net::HttpClient client(reactor, max_response(settings),
+  // Outgoing connections, most of them to agents, may use 7/24 of the file descriptors: a sixth for
+  // calls and an eighth for idle keep-alive connections. What the public connections and these
+  // leave is for the other controllers.
+  net::HttpClient client(reactor, max_response_bytes(settings),
                          static_cast<std::size_t>(settings.fd_limit) * 7 / 24);
   store::Client store(reactor, client, settings);
   cloud::Client cloud(reactor, client, settings);
@@ -65,13 +67,14 @@
   control::Node node(services);
 
   net::ServerLimits limits;
-  limits.connections = base::public_connections(settings);
+  limits.connections = base::max_public_connections(settings);
   limits.request_bytes = max_request_bytes(settings);
   limits.idle_s = 4 * settings.lease_s;
   net::HttpServer server(reactor, limits,
                          [&](net::Request request) { return node.handle(std::move(request)); });
   if (!server.listen(settings.listen)) {
-    spdlog::error("{} can't be listened on", settings.listen);
+    base::log_error("listen failed", base::field("setting", "listen"),
+                    base::field("address", settings.listen));
     return 1;
   }
   node.set_connection_load([&server] { return server.connection_load(); });
@@ -82,24 +85,26 @@
   node.set_send_frame(
       [&](const std::string& to, const peer::Frame& frame) { links.send(to, frame); });
   if (!links.listen()) {
-    spdlog::error("{} can't be listened on", settings.peer_listen);
+    base::log_error("listen failed", base::field("setting", "peer_listen"),
+                    base::field("address", settings.peer_listen));
     return 1;
   }
   std::optional<regions::Links> region_links;
-  if (settings.operators.regions.enabled()) {
+  if (settings.operator_settings.regions.enabled()) {
     region_links.emplace(
         reactor, settings, [&] { return node.leader_fencing_token(); },
         [&](const std::string& region, const regions::RegionFrame& frame) {
           node.on_region_frame(region, frame);
         });
     if (!region_links->listen()) {
-      spdlog::error("{} can't be listened on",
-                    settings.operators.regions.listen_address(settings.name));
+      base::log_error(
+          "listen failed", base::field("setting", "regions/region/controller/address"),
+          base::field("address", settings.operator_settings.regions.listen_address(settings.name)));
       return 1;
     }
     node.set_region_network(&*region_links);
   }
-  // Orderly end where the platform asks for one: the scope cancels every routine.
+  // SIGTERM and SIGINT stop the loop; the scope then cancels every coroutine.
   ev_signal on_term, on_int;
   const auto stop = [](struct ev_loop* loop, ev_signal*, int) { ev_break(loop, EVBREAK_ALL); };
   ev_signal_init(&on_term, stop, SIGTERM);
@@ -107,15 +112,16 @@
   ev_signal_start(reactor.raw(), &on_term);
   ev_signal_start(reactor.raw(), &on_int);
 
-  net::Scope routines;
-  routines.spawn(server.run());
-  node.start(routines);
-  routines.spawn(links.accept_connections());
-  for (const auto& other : settings.others) routines.spawn(links.maintain_link(other));
-  if (region_links) region_links->start(routines);
-  spdlog::info("{} listens on {}", settings.name, settings.listen);
+  net::Scope coroutines;
+  coroutines.spawn(server.run());
+  node.start(coroutines);
+  coroutines.spawn(links.accept_connections());
+  for (const auto& other : settings.others) coroutines.spawn(links.maintain_link(other));
+  if (region_links) region_links->start(coroutines);
+  base::log_info("controller started", base::field("member", settings.name),
+                 base::field("address", settings.listen));
   reactor.run();
-  spdlog::info("{} ends", settings.name);
+  base::log_info("controller stopped", base::field("member", settings.name));
   return 0;
 }
 
@@ -123,24 +129,24 @@
 
 int main(int argc, char** argv) {
   CLI::App app{"Schedules fleets that serve language models.", "cranklock"};
-  std::string config, operators;
-  bool check = false;
+  std::string toml_path, xml_path;
+  bool check_only = false;
   app.set_version_flag("--version", "cranklock 0.1.0");
-  app.add_option("--config", config, "the platform's settings (TOML)")->required();
-  app.add_option("--operator", operators, "the operator's own settings (XML)");
-  app.add_flag("--check", check, "check the settings and exit");
+  app.add_option("--config", toml_path, "the platform's settings (TOML)")->required();
+  app.add_option("--operator", xml_path, "the operator's own settings (XML)");
+  app.add_flag("--check", check_only, "check the settings and exit");
   CLI11_PARSE(app, argc, argv);
   Settings settings;
   try {
-    settings = cranklock::base::load_settings(config, operators);
+    settings = cranklock::base::load_settings(toml_path, xml_path);
   } catch (const cranklock::base::SettingsError& e) {
     std::cerr << e.what() << '\n';
     return 2;
   }
-  if (check) {
+  if (check_only) {
     std::cout << "the settings are valid\n";
     return 0;
   }
-  set_up_log();
+  set_up_logging();
   return serve(settings);
 }
--- a/src/base/defrag_settings.cpp
+++ b/src/base/defrag_settings.cpp
@@ -30,7 +30,7 @@
   return value == "on";
 }
 
-/// "http://host:port/path".
+/// Parses "http://host:port/path".
 DrainEndpoint read_endpoint(const pugi::xml_attribute& attribute, const std::string& path) {
   constexpr std::string_view kScheme = "http://", kExpected = "http://host:port/path";
   std::string_view url = attribute.value();
@@ -38,15 +38,15 @@
   url.remove_prefix(kScheme.size());
   const auto slash = url.find('/');
   const auto colon = url.substr(0, slash).rfind(':');
-  const bool whole = slash != std::string_view::npos && colon != std::string_view::npos;
-  if (!whole || colon == 0 || url.find(' ') != std::string_view::npos) {
+  const bool has_port_and_path = slash != std::string_view::npos && colon != std::string_view::npos;
+  if (!has_port_and_path || colon == 0 || url.find(' ') != std::string_view::npos) {
     fail(path, attribute, std::string(kExpected));
   }
-  const std::string port(url.substr(colon + 1, slash - colon - 1));
+  const std::string port_text(url.substr(colon + 1, slash - colon - 1));
   char* end = nullptr;
-  const long number = std::strtol(port.c_str(), &end, 10);
+  const long port = std::strtol(port_text.c_str(), &end, 10);
   constexpr long kMaxPort = 65535;
-  if (port.empty() || *end != 0 || number < 1 || number > kMaxPort) {
+  if (port_text.empty() || *end != 0 || port < 1 || port > kMaxPort) {
     fail(path, attribute, std::string(kExpected));
   }
   return {std::string(url.substr(0, slash)), std::string(url.substr(slash))};
@@ -68,7 +68,7 @@
       fail(path, attribute, "a known attribute");
     }
   }
-  if (settings.drain.named() && !settings.moves) {
+  if (settings.drain.is_configured() && !settings.moves) {
     throw SettingsError(path + ": defrag/moves: expected on, where drain is named");
   }
   return settings;
--- a/src/base/defrag_settings.hpp
+++ b/src/base/defrag_settings.hpp
@@ -1,4 +1,5 @@
-// What the operator allows of moves around fragments (docs/defragmentation.md).
+// Settings of defragmentation: whether tasks may be moved to join fragmented free capacity
+// (docs/defragmentation.md).
 #pragma once
 
 #include <string>
@@ -9,22 +10,22 @@
 
 namespace cranklock::base {
 
-/// Where a router is asked to drain replicas. Empty where the operator names none.
+/// Endpoint of the router that drains replicas. Empty if the operator has configured none.
 struct DrainEndpoint {
   std::string address;  ///< "10.0.0.9:8080"
   std::string path;     ///< "/drains"
 
-  bool named() const { return !address.empty(); }
+  bool is_configured() const { return !address.empty(); }
 };
 
 struct DefragSettings {
-  double advise_every_s = 0;  ///< between two looks for moves that are only logged; 0: none
-  bool moves = false;         ///< plans are carried out
-  DrainEndpoint drain;        ///< replicas move only where it is named
+  double advise_every_s = 0;  ///< interval of searches whose moves are only logged; 0: no search
+  bool moves = false;         ///< whether plans are executed, not only logged
+  DrainEndpoint drain;        ///< replicas are moved only if it is configured
 };
 
-/// Reads `<defrag advise_every_s moves drain/>`. Throws SettingsError naming `path`, the field and
-/// what was expected.
+/// Reads `<defrag advise_every_s moves drain/>`. Throws SettingsError that names `path`, the field
+/// and the expected value.
 DefragSettings read_defrag_settings(const pugi::xml_node& element, const std::string& path);
 
 }  // namespace cranklock::base
--- a/src/base/event_log.cpp
+++ b/src/base/event_log.cpp
@@ -17,14 +17,14 @@
 
 std::optional<std::string> read_log_field(std::string_view line, std::string_view event,
                                           std::string_view key) {
-  const auto event_at = line.find(event);
-  if (event_at == std::string_view::npos) return std::nullopt;
-  const std::string_view fields = line.substr(event_at + event.size());
+  const auto event_begin = line.find(event);
+  if (event_begin == std::string_view::npos) return std::nullopt;
+  const std::string_view fields = line.substr(event_begin + event.size());
   if (!fields.empty() && fields.front() != ' ') return std::nullopt;
-  const std::string name = " " + std::string(key) + "=";
-  const auto key_at = fields.find(name);
-  if (key_at == std::string_view::npos) return std::nullopt;
-  std::string_view value = fields.substr(key_at + name.size());
+  const std::string key_prefix = " " + std::string(key) + "=";
+  const auto key_begin = fields.find(key_prefix);
+  if (key_begin == std::string_view::npos) return std::nullopt;
+  std::string_view value = fields.substr(key_begin + key_prefix.size());
   if (value.starts_with('"')) {
     value.remove_prefix(1);
     return std::string(value.substr(0, value.find('"')));
--- a/src/base/event_log.hpp
+++ b/src/base/event_log.hpp
@@ -1,5 +1,5 @@
-// The form of log lines: the event first, then its fields as `key=value` in a fixed order.
-// docs/oncall.md lists the events that an operator may meet.
+// Structured log lines: the event, followed by its fields as `key=value` in a fixed order.
+// docs/oncall.md lists the events that matter to operators.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -11,14 +11,15 @@
 
 namespace cranklock::base {
 
-/// One field of a log line. It refers to its value, which is formatted only if the line is written.
+/// One field of a log line. Holds a reference to the value, which is formatted only if the line is
+/// written.
 template <typename Value>
 struct LogField {
   std::string_view key;
   const Value& value;
 };
 
-/// Names a field of a log line; keys are the glossary's terms in snake_case.
+/// Makes a field of a log line. Keys are terms of the glossary in snake_case.
 template <typename Value>
 LogField<Value> field(std::string_view key, const Value& value) {
   return {key, value};
@@ -26,7 +27,8 @@
 
 namespace detail {
 
-/// Text with blanks, quotes or nothing in it is quoted, so that a line splits at its blanks.
+/// Appends text; quotes it if it is empty or contains a space, a double quote or an equals sign, so
+/// that a line can be split at unquoted spaces.
 void append_text(std::string& line, std::string_view text);
 
 template <typename Value>
@@ -51,7 +53,7 @@
   return line;
 }
 
-/// Writes a log line if its level is enabled; formats nothing otherwise.
+/// Writes a log line if its level is enabled; otherwise formats nothing.
 template <typename... Values>
 void log_event(spdlog::level::level_enum level, std::string_view event,
                const LogField<Values>&... fields) {
@@ -72,12 +74,12 @@
   log_event(spdlog::level::err, event, fields...);
 }
 
-/// The value of a field of a line of this event, unquoted; none if the line, as it stands in a log
-/// file behind its time and level, is of another event or has no such field.
+/// Returns the unquoted value of a field from a line of a log file, which may begin with a time and
+/// a level; none if the line is of another event or lacks the field.
 std::optional<std::string> read_log_field(std::string_view line, std::string_view event,
                                           std::string_view key);
 
-/// Events that programs read, which therefore stand in one place.
+/// Events that programs read, defined once for writers and readers.
 inline constexpr std::string_view kLeadershipServing = "leadership serving";
 inline constexpr std::string_view kQuotaShortageOver = "quota shortage over";
 inline constexpr std::string_view kPlanBegun = "plan begun";
--- a/src/base/event_rate.hpp
+++ b/src/base/event_rate.hpp
@@ -1,36 +1,37 @@
-// How often something happens.
+// Rate of events over fixed windows.
 #pragma once
 
 namespace cranklock::base {
 
-/// Events per second, measured over one window after another. Until the first window is over the
-/// rate is 0.
+/// Measures events per second over consecutive windows. The rate is 0 until the first window has
+/// ended.
 class EventRate {
  public:
   explicit EventRate(double window_s) : window_s_(window_s) {}
 
-  /// An event at this time on the steady clock; times must not go back.
-  void note(double now) {
-    close_window(now);
+  /// Records an event. `now`: steady clock in seconds, never less than in an earlier call.
+  void record(double now) {
+    close_elapsed_window(now);
     ++count_;
   }
-  /// The rate of the last full window, or 0 when nothing happened since.
+  /// Returns the rate of the last completed window; 0 if that window ended a full window ago or
+  /// more.
   double per_second(double now) {
-    close_window(now);
+    close_elapsed_window(now);
     return rate_;
   }
 
  private:
-  void close_window(double now) {
-    const double elapsed = now - window_began_;
+  void close_elapsed_window(double now) {
+    const double elapsed = now - window_start_;
     if (elapsed < window_s_) return;
     rate_ = elapsed < 2 * window_s_ ? count_ / elapsed : 0;
     count_ = 0;
-    window_began_ = now;
+    window_start_ = now;
   }
 
   double window_s_;
-  double window_began_ = 0;
+  double window_start_ = 0;
   double rate_ = 0;
   int count_ = 0;
 };
--- a/src/base/recent_map.hpp
+++ b/src/base/recent_map.hpp
@@ -1,4 +1,4 @@
-// A map of bounded size that forgets what was written longest ago.
+// Map of bounded size that evicts the least recently written entry.
 #pragma once
 
 #include <cstddef>
@@ -9,18 +9,17 @@
 
 namespace cranklock::base {
 
-/// Values by name, at most `capacity` of them. Writing a value makes its name the newest; when
-/// there is no room for one more, the oldest name is forgotten and no other. So what one name costs
-/// a full cache is one forgotten value, never all of them.
+/// Holds at most `capacity` values by name. Writing a value makes its entry the newest. A new name
+/// in a full map evicts the oldest entry alone, so that one more name never clears the whole cache.
 template <typename Value>
 class RecentMap {
  public:
   explicit RecentMap(std::size_t capacity) : capacity_(capacity) {}
 
   void put(const std::string& name, Value value) {
-    if (const auto known = by_name_.find(name); known != by_name_.end()) {
-      known->second->value = std::move(value);
-      entries_.splice(entries_.end(), entries_, known->second);
+    if (const auto found = by_name_.find(name); found != by_name_.end()) {
+      found->second->value = std::move(value);
+      entries_.splice(entries_.end(), entries_, found->second);
       return;
     }
     if (by_name_.size() >= capacity_) {
@@ -31,10 +30,10 @@
     by_name_.emplace(name, std::prev(entries_.end()));
   }
 
-  /// Null when the name was never written, or has been forgotten.
+  /// Returns null if the name was never written or its entry has been evicted.
   const Value* find(const std::string& name) const {
-    const auto known = by_name_.find(name);
-    return known == by_name_.end() ? nullptr : &known->second->value;
+    const auto found = by_name_.find(name);
+    return found == by_name_.end() ? nullptr : &found->second->value;
   }
 
   std::size_t size() const { return by_name_.size(); }
--- a/src/base/region_settings.cpp
+++ b/src/base/region_settings.cpp
@@ -11,17 +11,17 @@
 namespace cranklock::base {
 namespace {
 
-constexpr std::size_t kMaxRegionName = 64;  // the most that a frame holds
-constexpr double kSlack = 1e-9;             // sums of decimal fractions
+constexpr std::size_t kMaxRegionNameBytes = 64;  // limit of names in frames (peer/packing.hpp)
+constexpr double kSumTolerance = 1e-9;           // rounding of sums of decimal fractions
 
 [[noreturn]] void fail(const std::string& path, const std::string& field,
                        const std::string& expected) {
   throw SettingsError(path + ": " + field + ": expected " + expected);
 }
 
-/// Names become parts of keys in the state service.
+/// Names become parts of keys in the key-value store.
 bool valid_name(std::string_view name) {
-  return !name.empty() && name.size() <= kMaxRegionName &&
+  return !name.empty() && name.size() <= kMaxRegionNameBytes &&
          std::all_of(name.begin(), name.end(), [](char c) {
            return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
                   c == '-' || c == '_' || c == '.';
@@ -86,7 +86,7 @@
   return region;
 }
 
-void check_whole(const RegionSettings& settings, const std::string& path) {
+void check_consistency(const RegionSettings& settings, const std::string& path) {
   if (settings.regions.empty()) fail(path, "regions", "at least one region");
   if (settings.find(settings.self) == nullptr) fail(path, "regions/self", "one of the regions");
   if (settings.find(settings.bootstrap_region) == nullptr) {
@@ -94,7 +94,7 @@
   }
   double sum = 0;
   for (const auto& region : settings.regions) sum += region.initial_share;
-  if (sum > 1 + kSlack) fail(path, "region/share", "shares that add up to at most 1");
+  if (sum > 1 + kSumTolerance) fail(path, "region/share", "shares that add up to at most 1");
 }
 
 }  // namespace
@@ -130,7 +130,7 @@
     }
     settings.regions.push_back(std::move(region));
   }
-  check_whole(settings, path);
+  check_consistency(settings, path);
   return settings;
 }
 
--- a/src/base/region_settings.hpp
+++ b/src/base/region_settings.hpp
@@ -1,4 +1,4 @@
-// Which regions serve the same teams, as the operator's XML names them.
+// Settings of the regions that share team quotas, from the operator's XML.
 #pragma once
 
 #include <string>
@@ -10,35 +10,37 @@
 
 namespace cranklock::base {
 
-/// One controller of a region, and where leaders of other regions reach it ("10.0.0.1:7300").
+/// A controller of a region and the address at which leaders of other regions connect to it
+/// ("10.0.0.1:7300").
 struct RegionController {
   std::string member, address;
 };
 
 struct Region {
   std::string name;
-  /// Part of each team's guarantee and limit that the bootstrap region gives it at first, from 0
-  /// to 1. A region that is added later has 0 and asks for what it needs.
+  /// Share (0 to 1) of each team's guarantee and limit that the bootstrap region assigns to this
+  /// region initially. A region that is added later has 0 and requests the quota it needs.
   double initial_share = 0;
   std::vector<RegionController> controllers;
 };
 
-/// Empty unless the operator's XML names regions; then team limits are shared between them
-/// (docs/regions.md).
+/// Regions of the operator's XML, which share the team limits (docs/regions.md). Empty if the XML
+/// has none.
 struct RegionSettings {
-  std::string self;              ///< the region of this controller
-  std::string bootstrap_region;  ///< the only one that ever makes quotas out of the teams' limits
+  std::string self;              ///< region of this controller
+  std::string bootstrap_region;  ///< the only region that creates quota from the teams' limits
   std::vector<Region> regions;
 
   bool enabled() const { return !regions.empty(); }
-  /// Nullptr when no region has this name.
+  /// Returns nullptr if no region has this name.
   const Region* find(const std::string& name) const;
-  /// Where this controller listens for other regions; empty when its own region does not list it.
+  /// Address at which the given controller of this region accepts connections of other regions;
+  /// empty if this region does not list it.
   std::string listen_address(const std::string& member) const;
 };
 
 /// Reads `<regions self bootstrap region><region name quota><controller member address/>...`.
-/// Throws SettingsError naming `path`, the field and what was expected.
+/// Throws SettingsError that names `path`, the field and the expected value.
 RegionSettings read_region_settings(const pugi::xml_node& element, const std::string& path);
 
 }  // namespace cranklock::base
--- a/src/base/result.hpp
+++ b/src/base/result.hpp
@@ -1,5 +1,5 @@
-// A value, or the typed reason why there is none. The shape of C++23's std::expected, which the
-// compiler in service does not have yet.
+// Either a value or a typed error. Similar to std::expected of C++23, which the project's C++20
+// compilers lack.
 #pragma once
 
 #include <utility>
@@ -7,21 +7,21 @@
 
 namespace cranklock::base {
 
-/// Wraps an error, so that a function with a Result can return it: `return Failure(error)`.
+/// Wraps an error so that a function that returns a Result can return it: `return Failure(error)`.
 template <typename Error>
 struct Failure {
   explicit Failure(Error reason) : error(std::move(reason)) {}
   Error error;
 };
 
-/// Holds a Value or an Error. Reading the one that it does not hold is a defect and throws
-/// std::bad_variant_access.
+/// Holds a Value or an Error. Reading the alternative that it does not hold is a programming error
+/// and throws std::bad_variant_access.
 template <typename Value, typename Error>
 class [[nodiscard]] Result {
  public:
-  // NOLINTNEXTLINE(google-explicit-constructor): `return value` is what callers write.
+  // NOLINTNEXTLINE(google-explicit-constructor): allows `return value`.
   Result(Value value) : content_(std::in_place_index<0>, std::move(value)) {}
-  // NOLINTNEXTLINE(google-explicit-constructor): likewise `return Failure(error)`.
+  // NOLINTNEXTLINE(google-explicit-constructor): allows `return Failure(error)`.
   Result(Failure<Error> failure) : content_(std::in_place_index<1>, std::move(failure.error)) {}
 
   bool has_value() const { return content_.index() == 0; }
--- a/src/base/toml_reader.hpp
+++ b/src/base/toml_reader.hpp
@@ -1,4 +1,4 @@
-// Checked reading of TOML files.
+// Reads TOML files with validation of the fields.
 #pragma once
 
 #include <toml++/toml.h>
@@ -13,7 +13,7 @@
 
 namespace cranklock::base {
 
-/// Throws SettingsError with the line where the file is not TOML.
+/// Throws SettingsError with the line of the first syntax error.
 inline toml::table parse_toml(const std::string& path) {
   try {
     return toml::parse_file(path);
@@ -23,8 +23,8 @@
   }
 }
 
-/// Reads the fields of a table. What is missing or wrong ends in a SettingsError that names the
-/// file, the field with the tables around it, and what was expected.
+/// Reads the fields of a table. A missing or invalid field throws a SettingsError that names the
+/// file, the full path of the field and the expected value.
 class TomlReader {
  public:
   TomlReader(const toml::table& table, std::string file, std::string prefix)
@@ -34,58 +34,60 @@
     throw SettingsError(file_ + ": " + prefix_ + field + ": expected " + expected);
   }
   std::string text(const char* field) const {
-    const auto v = table_[field].value_exact<std::string>();
-    if (!v || v->empty()) fail(field, "a non-empty string");
-    return *v;
+    const auto value = table_[field].value_exact<std::string>();
+    if (!value || value->empty()) fail(field, "a non-empty string");
+    return *value;
   }
-  double number(const char* field, double least, bool above = false) const {
-    const auto v = table_[field].value<double>();
-    if (!v || *v < least || (above && *v <= least)) {
-      fail(field,
-           std::string("a number ") + (above ? "above " : "of at least ") + std::to_string(least));
+  /// `exclusive`: the value must be above `min`, not equal to it.
+  double number(const char* field, double min, bool exclusive = false) const {
+    const auto value = table_[field].value<double>();
+    if (!value || *value < min || (exclusive && *value <= min)) {
+      fail(field, std::string("a number ") + (exclusive ? "above " : "of at least ") +
+                      std::to_string(min));
     }
-    return *v;
+    return *value;
   }
-  int count(const char* field, int least) const {
-    const auto v = table_[field].value<std::int64_t>();
-    if (!v || *v < least || *v > 1'000'000'000) {
-      fail(field, "a whole number of at least " + std::to_string(least));
+  int count(const char* field, int min) const {
+    const auto value = table_[field].value<std::int64_t>();
+    if (!value || *value < min || *value > 1'000'000'000) {
+      fail(field, "a whole number of at least " + std::to_string(min));
     }
-    return static_cast<int>(*v);
+    return static_cast<int>(*value);
   }
   bool flag(const char* field) const {
-    const auto v = table_[field].value_exact<bool>();
-    if (!v) fail(field, "true or false");
-    return *v;
+    const auto value = table_[field].value_exact<bool>();
+    if (!value) fail(field, "true or false");
+    return *value;
   }
   TomlReader table(const char* field) const {
-    const auto* t = table_[field].as_table();
-    if (t == nullptr) fail(field, "a table");
-    return {*t, file_, prefix_ + field + "."};
+    const auto* table = table_[field].as_table();
+    if (table == nullptr) fail(field, "a table");
+    return {*table, file_, prefix_ + field + "."};
   }
-  void each(const char* field, const std::function<void(const TomlReader&)>& use) const {
+  /// Calls `read` for each table of an optional list of tables.
+  void for_each_table(const char* field, const std::function<void(const TomlReader&)>& read) const {
     const auto node = table_[field];
     if (!node) return;
     const auto* list = node.as_array();
     if (list == nullptr) fail(field, "a list of tables");
     int index = 0;
     for (const auto& item : *list) {
-      const auto* t = item.as_table();
-      const std::string here = std::string(field) + "[" + std::to_string(index++) + "]";
-      if (t == nullptr) fail(here, "a table");
-      use(TomlReader(*t, file_, prefix_ + here + "."));
+      const auto* table = item.as_table();
+      const std::string item_path = std::string(field) + "[" + std::to_string(index++) + "]";
+      if (table == nullptr) fail(item_path, "a table");
+      read(TomlReader(*table, file_, prefix_ + item_path + "."));
     }
   }
   std::vector<std::string> texts(const char* field) const {
     const auto* list = table_[field].as_array();
     if (list == nullptr) fail(field, "a list of strings");
-    std::vector<std::string> out;
+    std::vector<std::string> values;
     for (const auto& item : *list) {
-      const auto v = item.value_exact<std::string>();
-      if (!v) fail(field, "a list of strings");
-      out.push_back(*v);
+      const auto value = item.value_exact<std::string>();
+      if (!value) fail(field, "a list of strings");
+      values.push_back(*value);
     }
-    return out;
+    return values;
   }
   bool has(const char* field) const { return static_cast<bool>(table_[field]); }
 
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -16,16 +16,16 @@
       other_limit_(reactor, settings.cloud_rps / 2) {}
 
 net::Task<net::Reply> Client::send(net::Request request, net::TokenBucket& limit) {
-  for (double wait = 0; (wait = limit.take(1)) > 0;) {
-    net::Sleep pause(reactor_, wait);
+  for (double wait_s = 0; (wait_s = limit.take(1)) > 0;) {
+    net::Sleep pause(reactor_, wait_s);
     co_await pause;
   }
-  auto calling = transport_.call(settings_.cloud, std::move(request), kTimeoutS);
+  auto calling = transport_.call(settings_.cloud_address, std::move(request), kTimeoutS);
   auto reply = co_await calling;
   co_return reply;
 }
 
-net::Task<std::optional<std::vector<wire::MachineType>>> Client::types() {
+net::Task<std::optional<std::vector<wire::MachineType>>> Client::machine_types() {
   net::Request request{"GET", "/machine_types", "", "", true};
   auto sending = send(std::move(request), other_limit_);
   const auto reply = co_await sending;
@@ -34,7 +34,7 @@
 }
 
 namespace {
-ScaleOutResult scale_out_result(const net::Reply& reply) {
+ScaleOutResult to_scale_out_result(const net::Reply& reply) {
   using Kind = ScaleOutResult::Kind;
   if (reply.kind == net::Reply::Kind::not_sent) return {Kind::rejected, {}};
   switch (reply.status()) {
@@ -48,8 +48,8 @@
     case 429:
       return {Kind::rejected, {}};
     case 503: {
-      const bool trouble = reply.response.body.find("trouble") != std::string::npos;
-      return {trouble ? Kind::rejected : Kind::no_capacity, {}};
+      const bool faulty = reply.response.body.find("trouble") != std::string::npos;
+      return {faulty ? Kind::rejected : Kind::no_capacity, {}};
     }
     default:
       return {Kind::indeterminate, {}};
@@ -61,10 +61,10 @@
   net::Request http_request{"POST", "/rentals", "", wire::scale_out_request(request), true};
   auto sending = send(std::move(http_request), scale_out_limit_);
   const auto reply = co_await sending;
-  co_return scale_out_result(reply);
+  co_return to_scale_out_result(reply);
 }
 
-net::Task<DeletionResult> Client::remove(std::vector<std::string> machines) {
+net::Task<DeletionResult> Client::delete_machines(std::vector<std::string> machines) {
   net::Request request{"POST", "/rentals/delete", "", wire::deletion_request(machines), true};
   auto sending = send(std::move(request), other_limit_);
   const auto reply = co_await sending;
@@ -72,20 +72,21 @@
   co_return reply.status() == 400 ? DeletionResult::rejected : DeletionResult::indeterminate;
 }
 
-double Client::list_interval(const base::Settings& settings, std::size_t machines) {
-  constexpr double kMinS = 1.0;
-  constexpr double kListShare = 0.5;  // of the calls for other things than scale-out requests
+double Client::list_interval_s(const base::Settings& settings, std::size_t machines) {
+  constexpr double kMinIntervalS = 1.0;
+  constexpr double kListShare = 0.5;  // of the calls that are not scale-out requests
   const double calls_per_s = settings.cloud_rps / 2 * kListShare;
-  const std::size_t pages = 1 + machines / kMaxListed;
-  return std::max({settings.list_lag_s / 4, kMinS, static_cast<double>(pages) / calls_per_s});
+  const std::size_t pages = 1 + machines / kMaxMachinesPerPage;
+  return std::max(
+      {settings.list_lag_s / 4, kMinIntervalS, static_cast<double>(pages) / calls_per_s});
 }
 
-net::Task<std::optional<std::vector<wire::ListedMachine>>> Client::list() {
+net::Task<std::optional<std::vector<wire::ListedMachine>>> Client::list_machines() {
   std::vector<wire::ListedMachine> all;
   for (;;) {
-    net::Request request{"GET", "/rentals",
-                         wire::machine_page_query(all.empty() ? "" : all.back().id, kMaxListed), "",
-                         true};
+    net::Request request{
+        "GET", "/rentals",
+        wire::machine_page_query(all.empty() ? "" : all.back().id, kMaxMachinesPerPage), "", true};
     auto sending = send(std::move(request), other_limit_);
     const auto reply = co_await sending;
     if (reply.status() != 200) co_return std::nullopt;
--- a/src/control/agent_redirector.cpp
+++ b/src/control/agent_redirector.cpp
@@ -20,7 +20,7 @@
   constexpr double kMaxProcessorShare = 0.1;  // of this controller's own
   constexpr double kPacketsPerHeartbeat = 2;  // the heartbeat and its response
   const double cost = direct_heartbeats_.per_second(services_.reactor.now()) *
-                      kPacketsPerHeartbeat * base::kPacketCost;
+                      kPacketsPerHeartbeat * base::kCpuSecondsPerPacket;
   return cost > kMaxProcessorShare * services_.settings.core_share || connections_overloaded();
 }
 
@@ -37,7 +37,7 @@
 
 // The controllers of the zone; all others, where the zone has none.
 std::vector<const base::Peer*> AgentRedirector::possible_forwarders(const std::string& zone) const {
-  const bool any = !services_.settings.has_node(zone);
+  const bool any = !services_.settings.has_controller_in(zone);
   std::vector<const base::Peer*> forwarders;
   for (const auto& other : services_.settings.others) {
     if (any || other.zone == zone) forwarders.push_back(&other);
@@ -47,7 +47,8 @@
 
 std::string AgentRedirector::redirect(const wire::Heartbeat& heartbeat, HeartbeatHandler& handler) {
   const auto& settings = services_.settings;
-  const bool may_stay = heartbeat.zone == settings.zone || !settings.has_node(heartbeat.zone);
+  const bool may_stay =
+      heartbeat.zone == settings.zone || !settings.has_controller_in(heartbeat.zone);
   const double now = services_.reactor.now();
   if (may_stay && (now < next_redirect_at_ || !overloaded())) return {};
   const auto forwarders = possible_forwarders(heartbeat.zone);
--- a/src/control/agent_redirector.hpp
+++ b/src/control/agent_redirector.hpp
@@ -28,7 +28,7 @@
   bool connections_overloaded() const;
 
   /// Counts a heartbeat that came straight to this controller as the leader.
-  void note_direct_heartbeat() { direct_heartbeats_.note(services_.reactor.now()); }
+  void note_direct_heartbeat() { direct_heartbeats_.record(services_.reactor.now()); }
   /// The forwarder that the agent is to send its heartbeats to from now on; empty: it stays.
   std::string redirect(const wire::Heartbeat& heartbeat, HeartbeatHandler& handler);
 
--- a/src/control/cloud_inventory.cpp
+++ b/src/control/cloud_inventory.cpp
@@ -14,7 +14,7 @@
 
 Task<void> CloudInventory::follow_types() {
   for (;;) {
-    auto reading = context_.services.cloud.types();
+    auto reading = context_.services.cloud.machine_types();
     auto types = co_await reading;
     if (types && !types->empty()) {
       context_.cluster.set_types(std::move(*types));
@@ -30,12 +30,12 @@
 
 Task<void> CloudInventory::follow_list() {
   for (;;) {
-    auto reading = context_.services.cloud.list();
+    auto reading = context_.services.cloud.list_machines();
     const auto listed_machines = co_await reading;
     if (listed_machines) apply_list(*listed_machines);
     const auto known = context_.cluster.machines().size();
     Sleep pause(context_.services.reactor,
-                cloud::Client::list_interval(context_.services.settings, known));
+                cloud::Client::list_interval_s(context_.services.settings, known));
     co_await pause;
   }
 }
--- a/src/control/decision_loop.cpp
+++ b/src/control/decision_loop.cpp
@@ -17,7 +17,7 @@
 
 DecisionLoop::DecisionLoop(const LeaderContext& context, Parts parts)
     : context_(context), parts_(parts) {
-  const double advise_every_s = context.services.settings.operators.defrag.advise_every_s;
+  const double advise_every_s = context.services.settings.operator_settings.defrag.advise_every_s;
   if (advise_every_s > 0) {
     advisor_ = std::make_unique<defrag::Advisor>(context.cluster, advise_every_s);
   }
--- a/src/control/feasibility.cpp
+++ b/src/control/feasibility.cpp
@@ -40,7 +40,7 @@
 std::optional<Infeasibility> find_infeasibility(const JobSpec& spec, const base::Settings& settings,
                                                 const std::vector<MachineType>& types) {
   if (contains(spec.dependencies, spec.id)) return Infeasibility::depends_on_itself;
-  const base::Team* team = settings.team(spec.team);
+  const base::Team* team = settings.find_team(spec.team);
   if (team == nullptr) return Infeasibility::unknown_team;
   const bool has_machine_type = std::any_of(
       types.begin(), types.end(), [&](const MachineType& type) { return allows(spec, type); });
--- a/src/control/heartbeat_forwarder.cpp
+++ b/src/control/heartbeat_forwarder.cpp
@@ -36,7 +36,7 @@
   if (delegate_responded_at_ < 0) return;
   const double age_ms = (reactor_.now() - delegate_responded_at_) * kMsPerSecond;
   peer_heartbeat.delegate_responded_ms =
-      static_cast<std::uint32_t>(std::min(age_ms, peer::kNever - 1.0));
+      static_cast<std::uint32_t>(std::min(age_ms, peer::kNeverMs - 1.0));
 }
 
 bool HeartbeatForwarder::reaches_leader() const {
@@ -66,7 +66,7 @@
 
 // Whether the agent's zone is not ours and has controllers of its own to forward for it.
 bool HeartbeatForwarder::has_other_controllers(const wire::Heartbeat& heartbeat) const {
-  return heartbeat.zone != settings_.zone && settings_.has_node(heartbeat.zone);
+  return heartbeat.zone != settings_.zone && settings_.has_controller_in(heartbeat.zone);
 }
 
 HeartbeatForwarder::Visit HeartbeatForwarder::last_visit(const std::string& machine) const {
--- a/src/control/heartbeat_handler.cpp
+++ b/src/control/heartbeat_handler.cpp
@@ -120,7 +120,7 @@
                    HeartbeatForwarder::leader_timeout(settings) * kCountedOn;
   }
   double responded_at = kNever;
-  if (peer_heartbeat.delegate_responded_ms != peer::kNever) {
+  if (peer_heartbeat.delegate_responded_ms != peer::kNeverMs) {
     responded_at = now - peer_heartbeat.delegate_responded_ms / 1000.0;
   }
   context_.cluster.record_forwarder(peer_heartbeat.name, peer_heartbeat.incarnation, silent_until,
--- a/src/control/heartbeat_router.cpp
+++ b/src/control/heartbeat_router.cpp
@@ -32,7 +32,7 @@
 
 void HeartbeatRouter::describe(peer::PeerHeartbeat& peer_heartbeat) const {
   const double max_age = 2 * services_.settings.heartbeat_interval_s;
-  peer_heartbeat.hears_workers = services_.reactor.now() - last_heartbeat_at_ < max_age;
+  peer_heartbeat.receives_heartbeats = services_.reactor.now() - last_heartbeat_at_ < max_age;
   forwarder_.describe(peer_heartbeat);
 }
 
--- a/src/control/job_record.cpp
+++ b/src/control/job_record.cpp
@@ -81,14 +81,14 @@
 /// The main value without its lists and its closing brace.
 std::string begin_main_value(const sched::Job& job) {
   JsonWriter writer;
-  writer.begin().key(job.spec.dependencies.empty() ? kSpecField : kDependentSpecField);
+  writer.begin_object().key(job.spec.dependencies.empty() ? kSpecField : kDependentSpecField);
   wire::write_job(writer, job.spec);
   writer.key(kCreatedField).integer(job.created_ms);
   writer.key(kCancelledField).integer(job.cancelled_at_ms);
   writer.key(kLastAttemptField).count(job.last_attempt);
   // The revision that a write is conditional on identifies it: one write succeeds for each.
   writer.key(kGenerationField).count(job.record.revision);
-  writer.end();
+  writer.end_object();
   std::string value = writer.take();
   value.pop_back();
   return value;
--- a/src/control/leader_election.cpp
+++ b/src/control/leader_election.cpp
@@ -187,7 +187,7 @@
 // controller that hears neither agents nor peers has itself lost the network.
 bool LeaderElection::is_cut_off_from_agents() const {
   if (!term_->agents_silent() || services_.settings.others.empty()) return false;
-  if (roster_.any_hears_workers(now())) return true;
+  if (roster_.any_receives_heartbeats(now())) return true;
   return !roster_.any_alive(now()) && !term_->cluster().machines().empty();
 }
 
--- a/src/control/leader_lease.hpp
+++ b/src/control/leader_lease.hpp
@@ -61,7 +61,7 @@
   /// lease that outlasts the promise of a cancellation which this leader has not heard of
   /// (invariant 6; the bound is shown in docs/design.md, "What a cancellation can count on").
   bool may_respond(double now) const { return now < may_respond_until(); }
-  double may_respond_until() const { return known_until() + base::response_span(settings_); }
+  double may_respond_until() const { return known_until() + base::response_window_s(settings_); }
   /// Machines with tasks of cancelled jobs may be deleted: nothing has lately told that another may
   /// be the leader. Guards against a process that was held up for longer than the life of the
   /// lease, which has to renew first, since renewals are sent several times in that life (invariant
@@ -72,7 +72,7 @@
   static constexpr double kNever = -1e9;
 
   /// The life of the lease, less what two clocks may drift apart.
-  double validity() const { return lease_life(settings_) * (1 - 2 * base::kClockDrift); }
+  double validity() const { return lease_life(settings_) * (1 - 2 * base::kMaxClockDrift); }
   /// Until when it is known both who the leader is and what was cancelled.
   double known_until() const { return std::min(confirmed_sent_, caught_up_sent_); }
 
--- a/src/control/leader_term.cpp
+++ b/src/control/leader_term.cpp
@@ -43,7 +43,7 @@
 }
 
 std::unique_ptr<MoveService> LeaderTerm::make_moves() {
-  if (!context_.services.settings.operators.defrag.moves) return nullptr;
+  if (!context_.services.settings.operator_settings.defrag.moves) return nullptr;
   return std::make_unique<MoveService>(context_);
 }
 
--- a/src/control/machine_deleter.cpp
+++ b/src/control/machine_deleter.cpp
@@ -91,7 +91,7 @@
     const auto batch = next_batch();
     if (batch.empty()) continue;
     const bool is_full = batch.size() == max_batch_;
-    auto deleting = context_.services.cloud.remove(batch);
+    auto deleting = context_.services.cloud.delete_machines(batch);
     const auto result = co_await deleting;
     handle_result(batch, result);
     if (result == DeletionResult::deleted) {
--- a/src/control/machine_supervisor.cpp
+++ b/src/control/machine_supervisor.cpp
@@ -82,7 +82,7 @@
   const double expected_s = type != nullptr
                                 ? context_.cluster.expected_boot(*type, machine.kind.zone, now)
                                 : settings.lease_s;
-  const double timeout_s = settings.operators.boot_patience * expected_s;
+  const double timeout_s = settings.operator_settings.boot_timeout_factor * expected_s;
   return now - machine.cloud.provisioned_at > timeout_s &&
          now - context_.term_started_at > settings.lease_s * 2 && now > machine.lease.grace_until;
 }
--- a/src/control/machine_type_loader.cpp
+++ b/src/control/machine_type_loader.cpp
@@ -15,7 +15,7 @@
   constexpr double kInterval = 60;
   const double retry_interval = services_.settings.heartbeat_interval_s / 3;
   for (;;) {
-    auto asking = services_.cloud.types();
+    auto asking = services_.cloud.machine_types();
     auto types = co_await asking;
     if (!types || types->empty()) {
       // The cloud may be down just when this controller starts; another may have stored its types.
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -18,7 +18,8 @@
 MoveService::MoveService(const LeaderContext& context)
     : context_(context),
       executor_(context.cluster, context.lease.fencing_token(),
-                context.services.settings.operators.defrag.drain.named(), context.now()),
+                context.services.settings.operator_settings.defrag.drain.is_configured(),
+                context.now()),
       wake_(context.services.reactor) {}
 
 Task<bool> MoveService::load() {
@@ -132,7 +133,7 @@
     executor_.record_drain_answer(request, std::nullopt, sent, sent);
     co_return;
   }
-  const auto& endpoint = context_.services.settings.operators.defrag.drain;
+  const auto& endpoint = context_.services.settings.operator_settings.defrag.drain;
   net::Request call{"POST", endpoint.path, "", defrag::write_drain_request(request), true};
   auto calling = context_.services.transport.call(endpoint.address, std::move(call),
                                                   context_.services.settings.heartbeat_interval_s);
--- a/src/control/node.cpp
+++ b/src/control/node.cpp
@@ -59,7 +59,7 @@
   if (store_monitor_.reaches_store()) return true;
   // When no controller reaches the store, clients are better told so at once by one of them than
   // turned away by the load balancer, which takes its time to come back.
-  return store_monitor_.ever_reached_store() && !roster_.any_reaches_state(services_.reactor.now());
+  return store_monitor_.ever_reached_store() && !roster_.any_reaches_store(services_.reactor.now());
 }
 
 peer::PeerHeartbeat Node::peer_heartbeat() const {
@@ -67,7 +67,7 @@
   peer::PeerHeartbeat peer_heartbeat;
   peer_heartbeat.name = services_.settings.name;
   peer_heartbeat.fencing_token = leader_fencing_token();
-  peer_heartbeat.reaches_state = store_monitor_.reaches_store();
+  peer_heartbeat.reaches_store = store_monitor_.reaches_store();
   peer_heartbeat.incarnation = incarnation_;
   peer_heartbeat.sent_clock_ms = static_cast<std::uint64_t>(services_.reactor.now() * kMsPerSecond);
   heartbeat_router_.describe(peer_heartbeat);
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -35,7 +35,8 @@
 
 Task<void> PoolScaler::run() {
   for (;;) {
-    Sleep pause(context_.services.reactor, context_.services.settings.operators.scaler.every_s);
+    Sleep pause(context_.services.reactor,
+                context_.services.settings.operator_settings.scaler.interval_s);
     co_await pause;
     if (context_.cluster.types().empty() || context_.leadership.is_lost()) continue;
     const auto changed = scale_pools();
@@ -47,14 +48,14 @@
 }
 
 sched::Pool& PoolScaler::pool(const std::string& name) {
-  const auto& settings = context_.services.settings.operators.scaler;
+  const auto& settings = context_.services.settings.operator_settings.scaler;
   return pools_.try_emplace(name, sched::Pool(settings)).first->second;
 }
 
 std::vector<std::string> PoolScaler::scale_pools() {
   const double time = context_.now();
   requester_.forget_expired(time);
-  const double high = context_.services.settings.operators.scaler.high;
+  const double high = context_.services.settings.operator_settings.scaler.high_score;
   const auto readings = sched::read_pools(context_.cluster, shortfall_, high);
   std::vector<std::string> changed;
   for (const auto& [id, reading] : readings) {
@@ -67,7 +68,8 @@
 }
 
 void PoolScaler::scale_pool(const PoolId& id, const sched::PoolReading& reading, double now) {
-  const double down_window_s = context_.services.settings.operators.scaler.down_window_s;
+  const double down_window_s =
+      context_.services.settings.operator_settings.scaler.scale_in_window_s;
   const bool settled = is_first_term_ || now - context_.term_started_at >= down_window_s;
   const std::string name = id.name();
   sched::Pool& scaled = pool(name);
@@ -102,7 +104,7 @@
         requester_.is_unavailable({id.type, zone, id.spot})) {
       continue;
     }
-    zones[zone].weight = id.spot || context_.services.settings.has_node(zone) ? 1 : 2;
+    zones[zone].weight = id.spot || context_.services.settings.has_controller_in(zone) ? 1 : 2;
   }
   for (const auto& [machine_id, machine] : context_.cluster.machines()) {
     if (sched::pool_of(machine.kind) != id) continue;
--- a/src/control/scale_out_requester.cpp
+++ b/src/control/scale_out_requester.cpp
@@ -75,7 +75,7 @@
 
 void ScaleOutRequester::mark_unavailable(const MachineKind& kind) {
   unavailable_until_[kind] =
-      context_.now() + context_.services.settings.operators.scaler.up_cooldown_s;
+      context_.now() + context_.services.settings.operator_settings.scaler.scale_out_cooldown_s;
 }
 
 }  // namespace cranklock::control
--- a/src/control/small_records.cpp
+++ b/src/control/small_records.cpp
@@ -35,12 +35,12 @@
 
 std::string write_outcome(const JobOutcome& outcome) {
   JsonWriter writer;
-  writer.begin();
+  writer.begin_object();
   writer.key(kOutcomeStateField)
       .text(outcome.state == JobState::done ? kDoneState : kCancelledState);
   writer.key(kOutcomeTasksField).count(outcome.tasks);
   if (outcome.ended_ms != 0) writer.key(kOutcomeEndedField).integer(outcome.ended_ms);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
@@ -59,10 +59,10 @@
 
 std::string write_leader(const LeaderRecord& leader) {
   JsonWriter writer;
-  writer.begin();
+  writer.begin_object();
   writer.key(kLeaderNodeField).text(leader.name);
   writer.key(kLeaderNonceField).text(leader.nonce);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
@@ -78,10 +78,10 @@
 
 std::string write_pool(const sched::PoolState& pool) {
   JsonWriter writer;
-  writer.begin();
+  writer.begin_object();
   writer.key(kPoolCountField).integer(pool.count);
   writer.key(kPoolScaledField).integer(pool.scaled_ms);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -68,7 +68,7 @@
 }
 
 void StatusCache::count_read() {
-  reads_.note(reactor_.now());
+  reads_.record(reactor_.now());
 }
 
 bool StatusCache::is_worthwhile() {
--- a/src/defrag/drain.cpp
+++ b/src/defrag/drain.cpp
@@ -19,9 +19,13 @@
 
 std::string write_drain_request(const DrainRequest& request) {
   JsonWriter w;
-  w.begin().key("task").text(wire::to_string(request.task)).key("attempt").count(request.attempt);
+  w.begin_object()
+      .key("task")
+      .text(wire::to_string(request.task))
+      .key("attempt")
+      .count(request.attempt);
   w.key("machine").text(request.machine).key("address").text(request.address);
-  w.key("lease_s").amount(request.lease_s).key("within_s").amount(request.within_s).end();
+  w.key("lease_s").amount(request.lease_s).key("within_s").amount(request.within_s).end_object();
   return w.take();
 }
 
@@ -41,11 +45,15 @@
 
 std::string write_drain_answer(const DrainAnswer& answer) {
   JsonWriter w;
-  w.begin().key("task").text(wire::to_string(answer.task)).key("attempt").count(answer.attempt);
+  w.begin_object()
+      .key("task")
+      .text(wire::to_string(answer.task))
+      .key("attempt")
+      .count(answer.attempt);
   for (const auto& [state, name] : kStateNames) {
     if (state == answer.state) w.key("state").text(name);
   }
-  w.key("open").count(answer.open_requests).end();
+  w.key("open").count(answer.open_requests).end_object();
   return w.take();
 }
 
--- a/src/defrag/move_plan.cpp
+++ b/src/defrag/move_plan.cpp
@@ -24,20 +24,29 @@
      {MoveStep::diverted, "diverted"}}};
 
 void write_plan(JsonWriter& w, const MovePlan& plan) {
-  w.begin().key("id").text(plan.id).key("job").text(plan.job);
+  w.begin_object().key("id").text(plan.id).key("job").text(plan.job);
   w.key("begun_ms").integer(plan.begun_ms);
   w.key("cost_s").amount(plan.cost_s).key("boot_s").amount(plan.boot_s);
-  w.key("places").list();
+  w.key("places").begin_array();
   for (const auto& place : plan.places) {
-    w.begin().key("machine").text(place.machine).key("tasks").count(place.tasks).end();
+    w.begin_object()
+        .key("machine")
+        .text(place.machine)
+        .key("tasks")
+        .count(place.tasks)
+        .end_object();
   }
-  w.list_end().key("moves").list();
+  w.end_array().key("moves").begin_array();
   for (const auto& move : plan.moves) {
-    w.begin().key("task").text(wire::to_string(move.task)).key("attempt").count(move.attempt);
+    w.begin_object()
+        .key("task")
+        .text(wire::to_string(move.task))
+        .key("attempt")
+        .count(move.attempt);
     w.key("from").text(move.source).key("to").text(move.target);
-    w.key("step").text(to_string(move.step)).end();
+    w.key("step").text(to_string(move.step)).end_object();
   }
-  w.list_end().end();
+  w.end_array().end_object();
 }
 
 std::optional<PlannedPlace> read_place(const Json& object) {
@@ -117,16 +126,16 @@
 
 std::string write_move_record(const MoveRecord& record) {
   JsonWriter w;
-  w.begin();
+  w.begin_object();
   if (record.plan) {
     w.key("plan");
     write_plan(w, *record.plan);
   }
-  w.key("past").list();
+  w.key("past").begin_array();
   for (const auto& move : record.past) {
-    w.begin().key("job").text(move.job).key("begun_ms").integer(move.begun_ms).end();
+    w.begin_object().key("job").text(move.job).key("begun_ms").integer(move.begun_ms).end_object();
   }
-  w.list_end().end();
+  w.end_array().end_object();
   return w.take();
 }
 
--- a/src/defrag/replica_drain.cpp
+++ b/src/defrag/replica_drain.cpp
@@ -25,7 +25,7 @@
   const bool matches = answer && answer->task == request.task && answer->attempt == request.attempt;
   if (answer && (!matches || answer->state == DrainState::refused)) return Result::refused;
   if (matches && answer->state == DrainState::drained) {
-    drained_until_ = sent + request.lease_s * (1 - 2 * base::kClockDrift);
+    drained_until_ = sent + request.lease_s * (1 - 2 * base::kMaxClockDrift);
     return Result::drained;
   }
   // A drain that was granted earlier runs out.
--- a/src/peer/frames.cpp
+++ b/src/peer/frames.cpp
@@ -13,41 +13,41 @@
   forwarded_response = 3
 };
 
-std::string finish(Packer&& packer, Kind kind) {
+std::string make_frame(Packer&& packer, Kind kind) {
   return std::move(packer).frame(kFrameVersion, static_cast<std::uint8_t>(kind));
 }
 
-std::string pack_one(const PeerHeartbeat& heartbeat) {
+std::string pack_body(const PeerHeartbeat& heartbeat) {
   Packer packer;
   packer.text(heartbeat.name)
       .number(heartbeat.fencing_token)
-      .flag(heartbeat.reaches_state)
-      .flag(heartbeat.hears_workers)
+      .flag(heartbeat.reaches_store)
+      .flag(heartbeat.receives_heartbeats)
       .number(heartbeat.incarnation)
       .number(heartbeat.sent_clock_ms)
       .number(heartbeat.echoed_fencing_token)
       .number(heartbeat.echoed_clock_ms)
       .number(heartbeat.delegate_responded_ms);
-  return finish(std::move(packer), Kind::peer_heartbeat);
+  return make_frame(std::move(packer), Kind::peer_heartbeat);
 }
 
-std::string pack_one(const ForwardedHeartbeat& forwarded) {
+std::string pack_body(const ForwardedHeartbeat& forwarded) {
   Packer packer;
   packer.number(forwarded.id).long_text(forwarded.heartbeat);
-  return finish(std::move(packer), Kind::forwarded_heartbeat);
+  return make_frame(std::move(packer), Kind::forwarded_heartbeat);
 }
 
-std::string pack_one(const ForwardedResponse& response) {
+std::string pack_body(const ForwardedResponse& response) {
   Packer packer;
   packer.number(response.id)
       .number(response.status)
       .number(response.fencing_token)
       .number(response.delegation_ms)
       .long_text(response.body);
-  return finish(std::move(packer), Kind::forwarded_response);
+  return make_frame(std::move(packer), Kind::forwarded_response);
 }
 
-// The members of a braced list are evaluated from left to right, so in the order of the fields.
+// The elements of a braced list are evaluated from left to right, in the order of the fields.
 PeerHeartbeat unpack_peer_heartbeat(Unpacker& unpacker) {
   return {unpacker.text(),
           unpacker.number<std::uint64_t>(),
@@ -69,7 +69,7 @@
           unpacker.number<std::uint64_t>(), unpacker.number<std::uint32_t>(), unpacker.long_text()};
 }
 
-/// None for a kind that does not exist.
+/// Returns none for an unknown kind.
 std::optional<Frame> unpack_body(std::uint8_t kind, Unpacker& unpacker) {
   switch (static_cast<Kind>(kind)) {
     case Kind::peer_heartbeat:
@@ -82,7 +82,7 @@
   return std::nullopt;
 }
 
-bool is_known(std::uint8_t kind) {
+bool is_known_kind(std::uint8_t kind) {
   return kind >= static_cast<std::uint8_t>(Kind::peer_heartbeat) &&
          kind <= static_cast<std::uint8_t>(Kind::forwarded_response);
 }
@@ -90,13 +90,13 @@
 }  // namespace
 
 std::string pack(const Frame& frame) {
-  return std::visit([](const auto& one) { return pack_one(one); }, frame);
+  return std::visit([](const auto& body) { return pack_body(body); }, frame);
 }
 
 base::Result<Frame, UnpackError> unpack(std::string& buffer) {
   const auto header = read_header(buffer);
   if (!header) return base::Failure(UnpackError::incomplete);
-  if (header->version != kFrameVersion || !is_known(header->kind)) {
+  if (header->version != kFrameVersion || !is_known_kind(header->kind)) {
     return base::Failure(UnpackError::malformed);
   }
   const std::size_t frame_bytes = kHeaderBytes + header->body_bytes;
--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -1,6 +1,6 @@
-// The frames that the controllers of a region send one another, and their binary form
-// (peer/packing.hpp). Two versions of the software exchange them during an upgrade, so a field or
-// kind is never changed under the same version number (invariant 15).
+// Frames exchanged by the controllers of a region, and their binary form (peer/packing.hpp). During
+// an upgrade two versions of the software exchange frames, so a field or kind never changes without
+// a new version number (invariant 15).
 #pragma once
 
 #include <cstdint>
@@ -13,40 +13,39 @@
 namespace cranklock::peer {
 
 inline constexpr std::uint8_t kFrameVersion = 2;
-/// For a time since something that has not happened yet.
-inline constexpr std::uint32_t kNever = 0xffffffff;
+/// Milliseconds since an event that has not happened.
+inline constexpr std::uint32_t kNeverMs = 0xffffffff;
 
-/// Periodic message of a controller: who it is, whether it leads and what it reaches.
+/// Periodic message of a controller: its name, its leadership and its connectivity.
 struct PeerHeartbeat {
   std::string name;
-  std::uint64_t fencing_token = 0;  ///< of its leadership; 0: it doesn't lead
-  bool reaches_state = false;       ///< the key-value store has answered it lately
-  /// Workers have sent it heartbeats lately, even if it could not answer them.
-  bool hears_workers = false;
-  std::uint64_t incarnation = 0;    ///< differs each time the process starts
-  std::uint64_t sent_clock_ms = 0;  ///< sender's steady clock, for others to echo
-  /// Fencing token in the newest peer heartbeat that the sender received from a leader, and that
-  /// leader's clock in it.
+  std::uint64_t fencing_token = 0;  ///< of its leadership; 0: not the leader
+  bool reaches_store = false;       ///< the key-value store has responded recently
+  /// Agents have sent it heartbeats recently, whether or not it could respond.
+  bool receives_heartbeats = false;
+  std::uint64_t incarnation = 0;    ///< unique to each run of the process
+  std::uint64_t sent_clock_ms = 0;  ///< sender's steady clock, echoed by receivers
+  /// Fencing token and clock of the newest peer heartbeat that the sender received from a leader.
   std::uint64_t echoed_fencing_token = 0, echoed_clock_ms = 0;
-  /// Milliseconds since the sender last answered a worker under a lease delegation.
-  std::uint32_t delegate_responded_ms = kNever;
+  /// Milliseconds since the sender last responded to an agent under a lease delegation.
+  std::uint32_t delegate_responded_ms = kNeverMs;
   bool operator==(const PeerHeartbeat&) const = default;
 };
 
-/// A worker's heartbeat, which a heartbeat forwarder sends to the leader.
+/// Heartbeat of an agent that a heartbeat forwarder sends to the leader.
 struct ForwardedHeartbeat {
-  std::uint64_t id = 0;   ///< never used again, not even by a later incarnation of the forwarder
-  std::string heartbeat;  ///< as the worker sent it: the JSON body of its request
+  std::uint64_t id = 0;   ///< never reused, not even by a later incarnation of the forwarder
+  std::string heartbeat;  ///< JSON body of the agent's request, unchanged
   bool operator==(const ForwardedHeartbeat&) const = default;
 };
 
-/// The leader's answer to a forwarded heartbeat, which the forwarder passes on to the worker.
+/// Leader's response to a forwarded heartbeat, which the forwarder returns to the agent.
 struct ForwardedResponse {
   std::uint64_t id = 0;      ///< of the ForwardedHeartbeat
-  std::uint16_t status = 0;  ///< HTTP status for the worker
+  std::uint16_t status = 0;  ///< HTTP status for the agent
   std::uint64_t fencing_token = 0;
-  /// Lease delegation: for so long, from the sending of the forwarded heartbeat, the forwarder may
-  /// answer this worker without the leader.
+  /// Lease delegation: duration, from the sending of the forwarded heartbeat, in which the
+  /// forwarder may respond to this agent without the leader.
   std::uint32_t delegation_ms = 0;
   std::string body;
   bool operator==(const ForwardedResponse&) const = default;
@@ -54,14 +53,14 @@
 
 using Frame = std::variant<PeerHeartbeat, ForwardedHeartbeat, ForwardedResponse>;
 
-/// The frame's bytes, header included.
+/// Returns the bytes of the frame, including its header.
 std::string pack(const Frame& frame);
 
 enum class UnpackError {
   incomplete,  ///< more bytes are needed
-  malformed,   ///< not a frame of this version; the connection is of no further use
+  malformed,   ///< not a frame of this version; the connection must be closed
 };
-/// Takes one frame off the front of the buffer; after an error the buffer is as it was.
+/// Removes one frame from the front of the buffer; leaves the buffer unchanged on an error.
 base::Result<Frame, UnpackError> unpack(std::string& buffer);
 
 }  // namespace cranklock::peer
--- a/src/peer/links.cpp
+++ b/src/peer/links.cpp
@@ -18,7 +18,7 @@
       make_heartbeat_(std::move(make_heartbeat)),
       on_frame_(std::move(on_frame)) {
   for (const auto& other : settings.others) {
-    outboxes_[other.name] = std::make_unique<Outbox>(reactor, write_interval(settings));
+    outboxes_[other.name] = std::make_unique<Outbox>(reactor, write_interval_s(settings));
   }
 }
 
@@ -40,8 +40,8 @@
 }
 
 Task<void> Links::accept_connections() {
-  constexpr double kWaitS = 3600.0;  // then it waits again
-  // A peer that restarts leaves its old connection behind until that goes quiet.
+  constexpr double kWaitS = 3600.0;  // the wait is repeated after this time
+  // The old connection of a peer that restarts remains open until its idle timeout.
   const std::size_t max_readers = 4 * (settings_.others.size() + 1);
   for (;;) {
     net::Ready ready(reactor_, listener_.get(), false, kWaitS);
@@ -91,11 +91,11 @@
 // ---- sending ----
 
 void Links::send(const std::string& to, const Frame& frame) {
-  // A zone's workers may all send heartbeats at once, each on a connection of its own.
+  // All agents of a zone may send heartbeats at once, each on its own connection.
   const auto max_frames = static_cast<std::size_t>(settings_.fd_limit);
-  constexpr double kShareOfMemory = 1.0 / 32;  // for each of the other controllers
+  constexpr double kMemoryShare = 1.0 / 32;  // per peer
   constexpr double kBytesPerMb = 1024 * 1024;
-  const auto max_bytes = static_cast<std::size_t>(settings_.ram_mb * kBytesPerMb * kShareOfMemory);
+  const auto max_bytes = static_cast<std::size_t>(settings_.ram_mb * kBytesPerMb * kMemoryShare);
   const auto found = outboxes_.find(to);
   if (found == outboxes_.end()) return;
   Outbox& outbox = *found->second;
@@ -103,10 +103,10 @@
   if (outbox.frames.size() >= max_frames || outbox.bytes >= max_bytes) return;
   outbox.frames.push_back(pack(frame));
   outbox.bytes += outbox.frames.back().size();
-  if (outbox.frames.size() == 1) outbox.filled.set();
+  if (outbox.frames.size() == 1) outbox.frame_queued.set();
 }
 
-std::string Links::take_due(Outbox& outbox) {
+std::string Links::take_due_bytes(Outbox& outbox) {
   const double now = reactor_.now();
   std::string bytes;
   if (now >= outbox.next_heartbeat_at) {
@@ -127,7 +127,7 @@
 }
 
 Task<void> Links::maintain_link(base::Peer other) {
-  constexpr double kMinWaitS = 0.001;  // the resolution of timers
+  constexpr double kMinWaitS = 0.001;  // timer resolution
   Outbox& outbox = *outboxes_.at(other.name);
   Fd connection;
   for (;;) {
@@ -140,13 +140,13 @@
       outbox.next_heartbeat_at = 0;
     }
     if (connection.valid()) {
-      const std::string bytes = take_due(outbox);
+      const std::string bytes = take_due_bytes(outbox);
       auto writing = net::write_all(reactor_, connection.get(), bytes, io_deadline());
       if (!co_await writing) connection = Fd();
     }
-    const double pause =
+    const double wait_s =
         connection.valid() ? next_write_at(outbox) - reactor_.now() : heartbeat_interval_s_;
-    net::Signal::Wait wait(outbox.filled, std::max(pause, kMinWaitS));
+    net::Signal::Wait wait(outbox.frame_queued, std::max(wait_s, kMinWaitS));
     co_await wait;
   }
 }
--- a/src/peer/packing.hpp
+++ b/src/peer/packing.hpp
@@ -1,5 +1,5 @@
-// The binary form of frames between our processes: all numbers big-endian, texts led by their
-// length, each frame led by a header.
+// Binary encoding of frames between controllers: a header, then the fields; numbers are big-endian,
+// strings are prefixed with their length.
 #pragma once
 
 #include <cstddef>
@@ -11,19 +11,19 @@
 namespace cranklock::peer {
 
 inline constexpr std::size_t kHeaderBytes = 4;
-/// Longest text that Packer::text writes and Unpacker::text accepts.
+/// Maximum length of a string that Packer::text writes and Unpacker::text accepts.
 inline constexpr std::size_t kMaxNameBytes = 64;
-/// Likewise for long_text; a frame with one still fits into the header's 16-bit length.
+/// The same for long_text; a frame with one such string fits the header's 16-bit length.
 inline constexpr std::size_t kMaxTextBytes = 60'000;
 
-/// What leads each frame: u16 length of the body, u8 version, u8 kind.
+/// Header of each frame: u16 length of the body, u8 version, u8 kind.
 struct FrameHeader {
   std::uint16_t body_bytes = 0;
   std::uint8_t version = 0;
   std::uint8_t kind = 0;
 };
 
-/// Writes fields one after the other. A text that is too long is cut.
+/// Writes fields in sequence. Strings beyond the maximum length are truncated.
 class Packer {
  public:
   template <typename Number>
@@ -48,7 +48,7 @@
     bytes_.append(value);
     return *this;
   }
-  /// The complete frame: its header, then what was packed.
+  /// Returns the complete frame: the header and the packed fields.
   std::string frame(std::uint8_t version, std::uint8_t kind) && {
     Packer header;
     header.number(static_cast<std::uint16_t>(bytes_.size())).number(version).number(kind);
@@ -59,8 +59,8 @@
   std::string bytes_;
 };
 
-/// Reads fields in the order in which they were written. After a malformed field every further one
-/// reads as empty, and `complete` is false.
+/// Reads fields in the order in which they were written. A malformed field reads as empty, and
+/// `complete` is then false.
 class Unpacker {
  public:
   explicit Unpacker(std::string_view bytes) : bytes_(bytes) {}
@@ -80,13 +80,13 @@
   }
   std::string text() { return take(number<std::uint8_t>(), kMaxNameBytes); }
   std::string long_text() { return take(number<std::uint16_t>(), kMaxTextBytes); }
-  /// Malformed unless 0 or 1.
+  /// A byte other than 0 or 1 is malformed.
   bool flag() {
     const auto value = number<std::uint8_t>();
     well_formed_ = well_formed_ && value <= 1;
     return value == 1;
   }
-  /// True if every field was well formed and no byte is left over.
+  /// Whether every field was well-formed and no byte remains.
   bool complete() const { return well_formed_ && bytes_.empty(); }
 
  private:
@@ -104,7 +104,7 @@
   bool well_formed_ = true;
 };
 
-/// The header of the frame at the front; none while it has not arrived in full.
+/// Returns the header of the frame at the front; none until it has been received completely.
 inline std::optional<FrameHeader> read_header(std::string_view buffer) {
   if (buffer.size() < kHeaderBytes) return std::nullopt;
   Unpacker unpacker(buffer.substr(0, kHeaderBytes));
--- a/src/peer/roster.cpp
+++ b/src/peer/roster.cpp
@@ -15,12 +15,12 @@
   return any(now, [](const PeerHeartbeat&) { return true; });
 }
 
-bool Roster::any_reaches_state(double now) const {
-  return any(now, [](const PeerHeartbeat& heartbeat) { return heartbeat.reaches_state; });
+bool Roster::any_reaches_store(double now) const {
+  return any(now, [](const PeerHeartbeat& heartbeat) { return heartbeat.reaches_store; });
 }
 
-bool Roster::any_hears_workers(double now) const {
-  return any(now, [](const PeerHeartbeat& heartbeat) { return heartbeat.hears_workers; });
+bool Roster::any_receives_heartbeats(double now) const {
+  return any(now, [](const PeerHeartbeat& heartbeat) { return heartbeat.receives_heartbeats; });
 }
 
 PeerHeartbeat Roster::leader(double now) const {
--- a/src/peer/roster.hpp
+++ b/src/peer/roster.hpp
@@ -1,4 +1,4 @@
-// The last heartbeat of each other controller.
+// Last heartbeat received from each other controller.
 #pragma once
 
 #include <map>
@@ -8,22 +8,22 @@
 
 namespace cranklock::peer {
 
-/// Keeps the last heartbeat of each other controller of the region. What it says is a hint: peer
-/// heartbeats are lost and late, and no invariant rests on them.
+/// Keeps the last heartbeat of each other controller of the region. Its answers are hints: peer
+/// heartbeats can be lost or late, and no invariant depends on them.
 class Roster {
  public:
-  /// Heartbeats that were received longer ago than `fresh_s` seconds count as not received.
-  explicit Roster(double fresh_s) : fresh_s_(fresh_s) {}
+  /// Heartbeats received `max_age_s` seconds ago or earlier are ignored.
+  explicit Roster(double max_age_s) : max_age_s_(max_age_s) {}
 
   /// `now`: seconds on the steady clock, here and below.
   void on_peer_heartbeat(const PeerHeartbeat& heartbeat, double now) {
     received_[heartbeat.name] = {heartbeat, now};
   }
   bool any_alive(double now) const;
-  bool any_reaches_state(double now) const;
-  bool any_hears_workers(double now) const;
-  /// Heartbeat of the controller that leads with the highest fencing token; its name is empty when
-  /// none leads.
+  bool any_reaches_store(double now) const;
+  bool any_receives_heartbeats(double now) const;
+  /// Returns the heartbeat of the leader with the highest fencing token; its name is empty if no
+  /// controller leads.
   PeerHeartbeat leader(double now) const;
 
  private:
@@ -31,12 +31,14 @@
     PeerHeartbeat heartbeat;
     double at = 0;  ///< steady clock
   };
-  bool is_fresh(const Received& received, double now) const { return now - received.at < fresh_s_; }
+  bool is_fresh(const Received& received, double now) const {
+    return now - received.at < max_age_s_;
+  }
   template <typename Predicate>
   bool any(double now, Predicate&& holds) const;
 
-  double fresh_s_;
-  std::map<std::string, Received> received_;  ///< by the sender's name
+  double max_age_s_;
+  std::map<std::string, Received> received_;  ///< by sender name
 };
 
 }  // namespace cranklock::peer
--- a/src/regions/links.cpp
+++ b/src/regions/links.cpp
@@ -24,7 +24,7 @@
       settings_(settings),
       fencing_token_(std::move(fencing_token)),
       on_frame_(std::move(on_frame)) {
-  const auto& regions = settings.operators.regions;
+  const auto& regions = settings.operator_settings.regions;
   for (const auto& region : regions.regions) {
     if (region.name == regions.self) continue;
     for (const auto& controller : region.controllers) {
@@ -34,7 +34,7 @@
 }
 
 bool Links::listen() {
-  listener_ = net::listen_on(settings_.operators.regions.listen_address(settings_.name));
+  listener_ = net::listen_on(settings_.operator_settings.regions.listen_address(settings_.name));
   return listener_.valid();
 }
 
@@ -44,7 +44,7 @@
 }
 
 RegionHeartbeat Links::heartbeat() const {
-  const auto& regions = settings_.operators.regions;
+  const auto& regions = settings_.operator_settings.regions;
   return {regions.self, settings_.name, regions.bootstrap_region, fencing_token_()};
 }
 
@@ -79,7 +79,7 @@
 }
 
 Task<void> Links::serve(Fd fd) {
-  FrameReader reader(settings_.operators.regions);
+  FrameReader reader(settings_.operator_settings.regions);
   for (;;) {
     auto receiving = receive(fd.get(), reader);
     const auto frames = co_await receiving;
@@ -114,7 +114,7 @@
 }
 
 Task<void> Links::read_heartbeats(Link& link, SharedFd fd) {
-  FrameReader reader(settings_.operators.regions);
+  FrameReader reader(settings_.operator_settings.regions);
   for (;;) {
     auto receiving = receive(fd->get(), reader);
     const auto frames = co_await receiving;
@@ -186,7 +186,7 @@
 
 std::vector<std::string> Links::reachable() const {
   std::vector<std::string> out;
-  for (const auto& region : settings_.operators.regions.regions) {
+  for (const auto& region : settings_.operator_settings.regions.regions) {
     if (leader_link(region.name)) out.push_back(region.name);
   }
   return out;
--- a/src/regions/quota_ledger.cpp
+++ b/src/regions/quota_ledger.cpp
@@ -18,11 +18,11 @@
 QuotaLedger::QuotaLedger(const base::Settings& settings, wire::Compare leader)
     : settings_(settings),
       leader_(std::move(leader)),
-      state_(settings.operators.regions),
+      state_(settings.operator_settings.regions),
       operations_(settings_, state_, leader_) {}
 
 void QuotaLedger::load(const std::vector<wire::StoredValue>& items) {
-  state_.load(items, settings_.operators.regions);
+  state_.load(items, settings_.operator_settings.regions);
   pending_.reset();
   write_unresolved_ = false;
   guard_sent_ = false;
@@ -47,7 +47,7 @@
 
 void QuotaLedger::on_request(const std::string& region, const QuotaRequest& request) {
   const auto remote = state_.remote_regions.find(region);
-  if (remote == state_.remote_regions.end() || settings_.team(request.team) == nullptr) return;
+  if (remote == state_.remote_regions.end() || settings_.find_team(request.team) == nullptr) return;
   remote->second.requests[request.team] = request;  // the newest counts
 }
 
@@ -162,7 +162,7 @@
 }
 
 void QuotaLedger::set_bootstrap_region(std::uint64_t revision) {
-  state_.bootstrap_region = settings_.operators.regions.bootstrap_region;
+  state_.bootstrap_region = settings_.operator_settings.regions.bootstrap_region;
   state_.bootstrap_revision = revision;
 }
 
--- a/src/regions/quota_operations.cpp
+++ b/src/regions/quota_operations.cpp
@@ -22,7 +22,7 @@
 
 QuotaOperations::QuotaOperations(const base::Settings& settings, QuotaState& state,
                                  const wire::Compare& leader)
-    : regions_(settings.operators.regions), state_(state), leader_(leader) {
+    : regions_(settings.operator_settings.regions), state_(state), leader_(leader) {
   for (const auto& team : settings.teams) teams_.emplace(team.name, team);
 }
 
--- a/src/regions/records.cpp
+++ b/src/regions/records.cpp
@@ -12,9 +12,9 @@
 constexpr std::size_t kSequenceDigits = 20;  // of the largest 64-bit number
 
 void write_quota_field(wire::JsonWriter& writer, const QuotaAmounts& quota) {
-  writer.key(kQuotaField).list();
+  writer.key(kQuotaField).begin_array();
   for (const auto value : quota.values()) writer.integer(value);
-  writer.list_end();
+  writer.end_array();
 }
 
 std::optional<QuotaAmounts> read_quota_field(const wire::Json& object) {
@@ -50,9 +50,9 @@
 
 std::string write_quota(const QuotaAmounts& quota) {
   wire::JsonWriter writer;
-  writer.begin();
+  writer.begin_object();
   write_quota_field(writer, quota);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
@@ -63,7 +63,7 @@
 
 std::string write_counter(std::uint64_t value) {
   wire::JsonWriter writer;
-  writer.begin().key(kCounterField).count(value).end();
+  writer.begin_object().key(kCounterField).count(value).end_object();
   return writer.take();
 }
 
@@ -74,9 +74,13 @@
 
 std::string write_transfer(const QuotaTransfer& transfer) {
   wire::JsonWriter writer;
-  writer.begin().key(kCounterField).count(transfer.sequence).key(kTeamField).text(transfer.team);
+  writer.begin_object()
+      .key(kCounterField)
+      .count(transfer.sequence)
+      .key(kTeamField)
+      .text(transfer.team);
   write_quota_field(writer, transfer.quota);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
@@ -92,7 +96,7 @@
 
 std::string write_bootstrap_region(const std::string& region) {
   wire::JsonWriter writer;
-  writer.begin().key(kBootstrapRegionField).text(region).end();
+  writer.begin_object().key(kBootstrapRegionField).text(region).end_object();
   return writer.take();
 }
 
--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -18,7 +18,7 @@
 bool within_quota_limit(const ClusterState& cluster, const std::string& team,
                         const wire::Resources& more) {
   constexpr double kSlack = 1e-6;  // sums of decimal amounts
-  const auto* team_settings = cluster.settings().team(team);
+  const auto* team_settings = cluster.settings().find_team(team);
   if (team_settings == nullptr) return false;
   const wire::Resources sum = cluster.team_allocation(team) + more;
   const wire::Resources limit = cluster.limit_for(*team_settings);
--- a/src/sched/best_fit.cpp
+++ b/src/sched/best_fit.cpp
@@ -14,7 +14,7 @@
 }
 
 bool is_exposed(const ClusterState& cluster, const Job& job, const std::string& zone) {
-  return job.spec.kind == wire::JobKind::service && !cluster.settings().has_node(zone);
+  return job.spec.kind == wire::JobKind::service && !cluster.settings().has_controller_in(zone);
 }
 
 double placement_cost(const ClusterState& cluster, const Job& job, const Candidate& candidate,
--- a/src/sched/heartbeat_commands.cpp
+++ b/src/sched/heartbeat_commands.cpp
@@ -11,7 +11,7 @@
 // answer within its patience, and the drain has to last until then.
 bool may_send_stop(const Placement& placement, double now) {
   constexpr double kResponsePatienceS = 4;  // of an agent, for the answer to its heartbeat
-  const double latest = now + kResponsePatienceS * (1 + 2 * base::kClockDrift);
+  const double latest = now + kResponsePatienceS * (1 + 2 * base::kMaxClockDrift);
   return !placement.drain_deadline || latest < *placement.drain_deadline;
 }
 
--- a/src/sched/lease_tracker.cpp
+++ b/src/sched/lease_tracker.cpp
@@ -26,9 +26,9 @@
   double latest = machine.lease.last_response;
   // An agent that has not shown our fencing token may still take answers of a former leader. That
   // leader renewed its lease for the last time before our leadership, and answers, or lets
-  // forwarders answer, for no longer than `response_span` after it.
+  // forwarders answer, for no longer than `response_window_s` after it.
   if (!machine.agent.token_acknowledged) {
-    const double span = base::response_span(settings_) * (1 + 4 * base::kClockDrift);
+    const double span = base::response_window_s(settings_) * (1 + 4 * base::kMaxClockDrift);
     latest = std::max(latest, leader_since_ + span);
   }
   for (const auto& [name, until] : machine.lease.delegated_until) {
@@ -42,7 +42,7 @@
 double LeaseTracker::lease_upper_bound() const {
   // Both clocks may drift, in opposite directions. A quarter of a heartbeat interval covers the
   // time between our taking the time of an answer and its leaving.
-  return settings_.lease_s * (1 + 4 * base::kClockDrift) + settings_.heartbeat_interval_s / 4;
+  return settings_.lease_s * (1 + 4 * base::kMaxClockDrift) + settings_.heartbeat_interval_s / 4;
 }
 
 bool LeaseTracker::has_expired(const Machine& machine, double now) const {
--- a/src/sched/priority_inheritance.cpp
+++ b/src/sched/priority_inheritance.cpp
@@ -16,8 +16,8 @@
 Urgency own_urgency(const Job& job) {
   Urgency own;
   own.priority = job.spec.priority;
-  if (job.spec.due_s) {
-    own.start_by_ms = job.created_ms + to_ms(*job.spec.due_s - job.spec.estimate_s);
+  if (job.spec.deadline_s) {
+    own.start_by_ms = job.created_ms + to_ms(*job.spec.deadline_s - job.spec.estimate_s);
   }
   return own;
 }
--- a/src/sched/scaler.cpp
+++ b/src/sched/scaler.cpp
@@ -32,24 +32,26 @@
   if (!settled) return 0;
   const double since_scaled_s = static_cast<double>(wall_ms - state.scaled_ms) / 1000.0;
   const bool lacking = lacks_machines(now);
-  if (reading.score > settings_.high || lacking) {
+  if (reading.score > settings_.high_score || lacking) {
     const bool window_high =
-        lacking || scores_.stayed_above(settings_.high, settings_.up_window_s, now);
-    const bool cooled_down = since_scaled_s > settings_.up_cooldown_s;
+        lacking || scores_.stayed_above(settings_.high_score, settings_.scale_out_window_s, now);
+    const bool cooled_down = since_scaled_s > settings_.scale_out_cooldown_s;
     return window_high && cooled_down ? scale_out_step(reading) : 0;
   }
-  if (reading.score < settings_.low) {
-    const bool window_low = scores_.stayed_below(settings_.low, settings_.down_window_s, now);
-    const bool cooled_down = since_scaled_s > settings_.down_cooldown_s;
+  if (reading.score < settings_.low_score) {
+    const bool window_low =
+        scores_.stayed_below(settings_.low_score, settings_.scale_in_window_s, now);
+    const bool cooled_down = since_scaled_s > settings_.scale_in_cooldown_s;
     return window_low && cooled_down ? -scale_in_step(reading) : 0;
   }
   return 0;
 }
 
 void Pool::record(const PoolReading& reading, double now) {
-  const double longest_window_s = std::max(settings_.up_window_s, settings_.down_window_s);
+  const double longest_window_s =
+      std::max(settings_.scale_out_window_s, settings_.scale_in_window_s);
   scores_.add(reading.score, now);
-  scores_.forget_before(now - longest_window_s - settings_.every_s);
+  scores_.forget_before(now - longest_window_s - settings_.interval_s);
   if (reading.wanted == 0) {
     wanted_since_.reset();
   } else if (!wanted_since_) {
@@ -61,14 +63,14 @@
 /// while they keep the score below High for ever: what wants machines for a whole down window
 /// counts as above High, as it would if nothing were ready.
 bool Pool::lacks_machines(double now) const {
-  return wanted_since_ && now - *wanted_since_ >= settings_.down_window_s;
+  return wanted_since_ && now - *wanted_since_ >= settings_.scale_in_window_s;
 }
 
 /// What waiting work and the distance to High lack, up to the cap of a step and of the pool. What
 /// boots already is not counted again.
 int Pool::scale_out_step(const PoolReading& reading) const {
-  const int share_of_pool = static_cast<int>(settings_.max_step_share * reading.machines);
-  const int max_step = std::max(settings_.max_step, share_of_pool);
+  const int share_of_pool = static_cast<int>(settings_.max_scale_out_step_share * reading.machines);
+  const int max_step = std::max(settings_.max_scale_out_step_machines, share_of_pool);
   const int max_more = std::min(max_step, settings_.max_machines - reading.machines);
   return std::clamp(std::max(reading.wanted, reading.missing), 0, std::max(max_more, 0));
 }
@@ -76,8 +78,9 @@
 /// A fixed number or a share of the pool, whichever is larger, down to the pool's minimum.
 int Pool::scale_in_step(const PoolReading& reading) const {
   const int above_minimum = reading.machines - settings_.min_machines;
-  const int share_of_pool = static_cast<int>(std::ceil(settings_.step_share * reading.machines));
-  return std::clamp(std::max(settings_.step_machines, share_of_pool), 0,
+  const int share_of_pool =
+      static_cast<int>(std::ceil(settings_.scale_in_step_share * reading.machines));
+  return std::clamp(std::max(settings_.scale_in_step_machines, share_of_pool), 0,
                     std::max(above_minimum, 0));
 }
 
--- a/src/sched/waiting_queue.cpp
+++ b/src/sched/waiting_queue.cpp
@@ -37,7 +37,7 @@
   for (Job* job : jobs_by_age) {
     wire::Resources& sum = requested[job->spec.team];
     sum += job->spec.resources * job->spec.tasks;
-    const auto* team = cluster.settings().team(job->spec.team);
+    const auto* team = cluster.settings().find_team(job->spec.team);
     job->guaranteed = team != nullptr && within_guarantee(cluster, *team, sum);
   }
 }
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -1,5 +1,5 @@
-// The client of the key-value store: reads, watches, compare-and-swap and leases, within this
-// node's share of the store's rate limits.
+// Client of the key-value store: reads, watches, compare-and-swap and leases, within this
+// controller's share of the store's rate limits.
 #pragma once
 
 #include <cstdint>
@@ -14,48 +14,48 @@
 
 namespace cranklock::store {
 
-/// How a request to the key-value store ended.
+/// Outcome of a request to the key-value store.
 enum class Status {
-  ok,                   ///< done, or found
-  precondition_failed,  ///< compare-and-swap: a compared revision does not hold; nothing was
-                        ///< changed
-  not_found,            ///< read: there is no such key; renewal: the lease has ended
-  compacted,      ///< watch: changes since that revision are not kept any more; read all again
-  rejected,       ///< certainly not executed, and may be tried again later
-  indeterminate,  ///< may have been executed, or may yet be (invariant 1)
+  ok,                   ///< executed, or found
+  precondition_failed,  ///< compare-and-swap: a compared revision differs; nothing was changed
+  not_found,            ///< read: the key does not exist; renewal: the lease has ended
+  compacted,            ///< watch: changes since that revision are no longer kept; read all again
+  rejected,             ///< not executed; may be retried later
+  indeterminate,        ///< may have been executed, or may still be (invariant 1)
 };
 
 struct CompareAndSwapResult {
   Status status = Status::indeterminate;
-  std::uint64_t revision = 0;            ///< when ok: of the keys written
-  std::vector<std::string> failed_keys;  ///< whose compared revisions do not hold
+  std::uint64_t revision = 0;            ///< if ok: revision of the written keys
+  std::vector<std::string> failed_keys;  ///< keys whose compared revisions differ
 };
 
 struct ReadResult {
   Status status = Status::indeterminate;
-  wire::StoredValue value;  ///< when ok
+  wire::StoredValue value;  ///< if ok
 };
 
 struct RangeResult {
   Status status = Status::indeterminate;
-  wire::RangePage page;  ///< when ok
+  wire::RangePage page;  ///< if ok
 };
 
-/// Talks to the key-value store. All nodes' clients together stay within the limits of the
-/// settings: requests wait for their share, and those that would wait for longer than their time
-/// limit are rejected unsent. Time limits are seconds from the call, the wait included.
+/// Sends requests to the key-value store. The clients of all controllers together stay within the
+/// rate limits of the settings: a request waits for its controller's share, and is rejected unsent
+/// if the wait would exceed its timeout. Timeouts are in seconds from the call and include the
+/// wait.
 class Client {
  public:
   /// `settings` must outlive the client.
   Client(net::Reactor& reactor, net::Transport& transport, const base::Settings& settings);
 
-  /// Takes the leader's share of the limits, or gives it back. The leader takes two shares of the
-  /// requests of nodes + 1, the others one each; of the mutations it takes half, the others share
-  /// the rest.
+  /// Switches between the leader's and a follower's share of the limits. Of the request rate, split
+  /// into nodes + 1 shares, the leader takes two and each follower one. Of the mutation rate the
+  /// leader takes half and the followers share the rest.
   void set_leading(bool leading);
 
-  /// Clients of the job API wait for the answer to a transaction of theirs, and may go before those
-  /// in the background that are written by the dozen.
+  /// Transactions of the job API, whose clients wait for the response, may precede the background
+  /// transactions, of which there are many more.
   enum class Priority { background, user };
   /// Applies all mutations if all compared revisions hold, otherwise none.
   net::Task<CompareAndSwapResult> compare_and_swap(std::vector<wire::Compare> compares,
@@ -63,60 +63,64 @@
                                                    double timeout_s,
                                                    Priority priority = Priority::background);
   net::Task<ReadResult> read(std::string key, double timeout_s);
-  /// Everything under a prefix, page by page, each page within the time limit; `revision` is that
-  /// of the first page, so that a watch from there misses nothing.
+  /// Reads everything under a prefix, page by page, each page within the timeout. `revision` is
+  /// that of the first page, so that a watch from this revision misses no change.
   net::Task<RangeResult> read_all(std::string prefix, double timeout_s);
-  /// Up to `max_items` values after a key; `more` where there are others.
+  /// Reads up to `max_items` values after a key; `more` is set if others follow.
   net::Task<RangeResult> read_page(std::string prefix, std::string after, int max_items,
                                    double timeout_s);
-  /// Every change after the revision `since`, at once; `compacted` when that is too old. Does not
-  /// wait for the limits, since many share the answer: whoever asks keeps the pace.
+  /// Reads every change after the revision `since` without waiting for new ones; `compacted` if the
+  /// revision is too old. Does not wait for the rate limits, because many requests share the
+  /// response: the caller limits the rate.
   net::Task<RangeResult> changes_since(std::string prefix, std::uint64_t since, double timeout_s);
-  /// The same, but the store waits up to `wait_s` seconds for a change.
+  /// As changes_since, but the store waits up to `wait_s` seconds for a change, and the request
+  /// waits for the rate limits.
   net::Task<RangeResult> watch(std::string prefix, std::uint64_t since, double wait_s);
 
-  /// A new lease's id; none if there was no answer that grants one. A lease that was granted all
-  /// the same ends by itself. Requests about leases may overdraw the request limit by one.
-  net::Task<std::optional<std::uint64_t>> grant_lease(double life_s, double timeout_s);
+  /// Returns the id of a new lease; none without a response that grants one. If the lease was
+  /// granted nevertheless, it expires. Lease requests may overdraw the request limit by one.
+  net::Task<std::optional<std::uint64_t>> grant_lease(double ttl_s, double timeout_s);
   /// `not_found` proves that the lease has ended.
   net::Task<Status> renew_lease(std::uint64_t lease, double timeout_s);
-  /// Ends the lease early, so that its keys go. Without an answer it ends by itself.
+  /// Revokes the lease, which removes its keys. If the request fails, the lease expires.
   net::Task<void> revoke_lease(std::uint64_t lease, double timeout_s);
 
-  /// Requests a second that this node may make.
-  double request_rate() const { return requests_.rate(); }
-  /// Largest value, and most mutations of a compare-and-swap: those of the settings, or less once
-  /// the store has refused one as malformed.
+  /// Requests per second that this controller may send.
+  double request_rate() const { return request_bucket_.rate(); }
+  /// Maximum size of a value and maximum number of mutations in a compare-and-swap: the limits of
+  /// the settings, or less after the store has refused a transaction as malformed.
   std::size_t max_value_bytes() const { return max_value_bytes_; }
   std::size_t max_mutations() const { return max_mutations_; }
 
  private:
-  /// What a request takes of the limits.
+  /// Cost of a request, charged to the rate limits.
   struct Charge {
     double mutations = 0;
-    double mutation_overdraft = 0;  ///< allowed for the mutations, see TokenBucket::take
+    double mutation_overdraft = 0;  ///< allowed for the mutations (TokenBucket::take)
     double request_overdraft = 0;
-    bool urgent = false;  ///< does not wait for the limits
+    bool urgent = false;  ///< does not wait for the rate limits
   };
-  /// Of a request that does not wait for the limits.
+  /// Charge of a request that does not wait for the rate limits.
   static Charge urgent_charge();
-  /// Of a request about a lease: it may overdraw the request limit by one request.
+  /// Charge of a lease request, which may overdraw the request limit by one request.
   static Charge lease_charge();
   Charge charge_of(std::size_t mutations, Priority priority) const;
-  /// Sends once the limits allow it; `not_sent` if that takes longer than the time limit.
+  /// Sends the request once the rate limits allow it; `not_sent` if the wait would exceed the
+  /// timeout.
   net::Task<net::Reply> send(net::Request request, double timeout_s, Charge charge);
-  /// False when the tokens can't be had by the deadline; takes none then.
+  /// Returns false and takes no tokens if they are not available by the deadline.
   net::Task<bool> wait_for_tokens(net::TokenBucket& bucket, double tokens, double overdraft,
                                   double deadline);
+  /// Halves the limits of a value and of a transaction.
   void lower_limits();
 
   net::Reactor& reactor_;
   net::Transport& transport_;
   const base::Settings& settings_;
 
-  net::TokenBucket requests_;
-  net::TokenBucket mutations_;
-  double user_overdraft_ = 0;  ///< mutations that clients of the job API may overdraw
+  net::TokenBucket request_bucket_;
+  net::TokenBucket mutation_bucket_;
+  double user_overdraft_ = 0;  ///< in mutations, for transactions of the job API
   std::size_t max_value_bytes_, max_mutations_;
 };
 
--- a/src/wire/agent_protocol.cpp
+++ b/src/wire/agent_protocol.cpp
@@ -34,7 +34,7 @@
                     read_flag(object, "Kept").value_or(false)};
 }
 
-/// Reads the machine's own fields; false if one is absent or malformed.
+/// Reads the fields of the machine; returns false if one is absent or malformed.
 bool read_machine(const Json& object, Heartbeat& heartbeat) {
   const auto machine = read_text(object, "Rig");
   const auto address = read_text(object, "Address");
@@ -50,7 +50,8 @@
   return true;
 }
 
-bool read_order(const Json& object, Heartbeat& heartbeat) {
+/// Reads the fields that order heartbeats; returns false if one is absent or malformed.
+bool read_ordering(const Json& object, Heartbeat& heartbeat) {
   const auto agent_epoch = read_count(object, "Shift");
   const auto sequence = read_count(object, "Tick");
   const auto fencing_token = read_count(object, "KeyTurn");
@@ -83,23 +84,23 @@
 
 std::optional<Heartbeat> read_heartbeat(const Json& object) {
   Heartbeat heartbeat;
-  const bool valid = read_machine(object, heartbeat) && read_order(object, heartbeat) &&
+  const bool valid = read_machine(object, heartbeat) && read_ordering(object, heartbeat) &&
                      read_preemption_notice(object, heartbeat) && read_tasks(object, heartbeat);
   if (!valid) return std::nullopt;
   return heartbeat;
 }
 
 void write_commands(JsonWriter& writer, const std::vector<Command>& commands) {
-  writer.key("Orders").list();
+  writer.key("Orders").begin_array();
   for (const auto& command : commands) {
-    writer.begin();
+    writer.begin_object();
     writer.key("Verb").text(name_of(kCommandKinds, command.kind));
     writer.key("Tooth").text(to_string(command.task));
     writer.key("Crank").count(command.attempt);
     if (command.kind == CommandKind::stop) writer.key("SlackS").amount(command.grace_s);
-    writer.end();
+    writer.end_object();
   }
-  writer.list_end();
+  writer.end_array();
 }
 
 }  // namespace
@@ -110,26 +111,26 @@
 
 std::string heartbeat_response(std::uint64_t fencing_token, const std::vector<Command>& commands) {
   JsonWriter writer;
-  writer.begin().key("KeyTurn").count(fencing_token);
+  writer.begin_object().key("KeyTurn").count(fencing_token);
   write_commands(writer, commands);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
 std::string commands_request(std::uint64_t fencing_token, std::uint64_t agent_epoch,
                              const std::vector<Command>& commands) {
   JsonWriter writer;
-  writer.begin().key("KeyTurn").count(fencing_token).key("Shift").count(agent_epoch);
+  writer.begin_object().key("KeyTurn").count(fencing_token).key("Shift").count(agent_epoch);
   write_commands(writer, commands);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
 std::string redirect_response(std::string_view controller) {
   JsonWriter writer;
-  writer.begin();
+  writer.begin_object();
   if (!controller.empty()) writer.key("Foreman").text(controller);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
--- a/src/wire/client_api.cpp
+++ b/src/wire/client_api.cpp
@@ -22,8 +22,8 @@
 
 constexpr const char* kExpectedAmount = "a number of at least 0";
 
-/// The texts in their order, each where it first stands.
-std::vector<std::string> without_repeats(const std::vector<std::string>& texts) {
+/// Returns the texts without duplicates, in the order of their first occurrence.
+std::vector<std::string> without_duplicates(const std::vector<std::string>& texts) {
   std::set<std::string_view> seen;
   std::vector<std::string> unique;
   for (const auto& text : texts) {
@@ -32,21 +32,21 @@
   return unique;
 }
 
-/// Reads the fields of a job one after the other, up to the first that is wrong.
+/// Reads the fields of a job in sequence, up to the first invalid one.
 class JobReader {
  public:
   explicit JobReader(const Json& object) : object_(object) {}
 
   base::Result<JobSpec, FieldError> read() {
     const bool valid = read_id() && read_names() && read_kind() && read_priority() &&
-                       read_tasks() && read_image() && read_quota_field() && read_flags() &&
+                       read_tasks() && read_image() && read_amounts() && read_flags() &&
                        read_types() && read_zone() && read_due() && read_dependencies();
     if (!valid) return base::Failure(error_);
     return std::move(job_);
   }
 
  private:
-  /// Notes the error; false, so that a step can return it.
+  /// Records the error and returns false, the result of the failed step.
   bool reject(std::string field, std::string expectation) {
     error_ = {std::move(field), std::move(expectation)};
     return false;
@@ -59,7 +59,7 @@
     return true;
   }
 
-  /// A text that may not be empty; none if it is absent, empty or too long.
+  /// Reads a non-empty string; none if it is absent, empty or too long.
   std::optional<std::string> read_bounded(const char* field, std::size_t max_bytes) const {
     auto text = read_text(object_, field);
     if (!text || text->empty() || text->size() > max_bytes) return std::nullopt;
@@ -108,7 +108,7 @@
     return true;
   }
 
-  bool read_quota_field() {
+  bool read_amounts() {
     struct Amount {
       const char* field;
       double* value;
@@ -144,7 +144,8 @@
     if (find(object_, "Frames") == nullptr) return true;
     const auto types = read_texts(object_, "Frames");
     if (!types || types->size() > kMaxTypes) return reject("Frames", "a list of machine types");
-    // An empty list allows no type at all; the name of no type says so inside.
+    // An empty list in the request allows no machine type. JobSpec represents it as one empty name,
+    // because an empty list in JobSpec allows any type.
     job_.types = types->empty() ? std::vector<std::string>{""} : *types;
     return true;
   }
@@ -161,7 +162,7 @@
     if (find(object_, "DueS") == nullptr) return true;
     const auto due = read_amount(object_, "DueS");
     if (!due || *due < 0) return reject("DueS", kExpectedAmount);
-    job_.due_s = *due;
+    job_.deadline_s = *due;
     return true;
   }
 
@@ -174,7 +175,7 @@
       return reject("WaitsOn",
                     "a list of at most " + std::to_string(kMaxDependencies) + " job ids");
     }
-    job_.dependencies = without_repeats(*dependencies);
+    job_.dependencies = without_duplicates(*dependencies);
     return true;
   }
 
@@ -184,9 +185,9 @@
 };
 
 void write_texts(JsonWriter& writer, const char* field, const std::vector<std::string>& texts) {
-  writer.key(field).list();
+  writer.key(field).begin_array();
   for (const auto& text : texts) writer.text(text);
-  writer.list_end();
+  writer.end_array();
 }
 
 }  // namespace
@@ -200,7 +201,7 @@
 }
 
 void write_job(JsonWriter& writer, const JobSpec& job) {
-  writer.begin();
+  writer.begin_object();
   writer.key("Id").text(job.id);
   writer.key("Gear").text(job.job_class);
   writer.key("Crew").text(job.team);
@@ -220,35 +221,35 @@
   writer.key("ExpectS").amount(job.estimate_s);
   writer.key("NotchS").amount(job.checkpoint_interval_s);
   writer.key("StowS").amount(job.checkpoint_save_s);
-  if (job.due_s) writer.key("DueS").amount(*job.due_s);
+  if (job.deadline_s) writer.key("DueS").amount(*job.deadline_s);
   if (!job.dependencies.empty()) write_texts(writer, "WaitsOn", job.dependencies);
-  writer.end();
+  writer.end_object();
 }
 
 std::string job_response(std::string_view id, JobState state) {
   JsonWriter writer;
-  writer.begin();
+  writer.begin_object();
   writer.key("Id").text(id);
   writer.key("Stance").text(name_of(kJobStates, state));
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
 std::string job_status(std::string_view id, JobState state, std::uint64_t done,
                        std::uint64_t running) {
   JsonWriter writer;
-  writer.begin();
+  writer.begin_object();
   writer.key("Id").text(id);
   writer.key("Stance").text(name_of(kJobStates, state));
   writer.key("done").count(done);
   writer.key("running").count(running);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
 std::string error_response(std::string_view reason) {
   JsonWriter writer;
-  writer.begin().key("error").text(reason).end();
+  writer.begin_object().key("error").text(reason).end_object();
   return writer.take();
 }
 
--- a/src/wire/client_api.hpp
+++ b/src/wire/client_api.hpp
@@ -1,5 +1,5 @@
-// The HTTP API for clients: submitted jobs, and what clients are answered. Stored job records hold
-// a job in the same form.
+// HTTP API for clients: submitted jobs and responses. Stored job records contain jobs in the same
+// form.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,13 @@
 
 enum class JobKind {
   job_array,  ///< independent tasks
-  gang,       ///< tasks that run all at once or not at all
+  gang,       ///< tasks that run all together or not at all
   service,    ///< replicas that run until cancelled
 };
 /// In order of priority, highest first.
 enum class Priority { production, high, standard, best_effort };
 
-/// A job as its client describes it. Times are in seconds.
+/// Description of a job by its client. Times are in seconds.
 struct JobSpec {
   std::string id, job_class, team;
   JobKind kind = JobKind::job_array;
@@ -31,7 +31,7 @@
   Resources resources;  ///< of each task
   std::string image;
   double image_gb = 0;
-  /// Machine types that its tasks may run on; empty: any. One empty name: none at all.
+  /// Machine types that its tasks may run on; empty: any; a single empty name: none.
   std::vector<std::string> types;
   std::string zone;       ///< empty: any
   bool one_zone = false;  ///< all tasks in the same zone
@@ -39,35 +39,35 @@
   bool spot = false;      ///< may run on spot machines
   double estimate_s = 0;  ///< expected run time of a task
   double checkpoint_interval_s = 0, checkpoint_save_s = 0;
-  std::optional<double> due_s;  ///< after submission
-  /// Ids of the jobs that must be done before any task of this one starts, each once.
+  std::optional<double> deadline_s;  ///< since submission
+  /// Ids of the jobs that must be done before any task of this job starts, without duplicates.
   std::vector<std::string> dependencies;
 };
 
 inline constexpr std::uint32_t kMaxTasks = 100'000;
-/// Jobs that one job may name as dependencies.
+/// Maximum number of dependencies of a job.
 inline constexpr std::size_t kMaxDependencies = 256;
 
 /// A field of a submitted job that is absent or malformed.
 struct FieldError {
-  std::string field;        ///< the protocol's name of the field
-  std::string expectation;  ///< what it should have held
+  std::string field;        ///< name of the field in the protocol
+  std::string expectation;  ///< description of the valid values
 };
-/// "Gear: expected a class", as clients are told.
+/// Message for clients, for example "Gear: expected a class".
 std::string to_string(const FieldError& error);
 
-/// Reads a submitted or stored job; the error names the first field that is wrong.
+/// Reads a submitted or stored job; the error names the first invalid field.
 base::Result<JobSpec, FieldError> parse_job(const Json& object);
 void write_job(JsonWriter& writer, const JobSpec& job);
 
 enum class JobState { queued, running, done, cancelled };
 
-/// Body of the answer to a submission or cancellation.
+/// Body of the response to a submission or cancellation.
 std::string job_response(std::string_view id, JobState state);
-/// Body of the answer to a status request; `done` and `running` count tasks.
+/// Body of the response to a status request; `done` and `running` are numbers of tasks.
 std::string job_status(std::string_view id, JobState state, std::uint64_t done,
                        std::uint64_t running);
-/// Body of an answer with an error status.
+/// Body of a response with an error status.
 std::string error_response(std::string_view reason);
 
 }  // namespace cranklock::wire
--- a/src/wire/cloud_api.cpp
+++ b/src/wire/cloud_api.cpp
@@ -11,7 +11,7 @@
                                                      {MachineState::running, "running"},
                                                      {MachineState::failed, "failed"}}};
 
-bool read_quota_field(const Json& object, MachineType& type) {
+bool read_amounts(const Json& object, MachineType& type) {
   struct Amount {
     const char* field;
     double* value;
@@ -32,7 +32,7 @@
   MachineType type;
   const auto name = read_text(object, "Label");
   const auto zones = read_texts(object, "Yards");
-  if (!name || !zones || !read_quota_field(object, type)) return std::nullopt;
+  if (!name || !zones || !read_amounts(object, type)) return std::nullopt;
   type.name = *name;
   type.zones = *zones;
   return type;
@@ -56,7 +56,7 @@
 }
 
 void write_machine_type(JsonWriter& writer, const MachineType& type) {
-  writer.begin();
+  writer.begin_object();
   writer.key("Label").text(type.name);
   writer.key("Cpus").amount(type.resources.cpus);
   writer.key("Accelerators").amount(type.resources.gpus);
@@ -66,9 +66,9 @@
   writer.key("Price").amount(type.price);
   writer.key("SpotPrice").amount(type.spot_price);
   writer.key("ReadyS").amount(type.ready_s);
-  writer.key("Yards").list();
+  writer.key("Yards").begin_array();
   for (const auto& zone : type.zones) writer.text(zone);
-  writer.list_end().end();
+  writer.end_array().end_object();
 }
 
 }  // namespace
@@ -80,20 +80,20 @@
 }
 
 void write_machine_types(JsonWriter& writer, const std::vector<MachineType>& types) {
-  writer.begin().key("Frames").list();
+  writer.begin_object().key("Frames").begin_array();
   for (const auto& type : types) write_machine_type(writer, type);
-  writer.list_end().end();
+  writer.end_array().end_object();
 }
 
 std::string scale_out_request(const ScaleOutRequest& request) {
   JsonWriter writer;
-  writer.begin();
-  writer.key("Charter").text(request.request);
+  writer.begin_object();
+  writer.key("Charter").text(request.request_id);
   writer.key("Frame").text(request.type);
   writer.key("Yard").text(request.zone);
   writer.key("Loaners").flag(request.spot);
   writer.key("Count").integer(request.count);
-  writer.end();
+  writer.end_object();
   return writer.take();
 }
 
@@ -103,9 +103,9 @@
 
 std::string deletion_request(const std::vector<std::string>& machines) {
   JsonWriter writer;
-  writer.begin().key("Rigs").list();
+  writer.begin_object().key("Rigs").begin_array();
   for (const auto& machine : machines) writer.text(machine);
-  writer.list_end().end();
+  writer.end_array().end_object();
   return writer.take();
 }
 
--- a/src/wire/enum_names.hpp
+++ b/src/wire/enum_names.hpp
@@ -1,4 +1,4 @@
-// The protocol's words for the values of an enum. Used inside this package only.
+// Names of enum values in the protocol. For use within src/wire only.
 #pragma once
 
 #include <array>
@@ -13,7 +13,7 @@
 template <typename Enum, std::size_t Count>
 using EnumNames = std::array<std::pair<Enum, std::string_view>, Count>;
 
-/// Empty for a value that the protocol has no word for.
+/// Returns an empty text for a value without a name in the protocol.
 template <typename Enum, std::size_t Count>
 std::string_view name_of(const EnumNames<Enum, Count>& names, Enum value) {
   for (const auto& [candidate, name] : names) {
@@ -22,7 +22,7 @@
   return "";
 }
 
-/// None if the field is absent, no text, or no word that the protocol has for this enum.
+/// Returns none if the field is absent, not a string, or not a name of a value of this enum.
 template <typename Enum, std::size_t Count>
 std::optional<Enum> read_enum(const EnumNames<Enum, Count>& names, const Json& object,
                               const char* field) {
--- a/src/wire/json.hpp
+++ b/src/wire/json.hpp
@@ -1,5 +1,5 @@
-// Small helpers over RapidJSON: a writer that ends as a string, and checked reads. Absent fields
-// and fields that are null are the same.
+// Helpers for RapidJSON: a writer that produces a string, and checked reads. A field that is null
+// is treated as absent.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -17,13 +17,13 @@
 
 using Json = rapidjson::Value;
 
-/// Writes one JSON value as text, without blanks. Calls chain; their order is that of the text.
+/// Writes one JSON value as text without whitespace. Calls can be chained and append in sequence.
 class JsonWriter {
  public:
-  JsonWriter& begin() { return writer_.StartObject(), *this; }
-  JsonWriter& end() { return writer_.EndObject(), *this; }
-  JsonWriter& list() { return writer_.StartArray(), *this; }
-  JsonWriter& list_end() { return writer_.EndArray(), *this; }
+  JsonWriter& begin_object() { return writer_.StartObject(), *this; }
+  JsonWriter& end_object() { return writer_.EndObject(), *this; }
+  JsonWriter& begin_array() { return writer_.StartArray(), *this; }
+  JsonWriter& end_array() { return writer_.EndArray(), *this; }
   JsonWriter& key(std::string_view name) {
     writer_.Key(name.data(), static_cast<rapidjson::SizeType>(name.size()));
     return *this;
@@ -37,12 +37,12 @@
   JsonWriter& amount(double value) { return writer_.Double(value), *this; }
   JsonWriter& flag(bool value) { return writer_.Bool(value), *this; }
   JsonWriter& null() { return writer_.Null(), *this; }
-  /// A value that is JSON already.
+  /// Writes a value that is already JSON text.
   JsonWriter& raw(std::string_view value) {
     writer_.RawValue(value.data(), value.size(), rapidjson::kObjectType);
     return *this;
   }
-  /// The text; the writer is of no further use.
+  /// Returns the text; the writer must not be used afterwards.
   std::string take() { return {buffer_.GetString(), buffer_.GetSize()}; }
 
  private:
@@ -50,7 +50,8 @@
   rapidjson::Writer<rapidjson::StringBuffer> writer_{buffer_};
 };
 
-/// A parsed document, or nothing if the text is not JSON. Nesting is bounded by iterative parsing.
+/// A parsed document; `ok` is false if the text is not JSON. Parsing is iterative, so deep nesting
+/// can't exhaust the stack.
 class JsonDocument {
  public:
   explicit JsonDocument(std::string_view text) {
@@ -64,10 +65,10 @@
   rapidjson::Document document_;
 };
 
-/// The field, or a null pointer if it is absent, null, or `object` is no object.
+/// Returns the field; nullptr if it is absent or null, or if `object` is not an object.
 const Json* find(const Json& object, const char* field);
 
-// Each of these is none if the field is absent or not of the type.
+// These return none if the field is absent or of another type.
 std::optional<std::string> read_text(const Json& object, const char* field);
 /// A finite number.
 std::optional<double> read_amount(const Json& object, const char* field);
@@ -76,8 +77,8 @@
 std::optional<bool> read_flag(const Json& object, const char* field);
 std::optional<std::vector<std::string>> read_texts(const Json& object, const char* field);
 
-/// Reads a list item by item with `read_item`, which returns an optional; none if the field is no
-/// list or an item can't be read.
+/// Reads an array with `read_item`, which returns an optional; none if the field is not an array or
+/// `read_item` fails for an item.
 template <typename Item, typename ReadItem>
 std::optional<std::vector<Item>> read_list(const Json& object, const char* field,
                                            ReadItem&& read_item) {
@@ -92,8 +93,8 @@
   return items;
 }
 
-/// Parses a text that is an object and reads it with `read`, which returns an optional; none if the
-/// text is not JSON, no object, or can't be read.
+/// Parses a JSON object and reads it with `read`, which returns an optional; none if the text is
+/// not a JSON object or `read` fails.
 template <typename Read>
 auto parse_object(std::string_view text, Read&& read)
     -> decltype(read(std::declval<const Json&>())) {
@@ -102,7 +103,7 @@
   return read(document.root());
 }
 
-/// The value as JSON text.
+/// Returns the value as JSON text.
 std::string to_text(const Json& value);
 
 }  // namespace cranklock::wire
--- a/src/wire/store_api.cpp
+++ b/src/wire/store_api.cpp
@@ -15,7 +15,7 @@
   return StoredValue{*key, to_text(*data), *revision};
 }
 
-/// A write or a removal.
+/// Reads a write or a removal.
 std::optional<StoredValue> read_change(const Json& object) {
   const auto revision = read_count(object, "Mark");
   const auto written = read_text(object, "Write");
@@ -28,7 +28,7 @@
 }
 
 void write_mutation(JsonWriter& writer, const Mutation& mutation) {
-  writer.begin();
+  writer.begin_object();
   if (mutation.is_removal()) {
     writer.key("Remove").text(mutation.key);
   } else {
@@ -36,10 +36,10 @@
     writer.key("Data").raw(mutation.data);
     if (mutation.lease != 0) writer.key("Hold").count(mutation.lease);
   }
-  writer.end();
+  writer.end_object();
 }
 
-/// `list`: field that holds the items.
+/// `list`: name of the field with the items.
 template <typename ReadItem>
 std::optional<RangePage> read_page(const Json& object, const char* list, ReadItem&& read_item) {
   auto items = read_list<StoredValue>(object, list, read_item);
@@ -53,13 +53,18 @@
 std::string compare_and_swap_request(const std::vector<Compare>& compares,
                                      const std::vector<Mutation>& mutations) {
   JsonWriter writer;
-  writer.begin().key("If").list();
+  writer.begin_object().key("If").begin_array();
   for (const auto& compare : compares) {
-    writer.begin().key("K").text(compare.key).key("Mark").count(compare.revision).end();
+    writer.begin_object()
+        .key("K")
+        .text(compare.key)
+        .key("Mark")
+        .count(compare.revision)
+        .end_object();
   }
-  writer.list_end().key("Then").list();
+  writer.end_array().key("Then").begin_array();
   for (const auto& mutation : mutations) write_mutation(writer, mutation);
-  writer.list_end().end();
+  writer.end_array().end_object();
   return writer.take();
 }
 
@@ -104,9 +109,9 @@
          "&HoldMs=" + std::to_string(wait_ms);
 }
 
-std::string lease_request(int life_ms) {
+std::string lease_request(int ttl_ms) {
   JsonWriter writer;
-  writer.begin().key("LifeMs").integer(life_ms).end();
+  writer.begin_object().key("LifeMs").integer(ttl_ms).end_object();
   return writer.take();
 }
 
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -1,4 +1,4 @@
-// Values that the messages of several partners share.
+// Types shared by the messages of several protocols.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace cranklock::wire {
 
-/// Resources of a task or machine; also sums and differences of them.
+/// Resources of a task or machine, or sums and differences of such resources.
 struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
 
@@ -27,13 +27,13 @@
     return {a.cpus * n, a.gpus * n, a.memory_gb * n};
   }
   bool fits_in(const Resources& other) const {
-    constexpr double kSlack = 1e-6;  // sums of decimal amounts
-    return cpus <= other.cpus + kSlack && gpus <= other.gpus + kSlack &&
-           memory_gb <= other.memory_gb + kSlack;
+    constexpr double kTolerance = 1e-6;  // rounding of sums of decimal amounts
+    return cpus <= other.cpus + kTolerance && gpus <= other.gpus + kTolerance &&
+           memory_gb <= other.memory_gb + kTolerance;
   }
 };
 
-/// True for the form that every job id has: "j-" and digits.
+/// Whether the text is a valid job id: "j-" and digits, at most 40 bytes.
 bool valid_job_id(std::string_view id);
 
 /// One task of a job.
@@ -42,9 +42,9 @@
   std::uint32_t index = 0;
   auto operator<=>(const TaskName&) const = default;  // NOLINT(modernize-use-nullptr)
 };
-/// "j-000412/7".
+/// Returns job and index, for example "j-000412/7".
 std::string to_string(const TaskName& name);
-/// None if the text is not of the form that to_string writes.
+/// Returns none if the text does not have the form that to_string writes.
 std::optional<TaskName> parse_task(std::string_view text);
 
 }  // namespace cranklock::wire
--- a/tests/candidates_test.cpp
+++ b/tests/candidates_test.cpp
@@ -114,7 +114,7 @@
   add("j-000002", 2000);
   Job due = make_job("j-000003", JobKind::job_array, 1, 1);
   due.created_ms = -100'000;
-  due.spec.due_s = 1;
+  due.spec.deadline_s = 1;
   fleet.add(std::move(due)).ready_ms = 3000;
   const WaitingQueue queue = queue_waiting_jobs(fleet.cluster, kNow);
   ASSERT_EQ(queue.jobs.size(), 3U);
--- a/tests/cloud_client_test.cpp
+++ b/tests/cloud_client_test.cpp
@@ -1,4 +1,4 @@
-// What the cloud's answers mean for each request.
+// Mapping of the cloud's responses to the result of each request.
 #include <gtest/gtest.h>
 
 #include "cloud/client.hpp"
@@ -28,61 +28,62 @@
     return operation.take();
   }
   ScaleOutResult scale_out() { return result_of(client.scale_out({"r-7-1", "g8", "a", false, 2})); }
-  DeletionResult remove() { return result_of(client.remove({"n-1"})); }
+  DeletionResult delete_machine() { return result_of(client.delete_machines({"n-1"})); }
 };
 
-TEST_F(CloudClientTest, AGrantedScaleOutNamesItsMachines) {
-  transport.answer(200, R"({"Rigs":["n-1","n-2"]})");
+TEST_F(CloudClientTest, GrantedScaleOutReturnsMachineIds) {
+  transport.set_response(200, R"({"Rigs":["n-1","n-2"]})");
   const auto result = scale_out();
   EXPECT_EQ(result.kind, Kind::granted);
   EXPECT_EQ(result.machines, (std::vector<std::string>{"n-1", "n-2"}));
 }
 
-TEST_F(CloudClientTest, AScaleOutThatTheCloudHasNoCapacityForIsToldFromOneInTrouble) {
-  transport.answer(503, R"({"error":"no capacity"})");
+TEST_F(CloudClientTest, ScaleOutDistinguishesLackOfCapacityFromFailure) {
+  transport.set_response(503, R"({"error":"no capacity"})");
   EXPECT_EQ(scale_out().kind, Kind::no_capacity);
-  transport.answer(400, "{}");
+  transport.set_response(400, "{}");
   EXPECT_EQ(scale_out().kind, Kind::no_capacity);
-  transport.answer(503, R"({"error":"trouble"})");
+  transport.set_response(503, R"({"error":"trouble"})");
   EXPECT_EQ(scale_out().kind, Kind::rejected);
 }
 
-TEST_F(CloudClientTest, AScaleOutBeyondTheRateOrNotSentIsRejected) {
-  transport.answer(429, "{}");
+TEST_F(CloudClientTest, ScaleOutBeyondTheRateOrUnsentIsRejected) {
+  transport.set_response(429, "{}");
   EXPECT_EQ(scale_out().kind, Kind::rejected);
-  transport.fail(Reply::Kind::not_sent);
+  transport.set_failure(Reply::Kind::not_sent);
   EXPECT_EQ(scale_out().kind, Kind::rejected);
 }
 
-TEST_F(CloudClientTest, AScaleOutWithoutAReadableAnswerIsIndeterminate) {
-  transport.fail(Reply::Kind::unknown);
+TEST_F(CloudClientTest, ScaleOutWithoutValidResponseIsIndeterminate) {
+  transport.set_failure(Reply::Kind::unknown);
   EXPECT_EQ(scale_out().kind, Kind::indeterminate);
-  transport.answer(200, "nonsense");
+  transport.set_response(200, "nonsense");
   EXPECT_EQ(scale_out().kind, Kind::indeterminate);
-  transport.answer(500, "{}");
+  transport.set_response(500, "{}");
   EXPECT_EQ(scale_out().kind, Kind::indeterminate);
 }
 
-TEST_F(CloudClientTest, OnlyA200ProvesADeletion) {
-  transport.answer(200, "{}");
-  EXPECT_EQ(remove(), DeletionResult::deleted);
-  transport.answer(400, "{}");
-  EXPECT_EQ(remove(), DeletionResult::rejected);
+TEST_F(CloudClientTest, Only200ProvesDeletion) {
+  transport.set_response(200, "{}");
+  EXPECT_EQ(delete_machine(), DeletionResult::deleted);
+  transport.set_response(400, "{}");
+  EXPECT_EQ(delete_machine(), DeletionResult::rejected);
   for (const int status : {404, 429, 500, 503}) {
-    transport.answer(status, "{}");
-    EXPECT_EQ(remove(), DeletionResult::indeterminate) << status;
+    transport.set_response(status, "{}");
+    EXPECT_EQ(delete_machine(), DeletionResult::indeterminate) << status;
   }
-  transport.fail(Reply::Kind::unknown);
-  EXPECT_EQ(remove(), DeletionResult::indeterminate);
-  transport.fail(Reply::Kind::not_sent);
-  EXPECT_EQ(remove(), DeletionResult::indeterminate);
+  transport.set_failure(Reply::Kind::unknown);
+  EXPECT_EQ(delete_machine(), DeletionResult::indeterminate);
+  transport.set_failure(Reply::Kind::not_sent);
+  EXPECT_EQ(delete_machine(), DeletionResult::indeterminate);
 }
 
-TEST_F(CloudClientTest, AListOfWhichOnePageIsMissingIsNone) {
-  transport.answer(503, "{}");
-  EXPECT_FALSE(result_of(client.list()));
-  transport.answer(200, R"({"Rigs":[{"Id":"n-1","Frame":"g8","Yard":"a","Stance":"running"}]})");
-  const auto machines = result_of(client.list());
+TEST_F(CloudClientTest, ListWithFailedPageIsNone) {
+  transport.set_response(503, "{}");
+  EXPECT_FALSE(result_of(client.list_machines()));
+  transport.set_response(200,
+                         R"({"Rigs":[{"Id":"n-1","Frame":"g8","Yard":"a","Stance":"running"}]})");
+  const auto machines = result_of(client.list_machines());
   ASSERT_TRUE(machines);
   ASSERT_EQ(machines->size(), 1U);
   EXPECT_EQ(machines->front().id, "n-1");
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -153,7 +153,7 @@
 
   Placed other;
   other.cluster.machine("n-1")->agent.token_acknowledged = false;
-  const double last = base::response_span(other.settings);  // our leadership began at 0
+  const double last = base::response_window_s(other.settings);  // our leadership began at 0
   EXPECT_TRUE(other.cluster.expire_leases(last + other.settings.lease_s).empty());
   EXPECT_FALSE(other.placement().ended);
   EXPECT_EQ(other.cluster.expire_leases(last + other.settings.lease_s + 1).size(), 1u);
@@ -169,7 +169,7 @@
   job.placements.push_back(p);
   Job& stored = s.add(job);
   s.cluster.upsert_machine("n-1", {"g8", "b", false}, 1);  // the list names it
-  const double over = base::response_span(s.settings) + s.settings.lease_s;
+  const double over = base::response_window_s(s.settings) + s.settings.lease_s;
   EXPECT_TRUE(s.cluster.expire_leases(over).empty());
   EXPECT_EQ(s.cluster.expire_leases(over + 1).size(), 1u);
   EXPECT_TRUE(stored.placements[0].ended);
--- a/tests/complete_job.hpp
+++ b/tests/complete_job.hpp
@@ -34,7 +34,7 @@
   job.estimate_s = 240;
   job.checkpoint_interval_s = 30.5;
   job.checkpoint_save_s = 4;
-  job.due_s = 900;
+  job.deadline_s = 900;
   job.dependencies = {"j-1", "j-22"};
   return job;
 }
@@ -57,7 +57,7 @@
   EXPECT_EQ(job.estimate_s, 240);
   EXPECT_EQ(job.checkpoint_interval_s, 30.5);
   EXPECT_EQ(job.checkpoint_save_s, 4);
-  EXPECT_EQ(job.due_s, 900.0);
+  EXPECT_EQ(job.deadline_s, 900.0);
   EXPECT_EQ(job.dependencies, (std::vector<std::string>{"j-1", "j-22"}));
 }
 
--- a/tests/compound_failures_test.cpp
+++ b/tests/compound_failures_test.cpp
@@ -122,8 +122,8 @@
     lease.caught_up(90);
     // A cancellation may have been confirmed from 90 on. A heartbeat that is answered at the last
     // moment was sent no later, and its lease is counted from there.
-    const double last_answer = lease.may_respond_until() * (1 + 2 * base::kClockDrift);
-    EXPECT_LT(last_answer + s.lease_s * (1 + 2 * base::kClockDrift), 90 + s.cancel_s);
+    const double last_answer = lease.may_respond_until() * (1 + 2 * base::kMaxClockDrift);
+    EXPECT_LT(last_answer + s.lease_s * (1 + 2 * base::kMaxClockDrift), 90 + s.cancel_s);
     EXPECT_FALSE(lease.may_respond(lease.may_respond_until()));
     EXPECT_FALSE(lease.may_start(90 + control::LeaderLease::lease_life(s)));
     EXPECT_TRUE(lease.valid(101));
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -190,7 +190,7 @@
   s.add(std::move(middle));
   auto last = dependent("j-000003", {"j-000002"});
   last.spec.estimate_s = 5;
-  last.spec.due_s = 60;
+  last.spec.deadline_s = 60;
   s.add(std::move(last));
   s.pass();
   EXPECT_EQ(s.cluster.job("j-000003")->urgency.start_by_ms, 1000 + 55'000);
--- a/tests/event_rate_test.cpp
+++ b/tests/event_rate_test.cpp
@@ -5,15 +5,15 @@
 namespace cranklock::base {
 namespace {
 
-TEST(EventRate, IsThatOfTheLastFullWindowAndEndsWithTheEvents) {
+TEST(EventRate, IsThatOfTheLastCompletedWindowAndDropsToZeroWithoutEvents) {
   EventRate rate(2);
-  for (int i = 0; i < 20; ++i) rate.note(100 + i * 0.1);
-  EXPECT_EQ(rate.per_second(101.9), 0);  // the window is not over
+  for (int i = 0; i < 20; ++i) rate.record(100 + i * 0.1);
+  EXPECT_EQ(rate.per_second(101.9), 0);  // the first window has not ended
   EXPECT_NEAR(rate.per_second(102.0), 10, 0.01);
-  EXPECT_NEAR(rate.per_second(103.9), 10, 0.01);  // still the last full one
+  EXPECT_NEAR(rate.per_second(103.9), 10, 0.01);  // rate of the last completed window
   EXPECT_EQ(rate.per_second(104.0), 0);
-  rate.note(200);
-  EXPECT_EQ(rate.per_second(210), 0);  // one event long ago
+  rate.record(200);
+  EXPECT_EQ(rate.per_second(210), 0);  // the only event is long past
 }
 
 }  // namespace
--- a/tests/fixed_reply.hpp
+++ b/tests/fixed_reply.hpp
@@ -1,4 +1,4 @@
-// A transport for tests of the clients of outside systems.
+// Transport for tests of the clients of external systems.
 #pragma once
 
 #include <string>
@@ -8,17 +8,17 @@
 
 namespace cranklock::testing {
 
-/// Gives every call the same reply, at once.
+/// Returns the same reply to every call, immediately.
 struct FixedReply : net::Transport {
   net::Reply reply;
   int calls = 0;
 
-  void answer(int status, std::string body) {
+  void set_response(int status, std::string body) {
     reply.kind = net::Reply::Kind::answered;
     reply.response.status = status;
     reply.response.body = std::move(body);
   }
-  void fail(net::Reply::Kind kind) { reply.kind = kind; }
+  void set_failure(net::Reply::Kind kind) { reply.kind = kind; }
   net::Task<net::Reply> call(std::string, net::Request, double) override {
     ++calls;
     co_return reply;
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -21,7 +21,7 @@
 inline base::Settings settings_with_moves() {
   base::Settings settings = small_settings();
   settings.teams = {{"red", 0, 0, 64, 64}, {"blue", 0, 0, 64, 64}};
-  settings.operators.defrag.moves = true;
+  settings.operator_settings.defrag.moves = true;
   return settings;
 }
 
--- a/tests/frame_compatibility_test.cpp
+++ b/tests/frame_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// Frames between controllers and between regions, and the drain interface, as literal bytes. Both
-// sides of a link may be of different versions while one is replaced by the other.
+// Encoding of frames between controllers and between regions, and of the drain interface, as
+// literal bytes. During an upgrade the two sides of a connection may run different versions.
 #include <gtest/gtest.h>
 
 #include "defrag/drain.hpp"
@@ -9,19 +9,19 @@
 namespace cranklock::testing {
 namespace {
 
-/// The bytes of a string literal, which may hold zeros.
+/// Returns the bytes of a string literal, which may contain zeros.
 template <std::size_t N>
 std::string bytes(const char (&literal)[N]) {
   return {literal, N - 1};
 }
 
-// Between controllers. A frame begins with the length of what follows its header (two bytes), the
+// Frames between controllers. The header consists of the length of the body (two bytes), the
 // version and the kind.
 
-const peer::PeerHeartbeat kHello{
+const peer::PeerHeartbeat kPeerHeartbeat{
     "winch-1",          0x0102030405060708, true,      true, 0x1112131415161718, 0x2122232425262728,
     0x3132333435363738, 0x4142434445464748, 0x51525354};
-const std::string kHelloBytes = bytes(
+const std::string kPeerHeartbeatBytes = bytes(
     "\x00\x36\x02\x01"
     "\x07winch-1"
     "\x01\x02\x03\x04\x05\x06\x07\x08"
@@ -32,15 +32,15 @@
     "\x41\x42\x43\x44\x45\x46\x47\x48"
     "\x51\x52\x53\x54");
 
-const peer::ForwardedHeartbeat kReport{0x0102030405060708, R"({"Rig":"n-1"})"};
-const std::string kReportBytes = bytes(
+const peer::ForwardedHeartbeat kForwardedHeartbeat{0x0102030405060708, R"({"Rig":"n-1"})"};
+const std::string kForwardedHeartbeatBytes = bytes(
     "\x00\x17\x02\x02"
     "\x01\x02\x03\x04\x05\x06\x07\x08"
     "\x00\x0d{\"Rig\":\"n-1\"}");
 
-const peer::ForwardedResponse kAnswer{0x0102030405060708, 421, 0x1112131415161718, 0x21222324,
-                                      "{}"};
-const std::string kAnswerBytes = bytes(
+const peer::ForwardedResponse kForwardedResponse{0x0102030405060708, 421, 0x1112131415161718,
+                                                 0x21222324, "{}"};
+const std::string kForwardedResponseBytes = bytes(
     "\x00\x1a\x02\x03"
     "\x01\x02\x03\x04\x05\x06\x07\x08"
     "\x01\xa5"
@@ -48,7 +48,7 @@
     "\x21\x22\x23\x24"
     "\x00\x02{}");
 
-/// The frame that the bytes are, whole and with nothing left over.
+/// Unpacks one frame and expects no remaining bytes.
 peer::Frame unpacked(std::string buffer) {
   auto frame = peer::unpack(buffer);
   EXPECT_TRUE(frame.has_value());
@@ -56,27 +56,27 @@
   return frame ? std::move(*frame) : peer::Frame();
 }
 
-TEST(ControllerFrames, AHelloWithEveryFieldIsPackedAndUnpacked) {
-  EXPECT_EQ(peer::pack(kHello), kHelloBytes);
-  EXPECT_EQ(unpacked(kHelloBytes), peer::Frame(kHello));
+TEST(ControllerFrames, PeerHeartbeatWithEveryFieldIsPackedAndUnpacked) {
+  EXPECT_EQ(peer::pack(kPeerHeartbeat), kPeerHeartbeatBytes);
+  EXPECT_EQ(unpacked(kPeerHeartbeatBytes), peer::Frame(kPeerHeartbeat));
 }
 
-TEST(ControllerFrames, EachFlagOfAHelloHasItsPlace) {
-  peer::PeerHeartbeat state_only = kHello;
-  state_only.hears_workers = false;
-  std::string state_only_bytes = kHelloBytes;
+TEST(ControllerFrames, EachFlagOfAPeerHeartbeatHasItsOwnByte) {
+  peer::PeerHeartbeat state_only = kPeerHeartbeat;
+  state_only.receives_heartbeats = false;
+  std::string state_only_bytes = kPeerHeartbeatBytes;
   state_only_bytes[21] = '\0';
   EXPECT_EQ(peer::pack(state_only), state_only_bytes);
   EXPECT_EQ(unpacked(state_only_bytes), peer::Frame(state_only));
-  peer::PeerHeartbeat workers_only = kHello;
-  workers_only.reaches_state = false;
-  std::string workers_only_bytes = kHelloBytes;
+  peer::PeerHeartbeat workers_only = kPeerHeartbeat;
+  workers_only.reaches_store = false;
+  std::string workers_only_bytes = kPeerHeartbeatBytes;
   workers_only_bytes[20] = '\0';
   EXPECT_EQ(peer::pack(workers_only), workers_only_bytes);
   EXPECT_EQ(unpacked(workers_only_bytes), peer::Frame(workers_only));
 }
 
-TEST(ControllerFrames, AHelloThatNeverAnsweredAloneIsPackedWithOnes) {
+TEST(ControllerFrames, PeerHeartbeatWithoutDelegatedResponseIsPackedWithAllOnes) {
   peer::PeerHeartbeat peer_heartbeat;
   peer_heartbeat.name = "a";
   const std::string expected = bytes(
@@ -88,19 +88,19 @@
   EXPECT_EQ(unpacked(expected), peer::Frame(peer_heartbeat));
 }
 
-TEST(ControllerFrames, AForwardedReportIsPackedAndUnpacked) {
-  EXPECT_EQ(peer::pack(kReport), kReportBytes);
-  EXPECT_EQ(unpacked(kReportBytes), peer::Frame(kReport));
+TEST(ControllerFrames, ForwardedHeartbeatIsPackedAndUnpacked) {
+  EXPECT_EQ(peer::pack(kForwardedHeartbeat), kForwardedHeartbeatBytes);
+  EXPECT_EQ(unpacked(kForwardedHeartbeatBytes), peer::Frame(kForwardedHeartbeat));
 }
 
-TEST(ControllerFrames, AForwardedAnswerIsPackedAndUnpacked) {
-  EXPECT_EQ(peer::pack(kAnswer), kAnswerBytes);
-  EXPECT_EQ(unpacked(kAnswerBytes), peer::Frame(kAnswer));
+TEST(ControllerFrames, ForwardedResponseIsPackedAndUnpacked) {
+  EXPECT_EQ(peer::pack(kForwardedResponse), kForwardedResponseBytes);
+  EXPECT_EQ(unpacked(kForwardedResponseBytes), peer::Frame(kForwardedResponse));
 }
 
-// Between regions.
+// Frames between regions.
 
-// The order is: CPUs guaranteed, CPUs at most, GPUs guaranteed, GPUs at most.
+// Order: guaranteed CPUs, maximum CPUs, guaranteed GPUs, maximum GPUs.
 const regions::QuotaAmounts kAmounts({0x0111, 0x0222, 0x0333, 0x0444});
 const std::string kAmountsBytes = bytes(
     "\0\0\0\0\0\0\x01\x11"
@@ -117,7 +117,7 @@
   EXPECT_TRUE(buffer.empty());
 }
 
-TEST(FramesBetweenRegions, AHelloIsPackedAndUnpacked) {
+TEST(FramesBetweenRegions, RegionHeartbeatIsPackedAndUnpacked) {
   expect_region_frame(regions::RegionHeartbeat{"east", "winch-1", "west", 0x0102030405060708},
                       bytes("\x00\x1a\x01\x01"
                             "\x04"
@@ -127,14 +127,14 @@
                             "\x01\x02\x03\x04\x05\x06\x07\x08"));
 }
 
-TEST(FramesBetweenRegions, ARequestIsPackedAndUnpacked) {
+TEST(FramesBetweenRegions, QuotaRequestIsPackedAndUnpacked) {
   expect_region_frame(regions::QuotaRequest{"red", kAmounts, 0x0102030405060708},
                       bytes("\x00\x2c\x01\x02"
                             "\x03red") +
                           kAmountsBytes + bytes("\x01\x02\x03\x04\x05\x06\x07\x08"));
 }
 
-TEST(FramesBetweenRegions, ATransferIsPackedAndUnpacked) {
+TEST(FramesBetweenRegions, QuotaTransferIsPackedAndUnpacked) {
   expect_region_frame(regions::QuotaTransfer{0x0102030405060708, "red", kAmounts},
                       bytes("\x00\x2c\x01\x03"
                             "\x01\x02\x03\x04\x05\x06\x07\x08"
@@ -142,7 +142,7 @@
                           kAmountsBytes);
 }
 
-TEST(FramesBetweenRegions, AReceiptIsPackedAndUnpacked) {
+TEST(FramesBetweenRegions, TransferAcknowledgementIsPackedAndUnpacked) {
   expect_region_frame(regions::TransferAcknowledgement{0x0102030405060708},
                       bytes("\x00\x08\x01\x04"
                             "\x01\x02\x03\x04\x05\x06\x07\x08"));
@@ -172,7 +172,7 @@
   EXPECT_EQ(read->within_s, 12.5);
 }
 
-TEST(DrainInterface, EveryFieldAndStateOfAnAnswerIsWrittenAndRead) {
+TEST(DrainInterface, EveryFieldAndStateOfAResponseIsWrittenAndRead) {
   for (const auto& [state, name] : {std::pair{defrag::DrainState::draining, "draining"},
                                     std::pair{defrag::DrainState::drained, "drained"},
                                     std::pair{defrag::DrainState::refused, "refused"}}) {
@@ -193,7 +193,7 @@
   }
 }
 
-TEST(DrainInterface, AnAnswerMayLeaveOutItsOpenRequests) {
+TEST(DrainInterface, OpenRequestsOfAResponseAreOptional) {
   const auto read =
       defrag::read_drain_answer(R"({"task":"j-000412/3","attempt":14,"state":"drained"})");
   ASSERT_TRUE(read);
--- a/tests/heartbeat_forwarder_test.cpp
+++ b/tests/heartbeat_forwarder_test.cpp
@@ -46,7 +46,7 @@
   bool responded_as_delegate() const {
     peer::PeerHeartbeat peer_heartbeat;
     forwarder.describe(peer_heartbeat);
-    return peer_heartbeat.delegate_responded_ms != peer::kNever;
+    return peer_heartbeat.delegate_responded_ms != peer::kNeverMs;
   }
 };
 
--- a/tests/lease_tracker_test.cpp
+++ b/tests/lease_tracker_test.cpp
@@ -22,7 +22,7 @@
 
 TEST_F(LeaseTest, IsTimedFromOurLastAnswerWithRoomForDrift) {
   EXPECT_EQ(leases.latest_possible_response(machine, 105), kLeaderSince);
-  EXPECT_GT(leases.lease_upper_bound(), settings.lease_s * (1 + 2 * base::kClockDrift));
+  EXPECT_GT(leases.lease_upper_bound(), settings.lease_s * (1 + 2 * base::kMaxClockDrift));
   const double end = kLeaderSince + leases.lease_upper_bound();
   EXPECT_FALSE(leases.has_expired(machine, end));
   EXPECT_TRUE(leases.has_expired(machine, end + 0.001));
@@ -32,8 +32,8 @@
 TEST_F(LeaseTest, WithoutOurTokenAFormerLeadersLastAnswerCounts) {
   machine.agent.token_acknowledged = false;
   const double latest = leases.latest_possible_response(machine, 101);
-  EXPECT_GE(latest, kLeaderSince + base::response_span(settings));
-  EXPECT_LT(latest, kLeaderSince + base::response_span(settings) + 1);
+  EXPECT_GE(latest, kLeaderSince + base::response_window_s(settings));
+  EXPECT_LT(latest, kLeaderSince + base::response_window_s(settings) + 1);
 }
 
 // Guards against starting a task again while a forwarder in an unreachable zone may still renew
--- a/tests/moves_cluster_test.cpp
+++ b/tests/moves_cluster_test.cpp
@@ -32,7 +32,7 @@
 
 TEST(Moves, NothingMovesUnlessTheOperatorTurnsItOn) {
   auto settings = settings_with_moves();
-  settings.operators.defrag.moves = false;
+  settings.operator_settings.defrag.moves = false;
   Fragments fragments(settings);
   fragments.ask_for_large();
   fragments.w.run(3 * kBoot);
@@ -393,8 +393,8 @@
 // A machine that was emptied stands idle until the next one is: it is not given back meanwhile.
 TEST(Moves, EmptiedMachinesAreKeptForTheWaitingJob) {
   auto settings = settings_with_moves();
-  settings.operators.scaler.down_window_s = 1;
-  settings.operators.scaler.down_cooldown_s = 0.1;
+  settings.operator_settings.scaler.scale_in_window_s = 1;
+  settings.operator_settings.scaler.scale_in_cooldown_s = 0.1;
   Fragments fragments(settings);
   auto& w = fragments.w;
   fragments.ask_for_large();
@@ -458,7 +458,7 @@
   w.submit(1, make_job(kLarge, JobKind::service, 1, 8, "blue").spec);
   // Eight GPUs run in pieces of one; two more tasks wait at the limit, and go before the others.
   auto waiting = make_job("j-000005", JobKind::job_array, 10, 1, "red").spec;
-  waiting.due_s = 1;
+  waiting.deadline_s = 1;
   w.submit(1, waiting);
   ASSERT_TRUE(fragments.until(10, [&] { return w.running("j-000005") == 8; }));
   ASSERT_TRUE(fragments.reach_plan());
--- a/tests/moves_replicas_test.cpp
+++ b/tests/moves_replicas_test.cpp
@@ -50,7 +50,7 @@
  private:
   static base::Settings settings() {
     auto settings = settings_with_moves();
-    settings.operators.defrag.drain = {"router", "/drains"};
+    settings.operator_settings.defrag.drain = {"router", "/drains"};
     return settings;
   }
   static wire::JobSpec replicas() { return make_job(kSmall, JobKind::service, 4, 3).spec; }
--- a/tests/operational_failures_test.cpp
+++ b/tests/operational_failures_test.cpp
@@ -292,14 +292,14 @@
   cluster.run(10);
   cluster.start_node(old);
   const double ready_s = machine_type().ready_s;
-  cluster.run(cluster.base_settings.operators.boot_patience * ready_s +
+  cluster.run(cluster.base_settings.operator_settings.boot_timeout_factor * ready_s +
               4 * cluster.base_settings.lease_s);
   for (int i = 1; i <= 2; ++i) EXPECT_EQ(cluster.running("j-00000" + std::to_string(i)), 2) << i;
   const auto booting =
       std::count_if(cluster.workers.begin(), cluster.workers.end(), [&](const auto& entry) {
         return !entry.second->gone && entry.second->up_at > cluster.reactor.now() &&
                cluster.reactor.now() - entry.second->began >
-                   cluster.base_settings.operators.boot_patience * ready_s + 10;
+                   cluster.base_settings.operator_settings.boot_timeout_factor * ready_s + 10;
       });
   EXPECT_EQ(booting, 0);
 }
@@ -319,7 +319,7 @@
   // Two for the work and one for headroom, and once more as many when they were late.
   constexpr int kAsked = 3;
   EXPECT_LE(cluster.machines_created, 2 * kAsked);
-  cluster.run(8 * cluster.base_settings.operators.scaler.down_window_s);
+  cluster.run(8 * cluster.base_settings.operator_settings.scaler.scale_in_window_s);
   EXPECT_LE(machines_present(cluster), kAsked);
   EXPECT_EQ(cluster.running("j-000001"), 2);
   EXPECT_EQ(cluster.ran_twice, 0);
@@ -622,7 +622,7 @@
 // and a cancellation is answered at once. A machine that really is faulty is found all the same.
 TEST(OperationalFailures, BrokenJobsMeetManyBestEffortJobs) {
   auto settings = with_best_effort_team();
-  settings.operators.scaler.min_machines = 5;  // none is given back for want of work
+  settings.operator_settings.scaler.min_machines = 5;  // none is given back for want of work
   TestCluster cluster(3, {"a", "a", "a"}, settings);
   cluster.run_s = 6;
   for (int i = 0; i < 5; ++i) cluster.add_worker("a");
--- a/tests/quota_ledger_test.cpp
+++ b/tests/quota_ledger_test.cpp
@@ -258,11 +258,11 @@
   TwoRegions two;
   // The same stores, and a file that names a third region; its own state service is empty.
   for (auto& [name, region] : two.regions) {
-    region.settings.operators.regions.regions.push_back({"c", 0, {}});
+    region.settings.operator_settings.regions.regions.push_back({"c", 0, {}});
   }
   auto& added = two.regions["c"];
   added.settings = two.regions.at("a").settings;
-  added.settings.operators.regions.self = "c";
+  added.settings.operator_settings.regions.self = "c";
   for (const std::string region : {"a", "b", "c"}) two.change_leader(region);
   EXPECT_EQ(two.held("c"), 0);
   two.wait_for("c", 4);
@@ -273,7 +273,7 @@
 
 TEST(QuotaLedger, SharesMadeByAnotherFounderStayUsableAndAreNotMoved) {
   TwoRegions two;
-  two.regions.at("a").settings.operators.regions.bootstrap_region = "b";
+  two.regions.at("a").settings.operator_settings.regions.bootstrap_region = "b";
   two.change_leader("a");
   EXPECT_TRUE(two.regions.at("a").ledger->is_frozen());
   EXPECT_EQ(two.held("a"), 6);
@@ -337,7 +337,7 @@
 
 TEST(QuotaLedger, ALowerLimitOfTheSettingsHoldsWhateverWasFounded) {
   TwoRegions two;
-  base::Team team = *two.regions.at("a").settings.team(kTeam);
+  base::Team team = *two.regions.at("a").settings.find_team(kTeam);
   const auto& ledger = *two.regions.at("a").ledger;
   EXPECT_DOUBLE_EQ(ledger.limit(team).gpus, 6);
   EXPECT_DOUBLE_EQ(ledger.guarantee(team).gpus, 3);
--- a/tests/quota_simulation.cpp
+++ b/tests/quota_simulation.cpp
@@ -54,12 +54,12 @@
     teams.push_back("team-" + std::to_string(i));
     settings.teams.push_back({teams.back(), 0, 0, limit / 2, limit});
   }
-  settings.operators.regions.bootstrap_region = all.front().name;
-  settings.operators.regions.regions = all;
+  settings.operator_settings.regions.bootstrap_region = all.front().name;
+  settings.operator_settings.regions.regions = all;
   for (const auto& region : all) {
     Region& made = regions[region.name];
     made.settings = settings;
-    made.settings.operators.regions.self = region.name;
+    made.settings.operator_settings.regions.self = region.name;
     change_leader(region.name);
   }
 }
@@ -122,7 +122,7 @@
 QuotaAmounts ShareSimulation::missing(const std::string& name, const std::string& team) const {
   const Region& region = regions.at(name);
   return regions::missing_quota(region.ledger->held(team), demand(region, team),
-                                regions::full_quota(*region.settings.team(team)));
+                                regions::full_quota(*region.settings.find_team(team)));
 }
 
 void ShareSimulation::speak(const std::string& name) {
@@ -225,10 +225,10 @@
 
 void ShareSimulation::check_team(const std::string& team) const {
   const auto& bootstrap_region =
-      regions.begin()->second.settings.operators.regions.bootstrap_region;
+      regions.begin()->second.settings.operator_settings.regions.bootstrap_region;
   const bool founded = regions.at(bootstrap_region).store.revision_of(regions::quota_key(team)) > 0;
   const QuotaAmounts whole =
-      founded ? regions::full_quota(*regions.at(bootstrap_region).settings.team(team))
+      founded ? regions::full_quota(*regions.at(bootstrap_region).settings.find_team(team))
               : QuotaAmounts{};
   EXPECT_EQ(sum(team).values(), whole.values()) << team;
   std::int64_t used = 0;
--- a/tests/recent_map_test.cpp
+++ b/tests/recent_map_test.cpp
@@ -1,4 +1,4 @@
-// Bounded maps: what is forgotten when they are full.
+// Eviction from a full map.
 #include "base/recent_map.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
   return "n-" + std::to_string(i);
 }
 
-TEST(RecentMap, AFullMapForgetsTheOldestAloneForEachThatComes) {
+TEST(RecentMap, FullMapEvictsOneEntryPerNewName) {
   constexpr int kCapacity = 100;
   RecentMap<int> map(kCapacity);
   for (int i = 0; i < kCapacity + 3; ++i) map.put(name(i), i);
@@ -22,7 +22,7 @@
   }
 }
 
-TEST(RecentMap, WhatIsWrittenAgainIsTheNewest) {
+TEST(RecentMap, RewrittenEntryIsTheNewest) {
   RecentMap<int> map(2);
   map.put("a", 1);
   map.put("b", 2);
--- a/tests/regions_cluster_test.cpp
+++ b/tests/regions_cluster_test.cpp
@@ -65,12 +65,12 @@
   all.run(4);
   auto& west = all.west;
   for (int i = 0; i < 3; ++i) west.crash_node(i);
-  const auto with_regions = west.base_settings.operators.regions;
-  west.base_settings.operators.regions = {};
+  const auto with_regions = west.base_settings.operator_settings.regions;
+  west.base_settings.operator_settings.regions = {};
   west.start_node(0);
   all.run(15);
   EXPECT_EQ(west.leader(), -1);
-  west.base_settings.operators.regions = with_regions;
+  west.base_settings.operator_settings.regions = with_regions;
   west.start_node(1);
   all.run(25);
   EXPECT_EQ(west.leader(), 1);
--- a/tests/replica_drain_test.cpp
+++ b/tests/replica_drain_test.cpp
@@ -51,7 +51,7 @@
 TEST(ReplicaDrain, HoldsForItsLeaseFromTheSendingOfTheRequest) {
   RequestedDrain drain;
   EXPECT_EQ(drain.answer(answer_of(DrainState::drained), kBegun, kBegun + 3), Result::drained);
-  const double until = kBegun + kLease * (1 - 2 * base::kClockDrift);
+  const double until = kBegun + kLease * (1 - 2 * base::kMaxClockDrift);
   EXPECT_DOUBLE_EQ(drain.drained_until(), until);
   EXPECT_TRUE(drain.holds(until - 0.001));
   EXPECT_FALSE(drain.holds(until));
--- a/tests/result_test.cpp
+++ b/tests/result_test.cpp
@@ -22,13 +22,13 @@
   EXPECT_EQ(*result, 7);
 }
 
-TEST(Result, HoldsTheReasonWhereThereIsNoValue) {
+TEST(Result, HoldsAnError) {
   EXPECT_FALSE(parse(""));
   EXPECT_EQ(parse("").error(), ParseError::empty);
   EXPECT_EQ(parse("x").error(), ParseError::malformed);
 }
 
-TEST(Result, ReadingWhatItDoesNotHoldThrows) {
+TEST(Result, ReadingTheAbsentAlternativeThrows) {
   EXPECT_THROW(static_cast<void>(parse("x").value()), std::bad_variant_access);
   EXPECT_THROW(static_cast<void>(parse("7").error()), std::bad_variant_access);
 }
@@ -39,7 +39,7 @@
   EXPECT_EQ(*taken, 3);
 }
 
-TEST(Result, ValueAndErrorMayBeOfOneType) {
+TEST(Result, ValueAndErrorMayHaveTheSameType) {
   const Result<std::string, std::string> value(std::string("value"));
   const Result<std::string, std::string> error(Failure(std::string("error")));
   EXPECT_EQ(*value, "value");
--- a/tests/rule_checker.cpp
+++ b/tests/rule_checker.cpp
@@ -181,7 +181,7 @@
     }
   }
   for (const auto& [name, resources] : use) {
-    const auto* team = settings_.team(name);
+    const auto* team = settings_.find_team(name);
     if (team != nullptr && team->gpus_max > 0 && resources.gpus > team->gpus_max + 1e-6) {
       std::string tasks;
       for (const auto& task : held) {
--- a/tests/scaler_test.cpp
+++ b/tests/scaler_test.cpp
@@ -10,11 +10,11 @@
 /// DESIGN's starting values, whatever the defaults are now.
 base::ScalerSettings design() {
   base::ScalerSettings s;
-  s.every_s = 5;
-  s.high = 0.9, s.low = 0.5;
-  s.up_window_s = 10, s.down_window_s = 60;
-  s.up_cooldown_s = 20, s.down_cooldown_s = 90;
-  s.step_machines = 1, s.step_share = 0.2, s.max_step = 50;
+  s.interval_s = 5;
+  s.high_score = 0.9, s.low_score = 0.5;
+  s.scale_out_window_s = 10, s.scale_in_window_s = 60;
+  s.scale_out_cooldown_s = 20, s.scale_in_cooldown_s = 90;
+  s.scale_in_step_machines = 1, s.scale_in_step_share = 0.2, s.max_scale_out_step_machines = 50;
   s.min_machines = 0, s.max_machines = 100;
   return s;
 }
@@ -24,7 +24,7 @@
   Pool pool{settings};
   double now = 0;
   int step(double score, int machines, int wanted = 2, bool settled = true) {
-    now += settings.every_s;
+    now += settings.interval_s;
     const auto wall = static_cast<std::int64_t>(1'000'000 + now * 1000);
     const int change = pool.decide({score, machines, wanted, 0}, settled, wall, now);
     if (change != 0) pool.record_scaling(machines + change, wall);
@@ -117,7 +117,7 @@
 
 TEST(Scaler, StepsAndPoolsAreCapped) {
   PoolScenario s;
-  s.settings.max_step = 7;
+  s.settings.max_scale_out_step_machines = 7;
   s.settings.max_machines = 12;
   EXPECT_EQ(s.steps(3, 5, 2, 40), 7);
   EXPECT_EQ(s.steps(5, 5, 9, 40), 3);
@@ -137,7 +137,7 @@
   small.settings = base::ScalerSettings();
   int first = 0;
   while (first == 0 && small.now < 120) first = small.step(5, 100, kWanted);
-  EXPECT_EQ(first, small.settings.max_step);
+  EXPECT_EQ(first, small.settings.max_scale_out_step_machines);
 }
 
 // Guards against renting again and again, for as long as a machine boots, what is on its way.
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -339,7 +339,7 @@
   constexpr int kMachines = 4200;
   constexpr double kSpan = 30;
   auto settings = small_settings();
-  settings.operators.scaler.min_machines = kMachines;
+  settings.operator_settings.scaler.min_machines = kMachines;
   TestCluster cluster(1, {}, settings);
   cluster.run(2);
   for (int i = 0; i < kMachines; ++i) cluster.add_worker();
@@ -348,7 +348,8 @@
   cluster.run(kSpan);
   const double calls = kSpan * settings.cloud_rps / 2;
   EXPECT_LE(cluster.list_requests, 0.5 * calls + 1);
-  EXPECT_GE(cluster.list_requests, kMachines / cloud::kMaxListed);  // it is read all the same
+  EXPECT_GE(cluster.list_requests,
+            kMachines / cloud::kMaxMachinesPerPage);  // it is read all the same
 }
 
 // 4,200 workers, half of them in a zone without a controller, and five nodes that have connections
@@ -362,8 +363,8 @@
   settings.cancel_s = 52;
   settings.fd_limit = 1100;
   settings.cloud_rps = 12;
-  settings.operators.scaler.min_machines = kWorkers;
-  const auto limit = base::public_connections(settings);
+  settings.operator_settings.scaler.min_machines = kWorkers;
+  const auto limit = base::max_public_connections(settings);
   TestCluster cluster(kNodes, std::vector<std::string>(kNodes, "a"), settings);
   cluster.heartbeat_spread = 0.25;
   cluster.run(1);
@@ -444,7 +445,7 @@
 TEST(Scenario, AZonesSecondNodeRelievesALeaderThatIsOverloadedByHeartbeats) {
   auto settings = small_settings();
   constexpr int kWorkers = 30;
-  const double max_per_second = 0.1 * settings.core_share / (2 * base::kPacketCost);
+  const double max_per_second = 0.1 * settings.core_share / (2 * base::kCpuSecondsPerPacket);
   settings.core_share *= kWorkers / 3.0 / max_per_second;  // a third of them would not crowd it
   TestCluster cluster(3, {"a", "a", "a"}, settings);
   cluster.run(1);
--- a/tests/settings_compatibility_test.cpp
+++ b/tests/settings_compatibility_test.cpp
@@ -1,6 +1,6 @@
-// Every field of the platform's TOML and of the operator's XML, each with a value that is neither
-// its default nor that of another field. Files like these stand at the operators' and must go on
-// being read.
+// Every field of the platform's TOML and of the operator's XML, each with a value that differs from
+// its default and from the values of other fields. Operators have such files in use, so they must
+// remain valid.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -107,10 +107,10 @@
 
 base::OperatorSettings read_xml(const std::string& text) {
   const TemporaryFile toml("settings.toml", kToml), xml("operator.xml", text);
-  return base::load_settings(toml.path(), xml.path()).operators;
+  return base::load_settings(toml.path(), xml.path()).operator_settings;
 }
 
-TEST(SettingsToml, TheNodeItsPeersAndItsServicesAreRead) {
+TEST(SettingsToml, ControllerPeersAndServicesAreRead) {
   const auto settings = read_toml(kToml);
   EXPECT_EQ(settings.name, "winch-1");
   EXPECT_EQ(settings.zone, "a");
@@ -123,11 +123,11 @@
   EXPECT_EQ(settings.others[1].name, "winch-2");
   EXPECT_EQ(settings.others[1].zone, "c");
   EXPECT_EQ(settings.others[1].address, "10.1.0.3:7200");
-  EXPECT_EQ(settings.cloud, "10.1.0.8:80");
-  EXPECT_EQ(settings.state, "10.1.0.9:81");
+  EXPECT_EQ(settings.cloud_address, "10.1.0.8:80");
+  EXPECT_EQ(settings.state_address, "10.1.0.9:81");
 }
 
-TEST(SettingsToml, TheZonesTeamsAndObjectivesAreRead) {
+TEST(SettingsToml, ZonesTeamsAndObjectivesAreRead) {
   const auto settings = read_toml(kToml);
   EXPECT_EQ(settings.nodes, 3);
   EXPECT_EQ(settings.zones, (std::vector<std::string>{"a", "b", "c"}));
@@ -149,7 +149,7 @@
   EXPECT_EQ(settings.objectives[1].share, 0);
 }
 
-TEST(SettingsToml, TimesOfWorkersAndLimitsOfServicesAndOfTheProcessAreRead) {
+TEST(SettingsToml, AgentTimesAndServiceAndProcessLimitsAreRead) {
   const auto settings = read_toml(kToml);
   EXPECT_EQ(settings.heartbeat_interval_s, 1.5);
   EXPECT_EQ(settings.lease_s, 10.5);
@@ -167,7 +167,7 @@
   EXPECT_EQ(settings.ram_mb, 27.5);
 }
 
-TEST(SettingsToml, EveryComingLimitOfTheStateServiceIsRead) {
+TEST(SettingsToml, EveryAnnouncedStoreLimitIsRead) {
   const auto settings = read_toml(kToml + R"([facts.state.next]
 rps = 51.0
 write_rps = 15.5
@@ -181,46 +181,46 @@
 }
 
 TEST(SettingsXml, EveryAttributeOfTheScalerAndOfMachinesIsRead) {
-  const auto operators = read_xml(R"(<cranklock>
+  const auto settings = read_xml(R"(<cranklock>
   <scaler every_s="2.5" high="0.9" low="0.6" up_window_s="3.5" down_window_s="31.5"
           up_cooldown_s="4.5" down_cooldown_s="11.5" step_machines="2" step_share="0.06"
           most_step="51" most_step_share="0.26" least_machines="7" most_machines="5000"/>
   <machines boot_patience="3.5"/>
 </cranklock>)");
-  const base::ScalerSettings& scaler = operators.scaler;
-  EXPECT_EQ(scaler.every_s, 2.5);
-  EXPECT_EQ(scaler.high, 0.9);
-  EXPECT_EQ(scaler.low, 0.6);
-  EXPECT_EQ(scaler.up_window_s, 3.5);
-  EXPECT_EQ(scaler.down_window_s, 31.5);
-  EXPECT_EQ(scaler.up_cooldown_s, 4.5);
-  EXPECT_EQ(scaler.down_cooldown_s, 11.5);
-  EXPECT_EQ(scaler.step_machines, 2);
-  EXPECT_EQ(scaler.step_share, 0.06);
-  EXPECT_EQ(scaler.max_step, 51);
-  EXPECT_EQ(scaler.max_step_share, 0.26);
+  const base::ScalerSettings& scaler = settings.scaler;
+  EXPECT_EQ(scaler.interval_s, 2.5);
+  EXPECT_EQ(scaler.high_score, 0.9);
+  EXPECT_EQ(scaler.low_score, 0.6);
+  EXPECT_EQ(scaler.scale_out_window_s, 3.5);
+  EXPECT_EQ(scaler.scale_in_window_s, 31.5);
+  EXPECT_EQ(scaler.scale_out_cooldown_s, 4.5);
+  EXPECT_EQ(scaler.scale_in_cooldown_s, 11.5);
+  EXPECT_EQ(scaler.scale_in_step_machines, 2);
+  EXPECT_EQ(scaler.scale_in_step_share, 0.06);
+  EXPECT_EQ(scaler.max_scale_out_step_machines, 51);
+  EXPECT_EQ(scaler.max_scale_out_step_share, 0.26);
   EXPECT_EQ(scaler.min_machines, 7);
   EXPECT_EQ(scaler.max_machines, 5000);
-  EXPECT_EQ(operators.boot_patience, 3.5);
+  EXPECT_EQ(settings.boot_timeout_factor, 3.5);
 }
 
-TEST(SettingsXml, DefaultsOfTheScalerAndOfMachinesStayAsTheyAre) {
-  const auto operators = read_xml("<cranklock/>");
-  const base::ScalerSettings& scaler = operators.scaler;
-  EXPECT_EQ(scaler.every_s, 2);
-  EXPECT_EQ(scaler.high, 0.85);
-  EXPECT_EQ(scaler.low, 0.75);
-  EXPECT_EQ(scaler.up_window_s, 2);
-  EXPECT_EQ(scaler.down_window_s, 30);
-  EXPECT_EQ(scaler.up_cooldown_s, 4);
-  EXPECT_EQ(scaler.down_cooldown_s, 10);
-  EXPECT_EQ(scaler.step_machines, 1);
-  EXPECT_EQ(scaler.step_share, 0.05);
-  EXPECT_EQ(scaler.max_step, 50);
-  EXPECT_EQ(scaler.max_step_share, 0.25);
+TEST(SettingsXml, DefaultsOfTheScalerAndOfMachinesAreStable) {
+  const auto settings = read_xml("<cranklock/>");
+  const base::ScalerSettings& scaler = settings.scaler;
+  EXPECT_EQ(scaler.interval_s, 2);
+  EXPECT_EQ(scaler.high_score, 0.85);
+  EXPECT_EQ(scaler.low_score, 0.75);
+  EXPECT_EQ(scaler.scale_out_window_s, 2);
+  EXPECT_EQ(scaler.scale_in_window_s, 30);
+  EXPECT_EQ(scaler.scale_out_cooldown_s, 4);
+  EXPECT_EQ(scaler.scale_in_cooldown_s, 10);
+  EXPECT_EQ(scaler.scale_in_step_machines, 1);
+  EXPECT_EQ(scaler.scale_in_step_share, 0.05);
+  EXPECT_EQ(scaler.max_scale_out_step_machines, 50);
+  EXPECT_EQ(scaler.max_scale_out_step_share, 0.25);
   EXPECT_EQ(scaler.min_machines, 0);
   EXPECT_EQ(scaler.max_machines, 100'000);
-  EXPECT_EQ(operators.boot_patience, 3);
+  EXPECT_EQ(settings.boot_timeout_factor, 3);
 }
 
 TEST(SettingsXml, EveryAttributeOfDefragIsRead) {
@@ -235,7 +235,7 @@
   EXPECT_FALSE(read_xml(R"(<cranklock><defrag moves="off"/></cranklock>)").defrag.moves);
 }
 
-TEST(SettingsXml, TheExampleOfRegionsIsRead) {
+TEST(SettingsXml, RegionsExampleIsRead) {
   const auto regions = read_xml(kRegionsExample).regions;
   EXPECT_EQ(regions.self, "east");
   EXPECT_EQ(regions.bootstrap_region, "east");
@@ -260,11 +260,11 @@
   EXPECT_EQ(west.controllers[1].address, "10.2.0.2:7300");
 }
 
-TEST(SettingsXml, TheExampleOfDefragIsRead) {
+TEST(SettingsXml, DefragExampleIsRead) {
   const auto defrag = read_xml(kDefragExample).defrag;
   EXPECT_TRUE(defrag.moves);
   EXPECT_EQ(defrag.advise_every_s, 0);
-  EXPECT_FALSE(defrag.drain.named());
+  EXPECT_FALSE(defrag.drain.is_configured());
 }
 
 }  // namespace
--- a/tests/state_stand_in.cpp
+++ b/tests/state_stand_in.cpp
@@ -22,8 +22,8 @@
 }
 
 void write_row(JsonWriter& w, const std::string& key, const StateStandIn::Stored& stored) {
-  w.begin().key("K").text(key).key("Data").raw(stored.data);
-  w.key("Mark").count(stored.revision).end();
+  w.begin_object().key("K").text(key).key("Data").raw(stored.data);
+  w.key("Mark").count(stored.revision).end_object();
 }
 
 }  // namespace
@@ -43,7 +43,7 @@
   JsonWriter w;
   const auto found = values.find(key);
   if (found == values.end()) {
-    w.begin().key("LedgerTurn").count(revision).end();
+    w.begin_object().key("LedgerTurn").count(revision).end_object();
     return answer(404, w.take());
   }
   write_row(w, found->first, found->second);
@@ -57,13 +57,13 @@
   const std::size_t most = max_text.empty() ? 1000 : std::stoul(max_text);
   auto next = since.empty() ? values.lower_bound(prefix) : values.upper_bound(since);
   JsonWriter w;
-  w.begin().key("Rows").list();
+  w.begin_object().key("Rows").begin_array();
   for (std::size_t rows = 0; rows < most && next != values.end(); ++rows, ++next) {
     if (!next->first.starts_with(prefix)) break;
     write_row(w, next->first, next->second);
   }
   const bool more = next != values.end() && next->first.starts_with(prefix);
-  w.list_end().key("HasNext").flag(more).key("LedgerTurn").count(revision).end();
+  w.end_array().key("HasNext").flag(more).key("LedgerTurn").count(revision).end_object();
   return answer(200, w.take());
 }
 
@@ -86,14 +86,14 @@
   const std::string prefix = net::query_field(watch.query, "Under");
   if (since < forgotten_) return answer(410);
   JsonWriter w;
-  w.begin().key("LedgerTurn").count(revision).key("News").list();
+  w.begin_object().key("LedgerTurn").count(revision).key("News").begin_array();
   for (auto event = first_after(since); event != events_.end(); ++event) {
     if (!event->key.starts_with(prefix)) continue;
-    w.begin().key(event->data.empty() ? "Remove" : "Write").text(event->key);
+    w.begin_object().key(event->data.empty() ? "Remove" : "Write").text(event->key);
     if (!event->data.empty()) w.key("Data").raw(event->data);
-    w.key("Mark").count(event->revision).end();
+    w.key("Mark").count(event->revision).end_object();
   }
-  w.list_end().end();
+  w.end_array().end_object();
   return answer(200, w.take());
 }
 
@@ -104,7 +104,7 @@
   const double life = *wire::read_amount(document.root(), "LifeMs") / 1000;
   leases_[++next_lease_] = {life, reactor_.now() + life};
   JsonWriter w;
-  w.begin().key("Hold").count(next_lease_).end();
+  w.begin_object().key("Hold").count(next_lease_).end_object();
   return answer(200, w.take());
 }
 
@@ -205,9 +205,9 @@
     if (lease != 0 && !leases_.contains(lease)) return answer(400, R"({"error":"no such lease"})");
   }
   JsonWriter w;
-  w.begin();
+  w.begin_object();
   bool failed = false;
-  w.key("failed").list();
+  w.key("failed").begin_array();
   for (const auto& condition : document.root()["If"].GetArray()) {
     const auto found = values.find(condition["K"].GetString());
     const std::uint64_t stored = found == values.end() ? 0 : found->second.revision;
@@ -215,9 +215,9 @@
     w.text(condition["K"].GetString());
     failed = true;
   }
-  w.list_end();
+  w.end_array();
   if (!failed && changes.Size() > 0) carry_out(changes);
-  w.key("LedgerTurn").count(revision).end();
+  w.key("LedgerTurn").count(revision).end_object();
   return answer(failed ? 409 : 200, w.take());
 }
 
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -1,4 +1,4 @@
-// What the key-value store's answers mean for each request.
+// Mapping of the key-value store's responses to the result of each request.
 #include <gtest/gtest.h>
 
 #include "fixed_reply.hpp"
@@ -26,8 +26,8 @@
     EXPECT_TRUE(operation.done());
     return operation.take();
   }
-  void answer(int status, std::string body = R"({"LedgerTurn":7})") {
-    transport.answer(status, std::move(body));
+  void set_response(int status, std::string body = R"({"LedgerTurn":7})") {
+    transport.set_response(status, std::move(body));
   }
   Status compare_and_swap(std::vector<wire::Mutation> mutations = {{"key", "1", 0}}) {
     return result_of(client.compare_and_swap({{"key", 1}}, std::move(mutations), 5)).status;
@@ -39,9 +39,9 @@
   Status renew_lease() { return result_of(client.renew_lease(77, 5)); }
 };
 
-TEST_F(StoreClientTest, ANegativeAnswerMeansWhatTheRequestAskedFor) {
+TEST_F(StoreClientTest, NegativeStatusMapsToTheResultOfTheRequest) {
   for (const int status : {404, 409, 410}) {
-    answer(status);
+    set_response(status);
     EXPECT_EQ(compare_and_swap(), Status::precondition_failed) << status;
     EXPECT_EQ(read(), Status::not_found) << status;
     EXPECT_EQ(read_page(), Status::not_found) << status;
@@ -51,9 +51,9 @@
   }
 }
 
-TEST_F(StoreClientTest, WhatTheStoreTurnsAwayIsRejected) {
+TEST_F(StoreClientTest, RefusedRequestIsRejected) {
   for (const int status : {400, 429, 503}) {
-    answer(status);
+    set_response(status);
     EXPECT_EQ(compare_and_swap(), Status::rejected) << status;
     EXPECT_EQ(read(), Status::rejected) << status;
     EXPECT_EQ(read_page(), Status::rejected) << status;
@@ -63,20 +63,20 @@
   }
 }
 
-TEST_F(StoreClientTest, WhatWasNotSentIsRejected) {
-  transport.fail(Reply::Kind::not_sent);
+TEST_F(StoreClientTest, UnsentRequestIsRejected) {
+  transport.set_failure(Reply::Kind::not_sent);
   EXPECT_EQ(compare_and_swap(), Status::rejected);
   EXPECT_EQ(read(), Status::rejected);
   EXPECT_EQ(renew_lease(), Status::rejected);
 }
 
-TEST_F(StoreClientTest, WithoutAnAnswerOrWithAnUnexpectedOneTheResultIsIndeterminate) {
-  transport.fail(Reply::Kind::unknown);
+TEST_F(StoreClientTest, NoResponseOrUnexpectedStatusIsIndeterminate) {
+  transport.set_failure(Reply::Kind::unknown);
   EXPECT_EQ(compare_and_swap(), Status::indeterminate);
   EXPECT_EQ(read(), Status::indeterminate);
   EXPECT_EQ(renew_lease(), Status::indeterminate);
   for (const int status : {201, 204, 301, 401, 403, 500, 502, 504}) {
-    answer(status);
+    set_response(status);
     EXPECT_EQ(compare_and_swap(), Status::indeterminate) << status;
     EXPECT_EQ(read(), Status::indeterminate) << status;
     EXPECT_EQ(watch(), Status::indeterminate) << status;
@@ -84,53 +84,53 @@
   }
 }
 
-TEST_F(StoreClientTest, AMalformedAnswerTellsNothing) {
-  answer(200, "nonsense");
+TEST_F(StoreClientTest, MalformedResponseIsIndeterminate) {
+  set_response(200, "nonsense");
   EXPECT_EQ(compare_and_swap(), Status::indeterminate);
   EXPECT_EQ(read(), Status::indeterminate);
   EXPECT_EQ(read_page(), Status::indeterminate);
   EXPECT_EQ(watch(), Status::indeterminate);
-  answer(409, "nonsense");
+  set_response(409, "nonsense");
   EXPECT_EQ(compare_and_swap(), Status::indeterminate);
 }
 
-TEST_F(StoreClientTest, OnlyTheStoresOwn404SaysThatAKeyIsAbsent) {
-  answer(404, "no such page");
+TEST_F(StoreClientTest, Only404OfTheStoreItselfProvesAbsence) {
+  set_response(404, "no such page");
   EXPECT_EQ(read(), Status::indeterminate);
 }
 
-TEST_F(StoreClientTest, AnAnswerAboutAnotherKeyIsNotTaken) {
-  answer(200, R"({"K":"other","Mark":3,"Data":{}})");
+TEST_F(StoreClientTest, ResponseForAnotherKeyIsIndeterminate) {
+  set_response(200, R"({"K":"other","Mark":3,"Data":{}})");
   EXPECT_EQ(read(), Status::indeterminate);
 }
 
-TEST_F(StoreClientTest, ATransactionRefusedAsMalformedLowersTheLimits) {
+TEST_F(StoreClientTest, TransactionRefusedAsMalformedLowersTheLimits) {
   const auto max_value_bytes = client.max_value_bytes();
   const auto max_mutations = client.max_mutations();
-  answer(400);
+  set_response(400);
   compare_and_swap();
   EXPECT_EQ(client.max_value_bytes(), max_value_bytes / 2);
   EXPECT_EQ(client.max_mutations(), max_mutations / 2);
 }
 
-TEST_F(StoreClientTest, ATransactionWithALeaseLeavesTheLimits) {
+TEST_F(StoreClientTest, TransactionWithLeaseDoesNotLowerTheLimits) {
   const auto max_value_bytes = client.max_value_bytes();
-  answer(400);
+  set_response(400);
   compare_and_swap({{"leader", "1", 77}});
   EXPECT_EQ(client.max_value_bytes(), max_value_bytes);
 }
 
-TEST_F(StoreClientTest, ARequestThatWouldWaitBeyondItsTimeLimitIsRejectedUnsent) {
-  answer(429);
+TEST_F(StoreClientTest, RequestThatWouldWaitBeyondItsTimeoutIsRejectedUnsent) {
+  set_response(429);
   read();  // empties the rate limits
-  answer(200);
+  set_response(200);
   const int calls = transport.calls;
   EXPECT_EQ(result_of(client.read("key", 0.001)).status, Status::rejected);
   EXPECT_EQ(transport.calls, calls);
 }
 
-TEST_F(StoreClientTest, ARequestWaitsForTheRateLimitWithinItsTimeLimit) {
-  answer(429);
+TEST_F(StoreClientTest, RequestWaitsForTheRateLimitWithinItsTimeout) {
+  set_response(429);
   read();
   const int calls = transport.calls;
   auto reading = client.read("key", 5);
@@ -140,8 +140,8 @@
   EXPECT_EQ(transport.calls, calls + 1);
 }
 
-TEST_F(StoreClientTest, SharedChangesDoNotWaitForTheRateLimit) {
-  answer(429);
+TEST_F(StoreClientTest, ChangesSinceDoesNotWaitForTheRateLimit) {
+  set_response(429);
   read();
   const int calls = transport.calls;
   result_of(client.changes_since("jobs/", 1, 0.001));
@@ -149,10 +149,10 @@
   EXPECT_EQ(transport.calls, calls + 2);
 }
 
-TEST_F(StoreClientTest, ARequestAboutALeaseMayOverdrawTheRateLimitByOne) {
-  answer(429);
+TEST_F(StoreClientTest, LeaseRequestMayOverdrawTheRateLimitByOne) {
+  set_response(429);
   read();
-  answer(200);
+  set_response(200);
   const int calls = transport.calls;
   EXPECT_EQ(result_of(client.renew_lease(77, 0.001)), Status::ok);
   EXPECT_EQ(result_of(client.renew_lease(77, 0.001)), Status::rejected);
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -18,7 +18,7 @@
       cloud(reactor, transport, settings),
       node({reactor, transport, settings, store, cloud}),
       run(run_number),
-      connections(base::public_connections(settings)) {
+      connections(base::max_public_connections(settings)) {
   node.set_connection_load([this] { return connections.load(); });
   node.start(scope);
 }
@@ -31,8 +31,8 @@
       environment_(std::make_unique<AgentEnvironment>(*this)),
       zones_(std::move(zones)) {
   state_service.usual_write_rps = base_settings.state_write_rps;
-  base_settings.cloud = "cloud";
-  base_settings.state = "state";
+  base_settings.cloud_address = "cloud";
+  base_settings.state_address = "state";
   base_settings.list_lag_s = 2;
   for (int i = 0; i < nodes; ++i) {
     base_settings.others.push_back({"n" + std::to_string(i), zone_of(i), "peer"});
@@ -65,10 +65,11 @@
     settings.value_kb = known->second.value_kb;
     settings.txn_ops = known->second.txn_ops;
   }
-  if (nodes_without_moves.contains(node)) settings.operators.defrag = {};
+  if (nodes_without_moves.contains(node)) settings.operator_settings.defrag = {};
   auto& host = hosts_[static_cast<std::size_t>(node)];
   host = std::make_unique<Host>(*this, node, std::move(settings), ++last_run_);
-  if (host->settings.operators.regions.enabled()) host->node.set_region_network(region_network);
+  if (host->settings.operator_settings.regions.enabled())
+    host->node.set_region_network(region_network);
   if (zones_.empty()) return;
   host->node.set_send_frame([this, node](const std::string& to, const peer::Frame& frame) {
     scope_.spawn(deliver(node, to[1] - '0', frame));
--- a/tests/test_cluster_cloud.cpp
+++ b/tests/test_cluster_cloud.cpp
@@ -74,12 +74,12 @@
     constexpr double kNever = 1e9;
     const double boots_for = zones_that_never_boot.contains(zone) ? kNever : boot_s;
     JsonWriter writer;
-    writer.begin().key("Rigs").list();
+    writer.begin_object().key("Rigs").begin_array();
     for (int i = 0; i < request["Count"].GetInt(); ++i) {
       add_worker(zone, boots_for);
       writer.text("n-" + std::to_string(machines_created));
     }
-    writer.list_end().end();
+    writer.end_array().end_object();
     it->second = writer.take();
   }
   return response_of(200, it->second);
@@ -91,17 +91,17 @@
   std::size_t listed = 0;
   auto next = workers.upper_bound(net::query_field(request.query, "Since"));
   JsonWriter writer;
-  writer.begin().key("Rigs").list();
+  writer.begin_object().key("Rigs").begin_array();
   for (; next != workers.end() && listed < max_listed; ++next) {
     const auto& [id, worker] = *next;
     if (worker->gone || reactor.now() - worker->began < list_delay_s) continue;
     ++listed;
-    writer.begin().key("Id").text(id).key("Address").text(worker->address);
+    writer.begin_object().key("Id").text(id).key("Address").text(worker->address);
     writer.key("Frame").text("g8").key("Yard").text(worker->kind.zone).key("Loaners").flag(false);
     writer.key("Stance").text(reactor.now() < worker->up_at ? "booting" : "running");
-    writer.key("HeldS").amount(reactor.now() - worker->began).end();
+    writer.key("HeldS").amount(reactor.now() - worker->began).end_object();
   }
-  writer.list_end().key("HasNext").flag(next != workers.end()).end();
+  writer.end_array().key("HasNext").flag(next != workers.end()).end_object();
   return response_of(200, writer.take());
 }
 
--- a/tests/test_cluster_network.cpp
+++ b/tests/test_cluster_network.cpp
@@ -83,7 +83,7 @@
 void TestCluster::observe(TrafficEvent event) const {
   if (!on_traffic) return;
   event.at_s = reactor.now();
-  event.region = base_settings.operators.regions.self;
+  event.region = base_settings.operator_settings.regions.self;
   on_traffic(event);
 }
 
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -386,7 +386,7 @@
 /// Replicas move behind a router, and each has chats whose requests stay open for a while.
 void play_replica_moves(unsigned seed) {
   auto settings = settings_with_moves();
-  settings.operators.defrag.drain = {"router", "/drains"};
+  settings.operator_settings.defrag.drain = {"router", "/drains"};
   Fragments fragments(settings, 3, make_job(kSmall, JobKind::service, 4, 3).spec);
   auto& cluster = fragments.w;
   vary(cluster, seed);
--- a/tests/two_region_clusters.hpp
+++ b/tests/two_region_clusters.hpp
@@ -73,7 +73,7 @@
   };
   static base::Settings settings(const std::string& self) {
     base::Settings settings = small_settings();
-    settings.operators.regions = {self, "east", {{"east", 0.5, {}}, {"west", 0.5, {}}}};
+    settings.operator_settings.regions = {self, "east", {{"east", 0.5, {}}, {"west", 0.5, {}}}};
     return settings;
   }
   std::deque<std::pair<std::string, regions::RegionFrame>> frames_;
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -181,7 +181,7 @@
   peer::PeerHeartbeat peer_heartbeat;
   peer_heartbeat.name = "n0";
   peer_heartbeat.fencing_token = 5;
-  peer_heartbeat.reaches_state = true;
+  peer_heartbeat.reaches_store = true;
   peer_heartbeat.incarnation = 2;
   peer_heartbeat.sent_clock_ms = 3;
   peer_heartbeat.delegate_responded_ms = 7;
