--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -1,6 +1,5 @@
-// The protocol with users, workers, the cloud and the state service, as literal bytes. These tests
-// state what other programs send and expect: a rename inside of the program must leave them as they
-// are.
+// Protocols with clients, agents, the cloud and the key-value store, as literal bytes. Other
+// programs rely on them: a rename inside this program must not change the literals.
 #include <gtest/gtest.h>
 
 #include <ostream>
@@ -21,13 +20,13 @@
 
 using Texts = std::vector<std::string>;
 
-std::string written(const wire::JobSpec& job) {
+std::string write_job(const wire::JobSpec& job) {
   wire::JsonWriter writer;
   wire::write_job(writer, job);
   return writer.take();
 }
 
-base::Result<wire::JobSpec, wire::FieldError> parsed(const std::string& text) {
+base::Result<wire::JobSpec, wire::FieldError> parse_job(const std::string& text) {
   const wire::JsonDocument document(text);
   return wire::parse_job(document.root());
 }
@@ -38,41 +37,41 @@
   return at == std::string::npos ? text : text.replace(at, from.size(), to);
 }
 
-// Users.
+// Clients.
 
-TEST(UserProtocol, EveryFieldOfASubmittedJobIsRead) {
-  const auto job = parsed(kCompleteJob);
+TEST(ClientProtocol, EveryFieldOfASubmittedJobIsRead) {
+  const auto job = parse_job(kCompleteJob);
   ASSERT_TRUE(job.has_value()) << wire::to_string(job.error());
   expect_complete_job(*job);
 }
 
-TEST(UserProtocol, EveryFieldOfAJobIsWritten) {
-  EXPECT_EQ(written(complete_job()), kCompleteJob);
+TEST(ClientProtocol, EveryFieldOfAJobIsWritten) {
+  EXPECT_EQ(write_job(complete_job()), kCompleteJob);
 }
 
-TEST(UserProtocol, OptionalFieldsOfAJobAreLeftOutWhereTheyAreNotSet) {
+TEST(ClientProtocol, UnsetOptionalFieldsOfAJobAreOmitted) {
   wire::JobSpec job = complete_job();
   job.types.clear();
   job.zone.clear();
-  job.due_s.reset();
+  job.deadline_s.reset();
   job.dependencies.clear();
   const std::string expected =
       R"({"Id":"j-000412","Gear":"train","Crew":"red","Shape":"ensemble","Rank":"high",)"
       R"("Teeth":16,"Cpus":8.5,"Accelerators":2.0,"MemGb":64.25,"Cast":"img-07","SizeGb":6.2,)"
       R"("OneZone":true,"Apart":false,"Loaners":true,"ExpectS":240.0,"NotchS":30.5,"StowS":4.0})";
-  EXPECT_EQ(written(job), expected);
-  const auto read = parsed(expected).value();
+  EXPECT_EQ(write_job(job), expected);
+  const auto read = parse_job(expected).value();
   EXPECT_TRUE(read.types.empty());
   EXPECT_EQ(read.zone, "");
-  EXPECT_FALSE(read.due_s);
+  EXPECT_FALSE(read.deadline_s);
   EXPECT_TRUE(read.dependencies.empty());
 }
 
-TEST(UserProtocol, EachFlagOfAJobHasItsOwnName) {
+TEST(ClientProtocol, EachFlagOfAJobHasItsOwnName) {
   const std::string none = R"("OneZone":false,"Apart":false,"Loaners":false)";
   const auto with_flags = [&](const std::string& flags) {
     const std::string all = R"("OneZone":true,"Apart":false,"Loaners":true)";
-    return parsed(replaced(kCompleteJob, all, flags)).value();
+    return parse_job(replaced(kCompleteJob, all, flags)).value();
   };
   EXPECT_FALSE(with_flags(none).one_zone || with_flags(none).spread || with_flags(none).spot);
   EXPECT_TRUE(with_flags(R"("OneZone":true,"Apart":false,"Loaners":false)").one_zone);
@@ -81,19 +80,19 @@
   wire::JobSpec spread = complete_job();
   spread.one_zone = spread.spot = false;
   spread.spread = true;
-  EXPECT_NE(written(spread).find(R"("OneZone":false,"Apart":true,"Loaners":false)"),
+  EXPECT_NE(write_job(spread).find(R"("OneZone":false,"Apart":true,"Loaners":false)"),
             std::string::npos);
 }
 
-TEST(UserProtocol, EveryShapeAndRankHasItsNameInBothDirections) {
+TEST(ClientProtocol, EveryKindAndPriorityIsReadAndWritten) {
   for (const auto& [kind, name] :
        {std::pair{wire::JobKind::job_array, "batch"}, std::pair{wire::JobKind::gang, "ensemble"},
         std::pair{wire::JobKind::service, "standing"}}) {
     wire::JobSpec job = complete_job();
     job.kind = kind;
     const auto text = replaced(kCompleteJob, R"("ensemble")", '"' + std::string(name) + '"');
-    EXPECT_EQ(written(job), text);
-    EXPECT_EQ(parsed(text).value().kind, kind);
+    EXPECT_EQ(write_job(job), text);
+    EXPECT_EQ(parse_job(text).value().kind, kind);
   }
   for (const auto& [priority, name] :
        {std::pair{wire::Priority::production, "production"},
@@ -102,12 +101,12 @@
     wire::JobSpec job = complete_job();
     job.priority = priority;
     const auto text = replaced(kCompleteJob, R"("high")", '"' + std::string(name) + '"');
-    EXPECT_EQ(written(job), text);
-    EXPECT_EQ(parsed(text).value().priority, priority);
+    EXPECT_EQ(write_job(job), text);
+    EXPECT_EQ(parse_job(text).value().priority, priority);
   }
 }
 
-TEST(UserProtocol, EachMalformedFieldOfAJobHasItsMessage) {
+TEST(ClientProtocol, EachMalformedFieldOfAJobHasItsMessage) {
   struct Case {
     const char *from, *to, *message;
   };
@@ -135,13 +134,13 @@
            Case{"900.0", "-1", "DueS: expected a number of at least 0"},
            Case{R"(["j-1","j-22"])", "1", "WaitsOn: expected a list of at most 256 job ids"},
        }) {
-    const auto result = parsed(replaced(kCompleteJob, from, to));
+    const auto result = parse_job(replaced(kCompleteJob, from, to));
     ASSERT_FALSE(result.has_value()) << message;
     EXPECT_EQ(wire::to_string(result.error()), message);
   }
 }
 
-TEST(UserProtocol, AnswersNameEveryStateOfAJob) {
+TEST(ClientProtocol, ResponsesContainEveryStateOfAJob) {
   EXPECT_EQ(wire::job_response("j-1", wire::JobState::queued), R"({"Id":"j-1","Stance":"queued"})");
   EXPECT_EQ(wire::job_response("j-1", wire::JobState::running),
             R"({"Id":"j-1","Stance":"running"})");
@@ -152,13 +151,13 @@
             R"({"Id":"j-1","Stance":"running","done":3,"running":5})");
 }
 
-TEST(UserProtocol, AnErrorIsAnsweredWithItsReason) {
+TEST(ClientProtocol, ErrorResponseContainsTheReason) {
   EXPECT_EQ(wire::error_response("unknown \"team\""), R"({"error":"unknown \"team\""})");
 }
 
-// Workers.
+// Agents.
 
-TEST(WorkerProtocol, EveryFieldOfAReportIsRead) {
+TEST(AgentProtocol, EveryFieldOfAHeartbeatIsRead) {
   const auto heartbeat = wire::parse_heartbeat(
       R"({"Rig":"n-000007","Address":"10.1.0.7:9000","Frame":"g8","Yard":"b","Loaners":true,)"
       R"("Shift":11,"Tick":12,"KeyTurn":13,"WarningS":29.5,"Teeth":[)"
@@ -181,7 +180,7 @@
   EXPECT_TRUE(heartbeat->tasks[0].checkpoint_saved);
 }
 
-TEST(WorkerProtocol, AReportMayLeaveOutItsNoticeAndItsTasks) {
+TEST(AgentProtocol, NoticeAndTasksOfAHeartbeatAreOptional) {
   const auto heartbeat = wire::parse_heartbeat(
       R"({"Rig":"n-1","Address":"","Frame":"g8","Yard":"b","Loaners":false,"Shift":1,"Tick":2,)"
       R"("KeyTurn":0})");
@@ -191,8 +190,8 @@
   EXPECT_TRUE(heartbeat->tasks.empty());
 }
 
-/// The only task of a heartbeat that says this of its state.
-wire::TaskStatus heartbeat_received(const std::string& state) {
+/// Parses a heartbeat with one task, whose state fields are `state`, and returns that task.
+wire::TaskStatus parse_task_status(const std::string& state) {
   const auto heartbeat = wire::parse_heartbeat(
       R"({"Rig":"n-1","Address":"a","Frame":"g","Yard":"z","Loaners":false,"Shift":1,"Tick":1,)"
       R"("KeyTurn":1,"Teeth":[{"Tooth":"j-1/0","Crank":1,)" +
@@ -201,18 +200,18 @@
   return heartbeat ? heartbeat->tasks.at(0) : wire::TaskStatus{};
 }
 
-TEST(WorkerProtocol, EveryStateOfATaskIsRead) {
-  EXPECT_EQ(heartbeat_received(R"("Stance":"fetching")").state, wire::TaskState::fetching);
-  EXPECT_EQ(heartbeat_received(R"("Stance":"waiting")").state, wire::TaskState::waiting);
-  EXPECT_EQ(heartbeat_received(R"("Stance":"running")").state, wire::TaskState::running);
-  EXPECT_EQ(heartbeat_received(R"("Stance":"flushing")").state, wire::TaskState::checkpointing);
-  EXPECT_EQ(heartbeat_received(R"("Stance":"exited","Cause":"done")").state,
+TEST(AgentProtocol, EveryStateOfATaskIsRead) {
+  EXPECT_EQ(parse_task_status(R"("Stance":"fetching")").state, wire::TaskState::fetching);
+  EXPECT_EQ(parse_task_status(R"("Stance":"waiting")").state, wire::TaskState::waiting);
+  EXPECT_EQ(parse_task_status(R"("Stance":"running")").state, wire::TaskState::running);
+  EXPECT_EQ(parse_task_status(R"("Stance":"flushing")").state, wire::TaskState::checkpointing);
+  EXPECT_EQ(parse_task_status(R"("Stance":"exited","Cause":"done")").state,
             wire::TaskState::exited);
-  EXPECT_EQ(heartbeat_received(R"("Stance":"running")").exit_reason, wire::ExitReason::none);
-  EXPECT_FALSE(heartbeat_received(R"("Stance":"running")").checkpoint_saved);
+  EXPECT_EQ(parse_task_status(R"("Stance":"running")").exit_reason, wire::ExitReason::none);
+  EXPECT_FALSE(parse_task_status(R"("Stance":"running")").checkpoint_saved);
 }
 
-TEST(WorkerProtocol, EveryCauseOfAnExitIsRead) {
+TEST(AgentProtocol, EveryExitReasonIsRead) {
   for (const auto& [name, exit_reason] :
        {std::pair{"done", wire::ExitReason::completed},
         std::pair{"halted", wire::ExitReason::stopped},
@@ -223,13 +222,13 @@
         std::pair{"busy", wire::ExitReason::other_attempt_present},
         std::pair{"no_such", wire::ExitReason::unknown_task}}) {
     EXPECT_EQ(
-        heartbeat_received(R"("Stance":"exited","Cause":")" + std::string(name) + '"').exit_reason,
+        parse_task_status(R"("Stance":"exited","Cause":")" + std::string(name) + '"').exit_reason,
         exit_reason)
         << name;
   }
 }
 
-TEST(WorkerProtocol, OrdersAreWrittenInAnswersAndInCommands) {
+TEST(AgentProtocol, CommandsAreWrittenInResponsesAndRequests) {
   const std::vector<wire::Command> commands = {{wire::CommandKind::start, {"j-000412", 3}, 14, 0},
                                                {wire::CommandKind::stop, {"j-000413", 0}, 15, 2.5},
                                                {wire::CommandKind::forget, {"j-000414", 7}, 16, 0}};
@@ -241,12 +240,12 @@
   EXPECT_EQ(wire::heartbeat_response(41, {}), R"({"KeyTurn":41,"Orders":[]})");
 }
 
-TEST(WorkerProtocol, AMisdirectedReportIsAnsweredWithTheLeaderIfThereIsOne) {
+TEST(AgentProtocol, RedirectResponseNamesTheControllerIfKnown) {
   EXPECT_EQ(wire::redirect_response("n2"), R"({"Foreman":"n2"})");
   EXPECT_EQ(wire::redirect_response(""), "{}");
 }
 
-TEST(WorkerProtocol, ATaskIsNamedByItsJobAndItsIndex) {
+TEST(AgentProtocol, TaskNameConsistsOfJobAndIndex) {
   EXPECT_EQ(wire::to_string({"j-000412", 99999}), "j-000412/99999");
   EXPECT_EQ(wire::parse_task("j-000412/99999"), (wire::TaskName{"j-000412", 99999}));
   for (const char* malformed : {"j-000412", "j-000412/", "j-000412/x", "x-1/0", "j-1/0/1", ""}) {
@@ -286,13 +285,13 @@
   EXPECT_EQ(writer.take(), text);
 }
 
-TEST(CloudProtocol, MachinesAreRentedWithEveryField) {
+TEST(CloudProtocol, EveryFieldOfAScaleOutIsWrittenAndRead) {
   EXPECT_EQ(wire::scale_out_request({"r-7", "g8", "b", true, 3}),
             R"({"Charter":"r-7","Frame":"g8","Yard":"b","Loaners":true,"Count":3})");
   EXPECT_EQ(wire::parse_scale_out_response(R"({"Rigs":["n-1","n-2"]})"), (Texts{"n-1", "n-2"}));
 }
 
-TEST(CloudProtocol, MachinesAreGivenBackByTheirNames) {
+TEST(CloudProtocol, DeletionRequestListsMachineIds) {
   EXPECT_EQ(wire::deletion_request({"n-1", "n-2"}), R"({"Rigs":["n-1","n-2"]})");
 }
 
@@ -322,14 +321,14 @@
   EXPECT_FALSE(wire::parse_machine_page(R"({"Rigs":[]})")->more);
 }
 
-TEST(CloudProtocol, PagesAreAskedForWithALimitAndAStart) {
+TEST(CloudProtocol, PageQueryHasALimitAndAStart) {
   EXPECT_EQ(wire::machine_page_query("", 500), "Most=500");
   EXPECT_EQ(wire::machine_page_query("n-000007", 500), "Most=500&Since=n-000007");
 }
 
-// The state service.
+// The key-value store.
 
-TEST(StateProtocol, ATransactionNamesItsConditionsWritesAndRemovals) {
+TEST(StoreProtocol, TransactionContainsConditionsWritesAndRemovals) {
   EXPECT_EQ(wire::compare_and_swap_request({{"leader", 7}, {"jobs/j-1", 0}},
                                            {{"jobs/j-1", R"({"x":1})", 0},
                                             {"leader", R"({"node":"n0"})", 9},
@@ -339,7 +338,7 @@
             R"({"Write":"leader","Data":{"node":"n0"},"Hold":9},{"Remove":"parts/j-1/1"}]})");
 }
 
-TEST(StateProtocol, AnswersOfTransactionsAreRead) {
+TEST(StoreProtocol, TransactionResponsesAreRead) {
   const auto done = wire::parse_compare_and_swap_response(R"({"LedgerTurn":18})");
   ASSERT_TRUE(done);
   EXPECT_EQ(done->revision, 18U);
@@ -351,7 +350,7 @@
   EXPECT_EQ(failed->failed_keys, (Texts{"leader", "a"}));
 }
 
-TEST(StateProtocol, AStoredValueAndARevisionAreRead) {
+TEST(StoreProtocol, StoredValueAndRevisionAreRead) {
   const auto value = wire::parse_stored_value(R"({"K":"leader","Mark":17,"Data":{"node":"n0"}})");
   ASSERT_TRUE(value);
   EXPECT_EQ(value->key, "leader");
@@ -360,7 +359,7 @@
   EXPECT_EQ(wire::parse_revision(R"({"LedgerTurn":18})"), 18U);
 }
 
-TEST(StateProtocol, APageOfStoredValuesIsRead) {
+TEST(StoreProtocol, PageOfStoredValuesIsRead) {
   const auto page = wire::parse_range_response(
       R"({"Rows":[{"K":"jobs/j-1","Mark":17,"Data":{"n":1}},{"K":"jobs/j-2","Mark":16,)"
       R"("Data":{"n":2}}],"HasNext":true,"LedgerTurn":18})");
@@ -375,7 +374,7 @@
   EXPECT_EQ(page->items[1].revision, 16U);
 }
 
-TEST(StateProtocol, ChangesOfAWatchAreRead) {
+TEST(StoreProtocol, ChangesOfAWatchAreRead) {
   const auto page = wire::parse_watch_response(
       R"({"LedgerTurn":20,"News":[{"Write":"jobs/j-1","Mark":19,"Data":{"n":1}},)"
       R"({"Remove":"jobs/j-2","Mark":20}]})");
@@ -390,23 +389,23 @@
   EXPECT_EQ(page->items[1].revision, 20U);
 }
 
-TEST(StateProtocol, QueriesNameTheirPrefixStartLimitAndWait) {
+TEST(StoreProtocol, QueriesContainPrefixStartLimitAndWait) {
   EXPECT_EQ(wire::range_query("jobs/", "", 200), "Under=jobs/&Most=200");
   EXPECT_EQ(wire::range_query("jobs/", "jobs/j-1", 200), "Under=jobs/&Most=200&Since=jobs/j-1");
   EXPECT_EQ(wire::watch_query("jobs/", 18, 5000), "Under=jobs/&Since=18&HoldMs=5000");
 }
 
-TEST(StateProtocol, ALeaseIsRequestedWithItsLifeAndItsNumberIsRead) {
+TEST(StoreProtocol, LeaseRequestContainsTtlAndResponseContainsId) {
   EXPECT_EQ(wire::lease_request(9500), R"({"LifeMs":9500})");
   EXPECT_EQ(wire::parse_lease_id(R"({"Hold":77})"), 77U);
 }
 
-// Methods and paths of the requests that the clients send.
+// Methods and paths of the requests of the store and cloud clients.
 
-/// Keeps each request as one line and answers them all with 503.
+/// Records each request as one line and responds to all with 503.
 struct RecordingTransport : net::Transport {
   Texts requests;
-  std::string body;  ///< of the answers
+  std::string body;  ///< of the responses
   net::Task<net::Reply> call(std::string address, net::Request request, double) override {
     std::string line = address + " " + request.method + " " + request.path;
     if (!request.query.empty()) line += "?" + request.query;
@@ -427,13 +426,13 @@
   std::optional<cloud::Client> cloud;
 
   Clients() {
-    settings.state = "state:1";
-    settings.cloud = "cloud:1";
+    settings.state_address = "state:1";
+    settings.cloud_address = "cloud:1";
     store.emplace(reactor, transport, settings);
     cloud.emplace(reactor, transport, settings);
     reactor.run_until(100);
   }
-  /// The request that the operation sends first.
+  /// Returns the first request of the operation.
   template <typename Result>
   std::string request_of(net::Task<Result> operation) {
     transport.requests.clear();
@@ -443,122 +442,129 @@
   }
 };
 
-TEST(StateProtocol, EachOperationHasItsMethodAndPath) {
-  Clients c;
-  EXPECT_EQ(c.request_of(c.store->compare_and_swap({}, {}, 1)),
+TEST(StoreProtocol, EachOperationHasItsMethodAndPath) {
+  Clients clients;
+  EXPECT_EQ(clients.request_of(clients.store->compare_and_swap({}, {}, 1)),
             R"(state:1 POST /txn {"If":[],"Then":[]})");
-  EXPECT_EQ(c.request_of(c.store->read("jobs/j-1", 1)), "state:1 GET /store/jobs/j-1");
-  EXPECT_EQ(c.request_of(c.store->read_page("jobs/", "jobs/j-1", 7, 1)),
+  EXPECT_EQ(clients.request_of(clients.store->read("jobs/j-1", 1)), "state:1 GET /store/jobs/j-1");
+  EXPECT_EQ(clients.request_of(clients.store->read_page("jobs/", "jobs/j-1", 7, 1)),
             "state:1 GET /store?Under=jobs/&Most=7&Since=jobs/j-1");
-  EXPECT_EQ(c.request_of(c.store->read_all("jobs/", 1)), "state:1 GET /store?Under=jobs/&Most=200");
-  EXPECT_EQ(c.request_of(c.store->watch("jobs/", 18, 2.5)),
+  EXPECT_EQ(clients.request_of(clients.store->read_all("jobs/", 1)),
+            "state:1 GET /store?Under=jobs/&Most=200");
+  EXPECT_EQ(clients.request_of(clients.store->watch("jobs/", 18, 2.5)),
             "state:1 GET /follow?Under=jobs/&Since=18&HoldMs=2500");
-  EXPECT_EQ(c.request_of(c.store->changes_since("jobs/", 18, 1)),
+  EXPECT_EQ(clients.request_of(clients.store->changes_since("jobs/", 18, 1)),
             "state:1 GET /follow?Under=jobs/&Since=18&HoldMs=0");
-  EXPECT_EQ(c.request_of(c.store->grant_lease(9.5, 1)), R"(state:1 POST /leases {"LifeMs":9500})");
-  EXPECT_EQ(c.request_of(c.store->renew_lease(77, 1)), "state:1 POST /leases/77/renew {}");
-  EXPECT_EQ(c.request_of(c.store->revoke_lease(77, 1)), "state:1 DELETE /leases/77");
+  EXPECT_EQ(clients.request_of(clients.store->grant_lease(9.5, 1)),
+            R"(state:1 POST /leases {"LifeMs":9500})");
+  EXPECT_EQ(clients.request_of(clients.store->renew_lease(77, 1)),
+            "state:1 POST /leases/77/renew {}");
+  EXPECT_EQ(clients.request_of(clients.store->revoke_lease(77, 1)), "state:1 DELETE /leases/77");
 }
 
 TEST(CloudProtocol, EachOperationHasItsMethodAndPath) {
-  Clients c;
-  EXPECT_EQ(c.request_of(c.cloud->types()), "cloud:1 GET /machine_types");
-  EXPECT_EQ(c.request_of(c.cloud->scale_out({"r-7", "g8", "b", false, 1})),
+  Clients clients;
+  EXPECT_EQ(clients.request_of(clients.cloud->machine_types()), "cloud:1 GET /machine_types");
+  EXPECT_EQ(clients.request_of(clients.cloud->scale_out({"r-7", "g8", "b", false, 1})),
             "cloud:1 POST /rentals "
             R"({"Charter":"r-7","Frame":"g8","Yard":"b","Loaners":false,"Count":1})");
-  EXPECT_EQ(c.request_of(c.cloud->remove({"n-1"})),
+  EXPECT_EQ(clients.request_of(clients.cloud->delete_machines({"n-1"})),
             R"(cloud:1 POST /rentals/delete {"Rigs":["n-1"]})");
-  EXPECT_EQ(c.request_of(c.cloud->list()), "cloud:1 GET /rentals?Most=500");
+  EXPECT_EQ(clients.request_of(clients.cloud->list_machines()), "cloud:1 GET /rentals?Most=500");
 }
 
-TEST(CloudProtocol, ARefusalOfARentalNamesTroubleOrMeansThatThereIsNoCapacity) {
-  Clients c;
+TEST(CloudProtocol, RefusedScaleOutDistinguishesFailureFromLackOfCapacity) {
+  Clients clients;
   const auto kind_for = [&](const std::string& body) {
-    c.transport.body = body;
-    auto renting = c.cloud->scale_out({"r-7", "g8", "b", false, 1});
-    renting.start();
-    c.reactor.run_until(c.reactor.now() + 10);
-    return renting.take().kind;
+    clients.transport.body = body;
+    auto scaling_out = clients.cloud->scale_out({"r-7", "g8", "b", false, 1});
+    scaling_out.start();
+    clients.reactor.run_until(clients.reactor.now() + 10);
+    return scaling_out.take().kind;
   };
   EXPECT_EQ(kind_for(R"({"error":"trouble"})"), cloud::ScaleOutResult::Kind::rejected);
   EXPECT_EQ(kind_for(R"({"error":"no capacity"})"), cloud::ScaleOutResult::Kind::no_capacity);
 }
 
-// Whole answers of a cluster to users.
+// Responses of a cluster to clients.
 
-struct Answer {
+struct StatusAndBody {
   int status;
   std::string body;
-  bool operator==(const Answer&) const = default;
+  bool operator==(const StatusAndBody&) const = default;
 };
 
-std::ostream& operator<<(std::ostream& out, const Answer& answer) {
-  return out << answer.status << " " << answer.body;
+std::ostream& operator<<(std::ostream& out, const StatusAndBody& response) {
+  return out << response.status << " " << response.body;
 }
 
-struct ClusterOfUsers {
+struct ClientsOfCluster {
   TestCluster cluster;
 
-  ClusterOfUsers() { cluster.run(5); }
-  Answer ask(const std::string& method, const std::string& path, const std::string& body = "") {
+  ClientsOfCluster() { cluster.run(5); }
+  StatusAndBody ask(const std::string& method, const std::string& path,
+                    const std::string& body = "") {
     const auto response = cluster.ask(0, method, path, body);
     return {response.status, response.body};
   }
 };
 
-// There are no machines: the job stays queued.
+// The cluster has no machines, so the job remains queued.
 const std::string kSmallJob =
     R"({"Id":"j-000412","Gear":"train","Crew":"red","Shape":"batch","Rank":"high","Teeth":2,)"
     R"("Cpus":1,"Accelerators":1,"MemGb":1,"Cast":"img-07","SizeGb":1,"OneZone":false,)"
     R"("Apart":false,"Loaners":false,"ExpectS":1,"NotchS":0,"StowS":0})";
 
-TEST(UserProtocol, AJobIsSubmittedAskedForAndWithdrawn) {
-  ClusterOfUsers users;
-  EXPECT_EQ(users.ask("POST", "/v1/jobs", kSmallJob),
-            (Answer{201, R"({"Id":"j-000412","Stance":"queued"})"}));
-  EXPECT_EQ(users.ask("POST", "/v1/jobs", kSmallJob),
-            (Answer{200, R"({"Id":"j-000412","Stance":"queued"})"}));
-  EXPECT_EQ(users.ask("GET", "/v1/jobs/j-000412"),
-            (Answer{200, R"({"Id":"j-000412","Stance":"queued","done":0,"running":0})"}));
-  EXPECT_EQ(users.ask("POST", "/v1/jobs/j-000412/withdraw"),
-            (Answer{200, R"({"Id":"j-000412","Stance":"withdrawn"})"}));
-}
-
-TEST(UserProtocol, RefusalsHaveTheirStatusAndReason) {
-  ClusterOfUsers users;
-  const auto refused = [](int status, const std::string& reason) {
-    return Answer{status, R"({"error":")" + reason + R"("})"};
+TEST(ClientProtocol, JobIsSubmittedReadAndCancelled) {
+  ClientsOfCluster clients;
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs", kSmallJob),
+            (StatusAndBody{201, R"({"Id":"j-000412","Stance":"queued"})"}));
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs", kSmallJob),
+            (StatusAndBody{200, R"({"Id":"j-000412","Stance":"queued"})"}));
+  EXPECT_EQ(clients.ask("GET", "/v1/jobs/j-000412"),
+            (StatusAndBody{200, R"({"Id":"j-000412","Stance":"queued","done":0,"running":0})"}));
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs/j-000412/withdraw"),
+            (StatusAndBody{200, R"({"Id":"j-000412","Stance":"withdrawn"})"}));
+}
+
+TEST(ClientProtocol, RejectionsHaveTheirStatusAndReason) {
+  ClientsOfCluster clients;
+  const auto rejection = [](int status, const std::string& reason) {
+    return StatusAndBody{status, R"({"error":")" + reason + R"("})"};
   };
-  EXPECT_EQ(users.ask("POST", "/v1/jobs", "[]"), refused(400, "expected a JSON object"));
-  EXPECT_EQ(users.ask("POST", "/v1/jobs", "{}"), refused(400, "Id: expected a job id"));
-  EXPECT_EQ(users.ask("POST", "/v1/jobs", replaced(kSmallJob, "red", "nobody")),
-            refused(422, "unknown team"));
-  EXPECT_EQ(users.ask("POST", "/v1/jobs", replaced(kSmallJob, R"("Cpus":1)", R"("Cpus":1e6)")),
-            refused(422, "no allowed machine type has room for a task"));
-  EXPECT_EQ(users.ask("POST", "/v1/jobs",
-                      replaced(kSmallJob, R"(batch","Rank":"high","Teeth":2)",
-                               R"(ensemble","Rank":"high","Teeth":99)")),
-            refused(422, "more than the team's limit"));
-  EXPECT_EQ(users.ask("POST", "/v1/jobs",
-                      replaced(kSmallJob, R"("StowS":0)", R"("StowS":0,"WaitsOn":["j-000412"])")),
-            refused(422, "needs itself"));
-  EXPECT_EQ(users.ask("GET", "/v1/jobs/j-000413"), refused(404, "no such job"));
-  EXPECT_EQ(users.ask("POST", "/v1/jobs/j-000413/withdraw"), refused(404, "no such job"));
-  EXPECT_EQ(users.ask("GET", "/v1/other"), refused(404, "no such path"));
-  EXPECT_EQ(users.ask("GET", "/v1/jobs"), refused(405, "method not allowed"));
-}
-
-TEST(WorkerProtocol, PathsOfANodeAnswerTheirOwnMethodsOnly) {
-  ClusterOfUsers users;
-  EXPECT_EQ(users.ask("GET", "/ready"), (Answer{200, "{}"}));
-  EXPECT_EQ(users.ask("POST", "/ready"), (Answer{405, R"({"error":"method not allowed"})"}));
-  EXPECT_EQ(users.ask("POST", "/checkin", "{}"), (Answer{400, R"({"error":"malformed report"})"}));
-  EXPECT_EQ(users.ask("GET", "/checkin"), (Answer{405, R"({"error":"method not allowed"})"}));
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs", "[]"), rejection(400, "expected a JSON object"));
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs", "{}"), rejection(400, "Id: expected a job id"));
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs", replaced(kSmallJob, "red", "nobody")),
+            rejection(422, "unknown team"));
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs", replaced(kSmallJob, R"("Cpus":1)", R"("Cpus":1e6)")),
+            rejection(422, "no allowed machine type has room for a task"));
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs",
+                        replaced(kSmallJob, R"(batch","Rank":"high","Teeth":2)",
+                                 R"(ensemble","Rank":"high","Teeth":99)")),
+            rejection(422, "more than the team's limit"));
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs",
+                        replaced(kSmallJob, R"("StowS":0)", R"("StowS":0,"WaitsOn":["j-000412"])")),
+            rejection(422, "needs itself"));
+  EXPECT_EQ(clients.ask("GET", "/v1/jobs/j-000413"), rejection(404, "no such job"));
+  EXPECT_EQ(clients.ask("POST", "/v1/jobs/j-000413/withdraw"), rejection(404, "no such job"));
+  EXPECT_EQ(clients.ask("GET", "/v1/other"), rejection(404, "no such path"));
+  EXPECT_EQ(clients.ask("GET", "/v1/jobs"), rejection(405, "method not allowed"));
+}
+
+TEST(AgentProtocol, ControllerPathsAcceptOnlyTheirMethods) {
+  ClientsOfCluster clients;
+  EXPECT_EQ(clients.ask("GET", "/ready"), (StatusAndBody{200, "{}"}));
+  EXPECT_EQ(clients.ask("POST", "/ready"),
+            (StatusAndBody{405, R"({"error":"method not allowed"})"}));
+  EXPECT_EQ(clients.ask("POST", "/checkin", "{}"),
+            (StatusAndBody{400, R"({"error":"malformed report"})"}));
+  EXPECT_EQ(clients.ask("GET", "/checkin"),
+            (StatusAndBody{405, R"({"error":"method not allowed"})"}));
 }
 
 // HTTP.
 
-TEST(HttpMessages, ARequestIsWrittenWithItsHeaders) {
+TEST(HttpMessages, RequestIsWrittenWithItsHeaders) {
   EXPECT_EQ(net::serialize(net::Request{"POST", "/txn", "", "{}", true}, "10.1.0.9:81"),
             "POST /txn HTTP/1.1\r\nHost: 10.1.0.9:81\r\nContent-Type: application/json\r\n"
             "Content-Length: 2\r\n\r\n{}");
@@ -566,7 +572,7 @@
             "GET /store?Under=jobs/&Most=7 HTTP/1.1\r\nHost: h:1\r\nConnection: close\r\n\r\n");
 }
 
-TEST(HttpMessages, AResponseIsWrittenWithItsHeaders) {
+TEST(HttpMessages, ResponseIsWrittenWithItsHeaders) {
   net::Response response;
   response.status = 503;
   response.body = "{}";
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -19,7 +19,9 @@
      "Yard":null,"OneZone":true,"Apart":false,"Loaners":true,"ExpectS":240.0,"NotchS":30.0,
      "StowS":4.0,"DueS":900.0,"Later":1})";
 
-std::string reason(std::string text, const std::string& from, const std::string& to) {
+/// Error of parsing the job after the replacement; empty if it is valid.
+std::string error_after_replacing(std::string text, const std::string& from,
+                                  const std::string& to) {
   text.replace(text.find(from), from.size(), to);
   const JsonDocument document(text);
   if (!document.is_object()) return "not an object";
@@ -27,25 +29,28 @@
   return parsed ? "" : to_string(parsed.error());
 }
 
-TEST(Wire, NeededJobsAreReadOnceEachAndCheckedForForm) {
+TEST(Wire, DependenciesAreDeduplicatedAndValidated) {
   std::string text = kJob;
   text.replace(text.find("\"Later\":1"), 9, R"("WaitsOn":["j-2","j-1","j-2"])");
   const JsonDocument document(text);
   const auto job = parse_job(document.root()).value();
   EXPECT_EQ(job.dependencies, (std::vector<std::string>{"j-2", "j-1"}));
-  for (const char* bad : {R"("j-1")", R"([1])", R"(["x"])", R"({})", "7"}) {
-    EXPECT_NE(reason(kJob, "\"Later\":1", std::string("\"WaitsOn\":") + bad).find("WaitsOn"),
+  for (const char* malformed : {R"("j-1")", R"([1])", R"(["x"])", R"({})", "7"}) {
+    EXPECT_NE(error_after_replacing(kJob, "\"Later\":1", std::string("\"WaitsOn\":") + malformed)
+                  .find("WaitsOn"),
               std::string::npos)
-        << bad;
+        << malformed;
   }
-  EXPECT_EQ(reason(kJob, "\"Later\":1", "\"WaitsOn\":null"), "");
-  EXPECT_EQ(reason(kJob, "\"Later\":1", "\"WaitsOn\":[]"), "");
-  std::string many = "\"WaitsOn\":[\"j-0\"";
-  for (std::size_t i = 1; i <= kMaxDependencies; ++i) many += ",\"j-" + std::to_string(i) + "\"";
-  EXPECT_NE(reason(kJob, "\"Later\":1", many + "]").find("WaitsOn"), std::string::npos);
+  EXPECT_EQ(error_after_replacing(kJob, "\"Later\":1", "\"WaitsOn\":null"), "");
+  EXPECT_EQ(error_after_replacing(kJob, "\"Later\":1", "\"WaitsOn\":[]"), "");
+  std::string too_many = "\"WaitsOn\":[\"j-0\"";
+  for (std::size_t i = 1; i <= kMaxDependencies; ++i)
+    too_many += ",\"j-" + std::to_string(i) + "\"";
+  EXPECT_NE(error_after_replacing(kJob, "\"Later\":1", too_many + "]").find("WaitsOn"),
+            std::string::npos);
 }
 
-TEST(Wire, AJobSurvivesTheWayThroughTheStateService) {
+TEST(Wire, JobRecordIsWrittenAndRead) {
   const JsonDocument document(kJob);
   sched::Job job;
   job.spec = parse_job(document.root()).value();
@@ -72,7 +77,7 @@
   EXPECT_EQ(read->placements[0].machine, "n-000001");
 }
 
-TEST(Wire, ALargeRecordIsSplitAndJoined) {
+TEST(Wire, LargeRecordIsSplitAndJoined) {
   auto job = testing::make_job("j-000001", JobKind::job_array, 2000, 1);
   for (std::uint32_t i = 0; i < 900; ++i) {
     job.placements.emplace_back();
@@ -94,9 +99,9 @@
   EXPECT_EQ(read->done.size(), 900u);
 }
 
-// A cancellation changes the main value's revision alone; its parts are still its own then, but
-// those of an earlier or a later write are not.
-TEST(Wire, PartsBelongToTheWriteThatMadeThem) {
+// A cancellation changes only the revision of a record's main value; its parts remain valid. Parts
+// of an earlier or a later write of the record must be rejected.
+TEST(Wire, PartsOfAnotherWriteAreRejected) {
   auto job = testing::make_job("j-000001", JobKind::job_array, 2000, 1);
   for (std::uint32_t i = 0; i < 900; ++i) job.done.add(2 * i);
   job.record.revision = 41;
@@ -110,7 +115,7 @@
   const std::uint64_t other_revision = same_revision + 1;
   EXPECT_EQ(control::add_part(texts[1], other_revision, *read), PartStatus::added);
   EXPECT_EQ(control::add_part(later[1], same_revision, *read), PartStatus::of_another_write);
-  // Parts from before there were generations go by their revision.
+  // Parts without a generation, written by earlier versions, are matched by revision.
   const std::string without_generation = R"({"d":[],"p":[]})";
   EXPECT_EQ(control::add_part(without_generation, same_revision, *read), PartStatus::added);
   EXPECT_EQ(control::add_part(without_generation, other_revision, *read),
@@ -120,21 +125,24 @@
   EXPECT_EQ(control::read_cancelled_at_ms(texts[0]), 1700000000123);
 }
 
-TEST(Wire, AMalformedJobIsRefusedWithItsField) {
-  EXPECT_EQ(reason(kJob, "\"Later\":1", "\"Later\":2"), "");
-  EXPECT_EQ(reason(kJob, "\"Yard\":null,", ""), "");
-  EXPECT_EQ(reason(kJob, "{", "["), "not an object");
-  EXPECT_NE(reason(kJob, "j-000412", "x-1").find("Id"), std::string::npos);
-  EXPECT_NE(reason(kJob, "\"Teeth\":16", "\"Teeth\":0").find("Teeth"), std::string::npos);
-  EXPECT_NE(reason(kJob, "\"Teeth\":16", "\"Teeth\":100001").find("Teeth"), std::string::npos);
-  EXPECT_NE(reason(kJob, "ensemble", "pair").find("Shape"), std::string::npos);
-  EXPECT_NE(reason(kJob, "\"high\"", "\"top\"").find("Rank"), std::string::npos);
-  EXPECT_NE(reason(kJob, "64.0", "-1.0").find("MemGb"), std::string::npos);
-  EXPECT_NE(reason(kJob, "\"OneZone\":true", "\"OneZone\":1").find("OneZone"), std::string::npos);
-  EXPECT_NE(reason(kJob, "[\"g8\"]", "[8]").find("Frames"), std::string::npos);
+TEST(Wire, MalformedJobIsRejectedWithItsField) {
+  EXPECT_EQ(error_after_replacing(kJob, "\"Later\":1", "\"Later\":2"), "");
+  EXPECT_EQ(error_after_replacing(kJob, "\"Yard\":null,", ""), "");
+  EXPECT_EQ(error_after_replacing(kJob, "{", "["), "not an object");
+  EXPECT_NE(error_after_replacing(kJob, "j-000412", "x-1").find("Id"), std::string::npos);
+  EXPECT_NE(error_after_replacing(kJob, "\"Teeth\":16", "\"Teeth\":0").find("Teeth"),
+            std::string::npos);
+  EXPECT_NE(error_after_replacing(kJob, "\"Teeth\":16", "\"Teeth\":100001").find("Teeth"),
+            std::string::npos);
+  EXPECT_NE(error_after_replacing(kJob, "ensemble", "pair").find("Shape"), std::string::npos);
+  EXPECT_NE(error_after_replacing(kJob, "\"high\"", "\"top\"").find("Rank"), std::string::npos);
+  EXPECT_NE(error_after_replacing(kJob, "64.0", "-1.0").find("MemGb"), std::string::npos);
+  EXPECT_NE(error_after_replacing(kJob, "\"OneZone\":true", "\"OneZone\":1").find("OneZone"),
+            std::string::npos);
+  EXPECT_NE(error_after_replacing(kJob, "[\"g8\"]", "[8]").find("Frames"), std::string::npos);
 }
 
-TEST(Wire, OfSeveralMalformedFieldsTheFirstIsNamed) {
+TEST(Wire, FirstOfSeveralMalformedFieldsIsNamed) {
   std::string text = kJob;
   for (const auto* field : {"\"Crew\":\"vision\"", "\"Rank\":\"high\"", "\"OneZone\":true"}) {
     text.replace(text.find(field), std::string(field).size(), "\"Other\":1");
@@ -146,7 +154,7 @@
   EXPECT_EQ(job.error().expectation, "a team");
 }
 
-TEST(Wire, AFieldThatIsAbsentNullOrOfAnotherTypeIsNone) {
+TEST(Wire, AbsentNullOrWronglyTypedFieldIsNone) {
   const JsonDocument document(
       R"({"text":"a","number":1.5,"negative":-1,"count":7,"flag":true,"null":null,
           "texts":["a","b"],"mixed":["a",1]})");
@@ -167,7 +175,7 @@
   EXPECT_FALSE(read_texts(object, "text"));
 }
 
-TEST(Wire, MalformedReportsAndAnswersAreNothing) {
+TEST(Wire, MalformedHeartbeatsAndResponsesAreNone) {
   EXPECT_FALSE(parse_heartbeat("[]"));
   EXPECT_FALSE(parse_heartbeat(R"({"Rig":"n-1"})"));
   EXPECT_FALSE(parse_heartbeat(
@@ -179,7 +187,7 @@
   EXPECT_FALSE(parse_scale_out_response(R"({"Rigs":[1]})"));
 }
 
-TEST(Wire, TaskSetsJoinNeighbours) {
+TEST(Wire, TaskSetsMergeAdjacentRanges) {
   sched::TaskSet set;
   for (const std::uint32_t t : {5u, 3u, 4u, 9u, 4u}) set.add(t);
   EXPECT_EQ(set.size(), 4u);
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -89,13 +89,13 @@
 
 std::string WorkerStandIn::heartbeat() {
   JsonWriter j;
-  j.begin().key("Rig").text(id).key("Address").text(address).key("Frame").text(kind.type);
+  j.begin_object().key("Rig").text(id).key("Address").text(address).key("Frame").text(kind.type);
   j.key("Yard").text(kind.zone).key("Loaners").flag(kind.spot).key("Shift").count(agent_epoch);
   j.key("Tick").count(++sequence).key("KeyTurn").count(fencing_token);
   if (preemption_notice_s) j.key("WarningS").amount(*preemption_notice_s);
-  j.key("Teeth").list();
+  j.key("Teeth").begin_array();
   for (const auto& [name, t] : tasks) {
-    j.begin().key("Tooth").text(name).key("Crank").count(t.attempt);
+    j.begin_object().key("Tooth").text(name).key("Crank").count(t.attempt);
     j.key("Stance").text(state_name(t.state));
     if (t.state == TaskState::exited) {
       const bool failed = t.exit_reason == ExitReason::error;
@@ -103,9 +103,9 @@
                           : failed                               ? "error"
                                                                  : "halted");
     }
-    j.end();
+    j.end_object();
   }
-  j.list_end().end();
+  j.end_array().end_object();
   return j.take();
 }
 
