--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -56,9 +56,9 @@
 int serve(const Settings& settings) {
   using namespace cranklock;
   net::EvReactor reactor;
-  // Outgoing connections, most of them to agents, may use 7/24 of the file descriptors: a sixth for
-  // calls and an eighth for idle keep-alive connections. What the public connections and these
-  // leave is for the other controllers.
+  // Calls in progress, most of them to agents, and idle keep-alive connections together use 7/24 of
+  // the file descriptors (a sixth and an eighth). What these and the public connections leave is
+  // for the other controllers.
   net::HttpClient client(reactor, max_response_bytes(settings),
                          static_cast<std::size_t>(settings.fd_limit) * 7 / 24);
   store::Client store(reactor, client, settings);
@@ -105,12 +105,12 @@
     node.set_region_network(&*region_links);
   }
   // SIGTERM and SIGINT stop the loop; the scope then cancels every coroutine.
-  ev_signal on_term, on_int;
+  ev_signal sigterm_watcher, sigint_watcher;
   const auto stop = [](struct ev_loop* loop, ev_signal*, int) { ev_break(loop, EVBREAK_ALL); };
-  ev_signal_init(&on_term, stop, SIGTERM);
-  ev_signal_init(&on_int, stop, SIGINT);
-  ev_signal_start(reactor.raw(), &on_term);
-  ev_signal_start(reactor.raw(), &on_int);
+  ev_signal_init(&sigterm_watcher, stop, SIGTERM);
+  ev_signal_init(&sigint_watcher, stop, SIGINT);
+  ev_signal_start(reactor.raw(), &sigterm_watcher);
+  ev_signal_start(reactor.raw(), &sigint_watcher);
 
   net::Scope coroutines;
   coroutines.spawn(server.run());
--- a/src/base/region_settings.hpp
+++ b/src/base/region_settings.hpp
@@ -39,7 +39,7 @@
   std::string listen_address(const std::string& member) const;
 };
 
-/// Reads `<regions self bootstrap region><region name quota><controller member address/>...`.
+/// Reads `<regions self founder><region name share><controller member address/>...`.
 /// Throws SettingsError that names `path`, the field and the expected value.
 RegionSettings read_region_settings(const pugi::xml_node& element, const std::string& path);
 
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -75,10 +75,10 @@
 
 /// Reads <cranklock><scaler every_s="5" high="0.9" .../><machines boot_patience="3"/></cranklock>
 void read_xml(const std::string& path, OperatorSettings& settings) {
-  pugi::xml_document doc;
-  const auto parsed = doc.load_file(path.c_str());
+  pugi::xml_document document;
+  const auto parsed = document.load_file(path.c_str());
   if (!parsed) throw SettingsError(path + ": expected XML: " + parsed.description());
-  const auto root = doc.document_element();
+  const auto root = document.document_element();
   if (std::string(root.name()) != "cranklock") {
     throw SettingsError(path + ": " + root.name() + ": expected the element cranklock");
   }
@@ -88,26 +88,26 @@
     double min;
     bool whole = false;
   };
-  const auto real = [](double& target) { return [&target](double value) { target = value; }; };
-  const auto whole = [](int& target) {
+  const auto set_real = [](double& target) { return [&target](double value) { target = value; }; };
+  const auto set_whole = [](int& target) {
     return [&target](double value) { target = static_cast<int>(value); };
   };
-  const std::map<std::string, std::map<std::string, Field>> known = {
+  const std::map<std::string, std::map<std::string, Field>> sections = {
       {"scaler",
-       {{"every_s", {real(scaler.interval_s), 0.1}},
-        {"high", {real(scaler.high_score), 0.0}},
-        {"low", {real(scaler.low_score), 0.0}},
-        {"up_window_s", {real(scaler.scale_out_window_s), 0.0}},
-        {"down_window_s", {real(scaler.scale_in_window_s), 1.0}},
-        {"up_cooldown_s", {real(scaler.scale_out_cooldown_s), 0.0}},
-        {"down_cooldown_s", {real(scaler.scale_in_cooldown_s), 0.0}},
-        {"step_machines", {whole(scaler.scale_in_step_machines), 1, true}},
-        {"step_share", {real(scaler.scale_in_step_share), 0.0}},
-        {"most_step", {whole(scaler.max_scale_out_step_machines), 1, true}},
-        {"most_step_share", {real(scaler.max_scale_out_step_share), 0.0}},
-        {"least_machines", {whole(scaler.min_machines), 0, true}},
-        {"most_machines", {whole(scaler.max_machines), 1, true}}}},
-      {"machines", {{"boot_patience", {real(settings.boot_timeout_factor), 1.0}}}}};
+       {{"every_s", {set_real(scaler.interval_s), 0.1}},
+        {"high", {set_real(scaler.high_score), 0.0}},
+        {"low", {set_real(scaler.low_score), 0.0}},
+        {"up_window_s", {set_real(scaler.scale_out_window_s), 0.0}},
+        {"down_window_s", {set_real(scaler.scale_in_window_s), 1.0}},
+        {"up_cooldown_s", {set_real(scaler.scale_out_cooldown_s), 0.0}},
+        {"down_cooldown_s", {set_real(scaler.scale_in_cooldown_s), 0.0}},
+        {"step_machines", {set_whole(scaler.scale_in_step_machines), 1, true}},
+        {"step_share", {set_real(scaler.scale_in_step_share), 0.0}},
+        {"most_step", {set_whole(scaler.max_scale_out_step_machines), 1, true}},
+        {"most_step_share", {set_real(scaler.max_scale_out_step_share), 0.0}},
+        {"least_machines", {set_whole(scaler.min_machines), 0, true}},
+        {"most_machines", {set_whole(scaler.max_machines), 1, true}}}},
+      {"machines", {{"boot_patience", {set_real(settings.boot_timeout_factor), 1.0}}}}};
   for (const auto& element : root.children()) {
     if (element.type() != pugi::node_element) continue;
     if (std::string(element.name()) == "regions") {
@@ -120,8 +120,8 @@
       settings.defrag = read_defrag_settings(element, path);
       continue;
     }
-    const auto section = known.find(element.name());
-    if (section == known.end()) {
+    const auto section = sections.find(element.name());
+    if (section == sections.end()) {
       throw SettingsError(path + ": " + element.name() +
                           ": expected scaler, machines, defrag or regions");
     }
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -68,7 +68,7 @@
   std::string cloud_address, state_address;  ///< of the cloud's API and the key-value store
   int nodes = 1;                             ///< controllers of the region, including this one
   std::vector<std::string> zones;
-  double clock_error_s = 1.0;
+  double clock_error_s = 1.0;  ///< maximum error of the wall clock of a machine
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   double heartbeat_interval_s = 3, lease_s = 30, gang_wait_s = 45, gang_peer_s = 4, cancel_s = 50;
@@ -106,9 +106,9 @@
 /// Throws SettingsError.
 Settings load_settings(const std::string& toml_path, const std::string& xml_path);
 
-/// Time after its last confirmed renewal during which a leader may answer heartbeats. Even if a
-/// successor has confirmed a cancellation in the meantime, the lease of every agent answered in
-/// this window expires within cancel_s of that confirmation.
+/// Time after its last confirmed renewal during which a leader may respond to heartbeats. Even if a
+/// successor has confirmed a cancellation in the meantime, the lease of every agent that got a
+/// response expires within cancel_s of that confirmation.
 inline double response_window_s(const Settings& settings) {
   return (settings.cancel_s - settings.lease_s) * 0.9;
 }
