--- a/src/control/agent_redirector.cpp
+++ b/src/control/agent_redirector.cpp
@@ -20,7 +20,7 @@
   constexpr double kMaxCpuFraction = 0.1;     // of this controller's CPU share
   constexpr double kPacketsPerHeartbeat = 2;  // the heartbeat and its response
   const double cost = direct_heartbeats_.per_second(services_.reactor.now()) *
-                      kPacketsPerHeartbeat * base::kPacketCost;
+                      kPacketsPerHeartbeat * base::kCpuSecondsPerPacket;
   return cost > kMaxCpuFraction * services_.settings.core_share || connections_overloaded();
 }
 
@@ -39,7 +39,7 @@
 // Returns the controllers of the zone, or all other controllers if the zone has none.
 std::vector<const base::Peer*> AgentRedirector::candidate_forwarders(
     const std::string& zone) const {
-  const bool any_zone = !services_.settings.has_node(zone);
+  const bool any_zone = !services_.settings.has_controller_in(zone);
   std::vector<const base::Peer*> forwarders;
   for (const auto& other : services_.settings.others) {
     if (any_zone || other.zone == zone) forwarders.push_back(&other);
@@ -49,7 +49,8 @@
 
 std::string AgentRedirector::redirect(const wire::Heartbeat& heartbeat, HeartbeatHandler& handler) {
   const auto& settings = services_.settings;
-  const bool may_stay = heartbeat.zone == settings.zone || !settings.has_node(heartbeat.zone);
+  const bool may_stay =
+      heartbeat.zone == settings.zone || !settings.has_controller_in(heartbeat.zone);
   const double now = services_.reactor.now();
   if (may_stay && (now < next_redirect_at_ || !overloaded())) return {};
   const auto forwarders = candidate_forwarders(heartbeat.zone);
--- a/src/control/decision_loop.cpp
+++ b/src/control/decision_loop.cpp
@@ -17,7 +17,7 @@
 
 DecisionLoop::DecisionLoop(const LeaderContext& context, Components components)
     : context_(context), components_(components) {
-  const double advise_every_s = context.services.settings.operators.defrag.advise_every_s;
+  const double advise_every_s = context.services.settings.operator_settings.defrag.advise_every_s;
   if (advise_every_s > 0) {
     advisor_ = std::make_unique<defrag::Advisor>(context.cluster, advise_every_s);
   }
--- a/src/control/heartbeat_forwarder.cpp
+++ b/src/control/heartbeat_forwarder.cpp
@@ -36,7 +36,7 @@
   if (delegate_responded_at_ < 0) return;
   const double age_ms = (reactor_.now() - delegate_responded_at_) * kMsPerSecond;
   peer_heartbeat.delegate_responded_ms =
-      static_cast<std::uint32_t>(std::min(age_ms, peer::kNever - 1.0));
+      static_cast<std::uint32_t>(std::min(age_ms, peer::kNeverMs - 1.0));
 }
 
 bool HeartbeatForwarder::is_leader_reachable() const {
@@ -68,7 +68,7 @@
 
 // Whether the agent is in another zone that has controllers of its own.
 bool HeartbeatForwarder::has_other_controllers(const wire::Heartbeat& heartbeat) const {
-  return heartbeat.zone != settings_.zone && settings_.has_node(heartbeat.zone);
+  return heartbeat.zone != settings_.zone && settings_.has_controller_in(heartbeat.zone);
 }
 
 HeartbeatForwarder::OtherZoneAgent HeartbeatForwarder::other_zone_agent(
--- a/src/control/job_record.cpp
+++ b/src/control/job_record.cpp
@@ -81,7 +81,7 @@
 /// The main value up to its lists, without the closing brace.
 std::string begin_main_value(const sched::Job& job) {
   JsonWriter writer;
-  writer.begin().key(job.spec.dependencies.empty() ? kSpecField : kDependentSpecField);
+  writer.begin_object().key(job.spec.dependencies.empty() ? kSpecField : kDependentSpecField);
   wire::write_job(writer, job.spec);
   writer.key(kCreatedField).integer(job.created_ms);
   writer.key(kCancelledField).integer(job.cancelled_at_ms);
@@ -89,7 +89,7 @@
   // The revision that a write is conditional on identifies the write: at most one write per
   // revision succeeds.
   writer.key(kGenerationField).count(job.record.revision);
-  writer.end();
+  writer.end_object();
   std::string value = writer.take();
   value.pop_back();
   return value;
--- a/src/control/leader_lease.hpp
+++ b/src/control/leader_lease.hpp
@@ -67,7 +67,7 @@
   /// of a job whose cancellation this leader has not read yet (invariant 6; for the bound see
   /// docs/design.md, "What a cancellation can count on").
   bool may_respond(double now) const { return now < may_respond_until(); }
-  double may_respond_until() const { return known_until() + base::response_span(settings_); }
+  double may_respond_until() const { return known_until() + base::response_window_s(settings_); }
   /// Machines with tasks of cancelled jobs may be deleted: no recent response has shown that
   /// another controller may be the leader. A process that was paused for longer than the lease TTL
   /// has to renew the lease first, since renewals are sent several times per TTL (invariant 7).
@@ -79,7 +79,7 @@
   static constexpr double kNever = -1e9;
 
   /// The lease TTL, reduced by the maximum drift between two clocks.
-  double validity_s() const { return lease_ttl_s(settings_) * (1 - 2 * base::kClockDrift); }
+  double validity_s() const { return lease_ttl_s(settings_) * (1 - 2 * base::kMaxClockDrift); }
   /// The time up to which both the leadership and all cancellations are known.
   double known_until() const { return std::min(last_renewal_sent_at_, last_caught_up_sent_at_); }
 
--- a/src/control/machine_type_loader.cpp
+++ b/src/control/machine_type_loader.cpp
@@ -15,7 +15,7 @@
   constexpr double kRefreshIntervalS = 60;
   const double retry_interval = services_.settings.heartbeat_interval_s / 3;
   for (;;) {
-    auto fetching = services_.cloud.types();
+    auto fetching = services_.cloud.machine_types();
     auto types = co_await fetching;
     if (!types || types->empty()) {
       // The cloud may be unavailable when this controller starts; another controller may have
