--- a/src/control/command_sender.cpp
+++ b/src/control/command_sender.cpp
@@ -30,14 +30,14 @@
 /// reached (invariant 5).
 bool is_start_due(const Job& job, const Placement& placement, PermittedCommands permitted) {
   return permitted.start && !job.cancelled() && job.dependencies_met && placement.durable() &&
-         !placement.ended && !placement.stop && !placement.seen &&
-         placement.start_carrier.epoch == 0 && placement.unconfirmed_start_epoch == 0;
+         !placement.ended && !placement.stop_requested && !placement.reported &&
+         placement.last_start_sequence.epoch == 0 && placement.indeterminate_start_epoch == 0;
 }
 
 /// A placement that is drained is stopped in responses to heartbeats alone (invariant 19).
 bool is_stop_due(const Job& job, const Placement& placement, PermittedCommands permitted) {
-  const bool requested = placement.stop && !placement.drain_deadline && permitted.stop;
-  return (requested || job.cancelled()) && placement.seen && !placement.ended &&
+  const bool requested = placement.stop_requested && !placement.drain_deadline && permitted.stop;
+  return (requested || job.cancelled()) && placement.reported && !placement.ended &&
          !placement.stop_sent;
 }
 
@@ -85,7 +85,7 @@
     const wire::TaskName task{job.spec.id, placement.task};
     if (is_start_due(job, placement, permitted)) {
       commands.push_back({wire::CommandKind::start, task, placement.attempt, 0});
-      placement.unconfirmed_start_epoch = machine.agent.newest_message.epoch;
+      placement.indeterminate_start_epoch = machine.agent.newest_message.epoch;
       machine.agent.indeterminate_starts.insert({task, placement.attempt});
     } else if (is_stop_due(job, placement, permitted)) {
       const double grace_s = job.cancelled() ? 0 : placement.grace_s;
@@ -107,9 +107,9 @@
     Job* job = context_.cluster.job(command.task.job);
     auto* placement = job != nullptr ? job->find(command.task.index, command.attempt) : nullptr;
     if (placement == nullptr) continue;
-    placement->unconfirmed_start_epoch = 0;
+    placement->indeterminate_start_epoch = 0;
     if (!heartbeat) continue;
-    auto& [start_epoch, start_sequence] = placement->start_carrier;
+    auto& [start_epoch, start_sequence] = placement->last_start_sequence;
     start_epoch = std::max(start_epoch, heartbeat->agent_epoch);
     start_sequence = std::max(start_sequence, heartbeat->sequence);
   }
--- a/src/control/heartbeat_handler.cpp
+++ b/src/control/heartbeat_handler.cpp
@@ -43,7 +43,7 @@
     base::log_info("machine quarantined", base::field("machine", heartbeat.machine),
                    base::field("reason", "its tasks fail"));
   }
-  if (freshness == Freshness::late_copy) return refusal(503);
+  if (freshness == Freshness::stale) return refusal(503);
 
   last_agent_message_at_ = now;
   log_started_tasks(heartbeat, now);
--- a/src/control/machine_supervisor.cpp
+++ b/src/control/machine_supervisor.cpp
@@ -66,7 +66,7 @@
     return TerminationReason::reclaimed;
   const bool fault_confirmed = machine.faults.quarantine == sched::Quarantine::confirmed;
   const bool quarantine_over =
-      now - machine.faults.quarantined_since > context_.cluster.quarantine_period();
+      now - machine.faults.quarantined_since > context_.cluster.quarantine_period_s();
   if (machine.quarantined() && machine.idle() && (fault_confirmed || quarantine_over)) {
     return TerminationReason::quarantined;
   }
@@ -80,7 +80,7 @@
   const auto& settings = context_.services.settings;
   const auto* type = context_.cluster.type(machine.kind.type);
   const double expected_s = type != nullptr
-                                ? context_.cluster.expected_boot(*type, machine.kind.zone, now)
+                                ? context_.cluster.expected_boot_s(*type, machine.kind.zone, now)
                                 : settings.lease_s;
   const double timeout_s = settings.operators.boot_patience * expected_s;
   return now - machine.cloud.provisioned_at > timeout_s &&
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -31,7 +31,7 @@
 
 /// No placement of the job can be on a machine any more, and none is still to come.
 bool is_over(const Job& job) {
-  return job.cancelled() ? job.live() == 0 : job.complete();
+  return job.cancelled() ? job.live_count() == 0 : job.complete();
 }
 
 }  // namespace
@@ -163,7 +163,7 @@
     context_.cluster.resolve_abandoned(job, *placement, now());
     ended.push_back(abandoned);
   }
-  context_.cluster.forget_ended(job, ended);
+  context_.cluster.erase_ended(job, ended);
 }
 
 // The write was answered: it is the outcome's proof for dependents (invariant 14).
--- a/src/control/write_order.cpp
+++ b/src/control/write_order.cpp
@@ -30,7 +30,7 @@
 
 /// The job is cancelled and none of its tasks can be on a machine any more.
 bool is_cancelled_and_gone(const Job& job) {
-  return job.cancelled() && job.live() == 0;
+  return job.cancelled() && job.live_count() == 0;
 }
 
 bool has_unwritten_starts(const Job& job) {
--- a/src/defrag/fleet_view.cpp
+++ b/src/defrag/fleet_view.cpp
@@ -11,8 +11,8 @@
 /// In doubt, being stopped or cancelled: nobody may count on where it is.
 bool is_settled(const sched::Job& job, const sched::Placement& placement) {
   const bool in_doubt =
-      !placement.durable() || !placement.seen || placement.unconfirmed_start_epoch != 0;
-  const bool leaving = placement.ended || placement.stop || job.cancelled();
+      !placement.durable() || !placement.reported || placement.indeterminate_start_epoch != 0;
+  const bool leaving = placement.ended || placement.stop_requested || job.cancelled();
   return !in_doubt && !leaving;
 }
 
@@ -29,7 +29,7 @@
   const double restart_s = kHeartbeatsUntilRestart * cluster.settings().heartbeat_interval_s;
   if (job.spec.kind == wire::JobKind::service) {
     // A single replica has no other to serve in its place.
-    if (!rules.services || job.live() < 2) return std::nullopt;
+    if (!rules.services || job.live_count() < 2) return std::nullopt;
     return cluster.settings().lease_s / 2 + restart_s;
   }
   if (job.spec.kind != wire::JobKind::job_array) return std::nullopt;
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -185,7 +185,7 @@
 }
 
 void MoveExecutor::request_stop(std::size_t index, sched::Placement& placement, double now) {
-  const bool was_stopping = placement.stop;
+  const bool was_stopping = placement.stop_requested;
   const PlannedMove& move = plan().moves[index];
   if (moves_replica(cluster_, move)) {
     // A new leader has to hear of the drain itself.
@@ -198,7 +198,7 @@
     const double grace_s = spec.checkpoint_interval_s > 0 ? spec.checkpoint_save_s : 0;
     placement.request_stop(grace_s, now);
   }
-  changed_ = changed_ || placement.stop != was_stopping;
+  changed_ = changed_ || placement.stop_requested != was_stopping;
 }
 
 void MoveExecutor::end_move(std::size_t index, double now) {
--- a/src/defrag/move_progress.cpp
+++ b/src/defrag/move_progress.cpp
@@ -30,7 +30,7 @@
   const auto* placement = job->live_placement(move.task.index);
   if (placement != nullptr) {
     if (placement->machine != move.target) return MoveStep::diverted;
-    const bool runs = placement->seen && placement->state == wire::TaskState::running;
+    const bool runs = placement->reported && placement->state == wire::TaskState::running;
     return runs ? MoveStep::done : MoveStep::restarting;
   }
   return is_interrupted(move.step) ? MoveStep::freed : MoveStep::diverted;
--- a/src/defrag/plan_check.cpp
+++ b/src/defrag/plan_check.cpp
@@ -109,7 +109,7 @@
 }
 
 bool is_placed(const sched::Job& job, const MovePlan& plan) {
-  if (job.spec.kind == wire::JobKind::gang) return job.live() > 0;
+  if (job.spec.kind == wire::JobKind::gang) return job.live_count() > 0;
   if (job.pending_count() == 0) return true;
   return std::any_of(job.placements.begin(), job.placements.end(), [&](const auto& placement) {
     if (placement.ended) return false;
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -82,7 +82,7 @@
     return false;
   if (job.pending_count() == 0) return false;
   // The old attempt of a gang must be gone entirely before the next begins.
-  if (job.spec.kind == wire::JobKind::gang && job.live() > 0) return false;
+  if (job.spec.kind == wire::JobKind::gang && job.live_count() > 0) return false;
   const auto tasks = static_cast<double>(tasks_at_once(job));
   return sched::within_quota_limit(cluster, job.spec.team, job.spec.resources * tasks);
 }
--- a/src/regions/demand.cpp
+++ b/src/regions/demand.cpp
@@ -9,7 +9,7 @@
 
 /// Tasks that could be placed at once; the record of a job bounds how many are placed at a time.
 std::size_t placeable_tasks(const sched::Job& job, std::size_t max_live) {
-  const std::size_t live = job.live();
+  const std::size_t live = job.live_count();
   const std::size_t waiting = job.pending_count();
   if (job.spec.kind != wire::JobKind::gang) {
     return live < max_live ? std::min(waiting, max_live - live) : 0;
--- a/src/sched/agent_sequence.hpp
+++ b/src/sched/agent_sequence.hpp
@@ -1,4 +1,4 @@
-// Order of the messages of one agent.
+// Orders the messages of one agent.
 #pragma once
 
 #include <compare>
@@ -8,11 +8,10 @@
 
 namespace cranklock::sched {
 
-/// Position of a message in the stream of messages of one agent. The epoch grows each time the
-/// agent's lease expires, the sequence with each message, so a greater position is a newer message
-/// (invariant 4).
+/// Sequence number of a message of one agent. The epoch increases each time the agent's lease
+/// expires, the sequence with each message; a greater value is a newer message (invariant 4).
 struct AgentSequence {
-  std::uint64_t epoch = 0;  ///< 0: no message yet; agents count from 1
+  std::uint64_t epoch = 0;  ///< 0: no message yet; agents start at 1
   std::uint64_t sequence = 0;
   auto operator<=>(const AgentSequence&) const = default;  // NOLINT(modernize-use-nullptr)
 };
--- a/src/sched/boot_monitor.cpp
+++ b/src/sched/boot_monitor.cpp
@@ -9,15 +9,15 @@
 }
 
 bool is_booting(const Machine& machine) {
-  // Guards against a new leader that takes machines for overdue which have been up for long and
-  // have only not reported to it yet: the list tells which ones boot.
+  // Guards against a new leader marking running machines as overdue before they have reported to
+  // it: the cloud's list states which machines are booting.
   return machine.cloud.listed ? machine.cloud.booting : machine.cloud.provisioned_here;
 }
 
 }  // namespace
 
 void BootMonitor::record_message(Machine& machine, double now) {
-  // A machine that another leader provisioned may have been up for long.
+  // A machine that another leader provisioned may have finished its boot long ago.
   if (!machine.agent.heartbeat_received && machine.cloud.provisioned_here) {
     boot_times_.record_boot(location_of(machine), now - machine.cloud.provisioned_at, now);
   }
@@ -25,7 +25,7 @@
 }
 
 void BootMonitor::update_overdue(double now) {
-  // Boots take up to half as long again as they should; beyond twice that something is amiss.
+  // Normal boots take up to 1.5 times the expected time; beyond twice that a fault is likely.
   constexpr double kOverdueFactor = 2;
   for (auto& [id, machine] : machines_.all()) {
     const wire::MachineType* type = machines_.type(machine.kind.type);
--- a/src/sched/boot_monitor.hpp
+++ b/src/sched/boot_monitor.hpp
@@ -1,4 +1,4 @@
-// Watches machines boot: which are overdue, and how long boots take.
+// Monitors booting machines: boot durations and overdue boots.
 #pragma once
 
 #include <string>
@@ -9,23 +9,24 @@
 
 namespace cranklock::sched {
 
-/// Learns boot times from the machines that this leader provisioned, and marks machines that boot
-/// for much longer than was lately seen of their type and zone: no room is expected of those.
+/// Records the boot times of the machines that this leader provisioned, and marks a machine as
+/// overdue when its boot takes much longer than recent boots of its type and zone. The capacity of
+/// an overdue machine is no longer expected.
 class BootMonitor {
  public:
   /// Both must outlive this object.
   BootMonitor(MachineInventory& machines, ChangeSignal& changes)
       : machines_(machines), changes_(changes) {}
 
-  /// A message of the machine's agent has come. To be called before the machine is marked as heard;
-  /// only the first message under this leader tells how long the boot took.
+  /// Records a message of the machine's agent. Must be called before `agent.heartbeat_received` is
+  /// set: only the first message under this leader gives the duration of the boot.
   void record_message(Machine& machine, double now);
-  /// To be called periodically.
+  /// Marks machines whose boot is overdue. To be called periodically.
   void update_overdue(double now);
 
-  /// How many seconds a boot of the type should take there now; not less than the cloud says.
+  /// The boot time to expect of the type in the zone; at least the `ready_s` stated by the cloud.
   double expected_boot_s(const wire::MachineType& type, const std::string& zone, double now) const;
-  /// How much worse boots there lately are than the cloud says: 1 is as it says.
+  /// Factor by which recent boots were worse than the cloud states; 1: as stated.
   double penalty(const wire::MachineType& type, const std::string& zone, double now) const;
 
  private:
--- a/src/sched/boot_times.cpp
+++ b/src/sched/boot_times.cpp
@@ -6,15 +6,16 @@
 namespace cranklock::sched {
 
 namespace {
-constexpr std::size_t kMaxBoots = 9;    ///< remembered of each location
-constexpr std::size_t kMinBoots = 3;    ///< for a median; a single one may be late by chance
-constexpr double kRecentBootTimes = 6;  ///< for how many times its own duration a boot is recent
+constexpr std::size_t kMaxBootsPerLocation = 9;
+constexpr std::size_t kMinBootsForMedian = 3;  ///< a single boot may be late by chance
+/// A boot is recent for this multiple of its own duration.
+constexpr double kRecentBootDurations = 6;
 }  // namespace
 
 void BootTimes::record(const Location& location, Boot boot) {
   auto& boots = boots_[location];
   boots.push_back(boot);
-  if (boots.size() > kMaxBoots) boots.pop_front();
+  if (boots.size() > kMaxBootsPerLocation) boots.pop_front();
 }
 
 void BootTimes::record_boot(const Location& location, double duration_s, double now) {
@@ -32,7 +33,7 @@
   if (found == boots_.end()) return boots;
   for (const Boot& boot : found->second) {
     const double duration_s = std::max(ready_s, boot.duration_s.value_or(ready_s));
-    if (now - boot.recorded_at < kRecentBootTimes * duration_s) boots.push_back(boot);
+    if (now - boot.recorded_at < kRecentBootDurations * duration_s) boots.push_back(boot);
   }
   return boots;
 }
@@ -46,7 +47,7 @@
   for (const Boot& boot : boots) {
     if (boot.duration_s) durations.push_back(*boot.duration_s);
   }
-  if (durations.size() < kMinBoots) return ready_s;
+  if (durations.size() < kMinBootsForMedian) return ready_s;
   const auto middle = durations.begin() + static_cast<std::ptrdiff_t>(durations.size() / 2);
   std::nth_element(durations.begin(), middle, durations.end());
   return std::max(*middle, ready_s);
@@ -56,8 +57,8 @@
   const auto boots = recent(location, ready_s, now);
   const auto overdue = static_cast<double>(std::count_if(
       boots.begin(), boots.end(), [](const Boot& boot) { return !boot.duration_s.has_value(); }));
-  const double up = static_cast<double>(boots.size()) - overdue;
-  return median_s(boots, ready_s) / ready_s * (1 + overdue / (up + 1));
+  const double completed = static_cast<double>(boots.size()) - overdue;
+  return median_s(boots, ready_s) / ready_s * (1 + overdue / (completed + 1));
 }
 
 }  // namespace cranklock::sched
--- a/src/sched/candidates.cpp
+++ b/src/sched/candidates.cpp
@@ -14,7 +14,7 @@
   std::map<std::string, wire::Resources> releasing;
   for (const auto& [id, job] : cluster.jobs()) {
     for (const auto& placement : job.placements) {
-      const bool stopping = !placement.ended && (placement.stop || job.cancelled());
+      const bool stopping = !placement.ended && (placement.stop_requested || job.cancelled());
       if (stopping) releasing[placement.machine] += job.spec.resources;
     }
   }
@@ -39,7 +39,7 @@
     }
   }
   for (const auto& reservation : cluster.reservations().all()) {
-    if (cluster.in_force(reservation)) reservations_.push_back(&reservation);
+    if (cluster.is_reservation_active(reservation)) reservations_.push_back(&reservation);
   }
 }
 
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -19,7 +19,7 @@
 
 Job& ClusterState::upsert_job(Job job, double now) {
   if (Job* known = jobs_.find(job.spec.id)) {
-    keep_learnt_state(job, *known);
+    carry_over_runtime_state(job, *known);
     placements_.detach_all(*known, now);
   } else {
     job.known_since = now;
@@ -27,9 +27,9 @@
   }
   if (job.cancelled() && job.cancelled_since == 0) job.cancelled_since = now;
   job.sort_placements();
-  Job& held = jobs_.put(std::move(job));
-  placements_.attach_all(held, now);
-  return held;
+  Job& stored_job = jobs_.put(std::move(job));
+  placements_.attach_all(stored_job, now);
+  return stored_job;
 }
 
 void ClusterState::remove_job(const std::string& id) {
@@ -73,12 +73,12 @@
 
 void ClusterState::set_reservations(Reservations reservations) {
   if (reservations.all() == reservations_.all()) return;
-  // What was held for a plan is free at once for other work (invariant 19).
+  // Capacity reserved for the previous plan becomes available at once (invariant 19).
   changes_.raise();
   reservations_ = std::move(reservations);
 }
 
-bool ClusterState::in_force(const Reservation& reservation) const {
+bool ClusterState::is_reservation_active(const Reservation& reservation) const {
   const Job* job = jobs_.find(reservation.job);
   return job != nullptr && holds_room(reservation, *job);
 }
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -1,4 +1,4 @@
-// What the leader knows of jobs, placements, machines and quota use. Pure: no I/O, time passed in.
+// The leader's state of jobs, placements, machines and quota use. No I/O; callers pass the time.
 #pragma once
 
 #include <cstdint>
@@ -32,28 +32,30 @@
 
 namespace cranklock::sched {
 
-/// Connects the parts that each keep a share of the state, and is the one face that the rest of the
-/// program sees of them. All times are seconds on the steady clock of this leader.
+/// Facade over the classes that each hold a part of the scheduler's state; other modules access the
+/// state only through it. All times are seconds on the steady clock of this leader.
 ///
-/// Jobs and machines are held by JobTable and MachineInventory; PlacementTracker keeps placements,
-/// allocations and QuotaUsage in step; HeartbeatReconciler and TaskReconciler take heartbeats in,
-/// and HeartbeatCommands answers them; LeaseTracker, ZoneReachability, BootMonitor and
-/// FailureTracker judge machines.
+/// JobTable and MachineInventory hold jobs and machines. PlacementTracker keeps placements,
+/// allocations and QuotaUsage consistent. HeartbeatReconciler and TaskReconciler apply heartbeats,
+/// and HeartbeatCommands builds the commands of the response. LeaseTracker, ZoneReachability,
+/// BootMonitor and FailureTracker assess the state of machines.
 class ClusterState {
  public:
   using Freshness = HeartbeatFreshness;
 
-  /// `leader_since` is when the leadership was known to be ours. The settings must outlive this.
+  /// `leader_since`: when this node learnt that it is the leader. `settings` must outlive this
+  /// object.
   ClusterState(const base::Settings& settings, std::uint64_t fencing_token, double leader_since);
-  // The parts refer to each other.
+  // Not copyable: members hold references to each other.
   ClusterState(const ClusterState&) = delete;
   ClusterState& operator=(const ClusterState&) = delete;
 
   // Jobs.
-  /// Takes in a job as it is stored. What was learnt of it and its placements before is kept.
+  /// Adds or replaces a job by its stored record. Runtime state of the job and of its placements
+  /// that this leader has collected is kept.
   Job& upsert_job(Job job, double now);
   void remove_job(const std::string& id);
-  /// See JobTable::cancel. The stored record may show the cancellation only after this.
+  /// See JobTable::cancel. To be called before the cancellation is written to the stored record.
   void cancel(Job& job, std::int64_t at_ms, double since) { jobs_.cancel(job, at_ms, since); }
   /// See JobTable::record_outcome.
   void record_outcome(const std::string& id, const Dependencies::Outcome& outcome) {
@@ -62,7 +64,7 @@
   const Dependencies& dependencies() const { return jobs_.dependencies(); }
   /// See JobTable::unknown_outcomes.
   std::vector<std::string> unknown_outcomes() const { return jobs_.unknown_outcomes(); }
-  /// nullptr: not live.
+  /// nullptr: the job is not live.
   Job* job(const std::string& id) { return jobs_.find(id); }
   std::map<std::string, Job>& jobs() { return jobs_.all(); }
 
@@ -78,18 +80,19 @@
     placements_.resolve_abandoned(job, placement, now);
   }
   void end_all_placements(Machine& machine, double now) { placements_.end_all(machine, now); }
-  void forget_ended(Job& job, const std::vector<PlacementKey>& written) {
-    PlacementTracker::forget_ended(job, {written.begin(), written.end()});
+  void erase_ended(Job& job, const std::vector<PlacementKey>& written) {
+    PlacementTracker::erase_ended(job, {written.begin(), written.end()});
   }
 
   // Machines.
   Machine& upsert_machine(const std::string& id, const MachineKind& kind, double now) {
     return machines_.upsert(id, kind, now);
   }
-  /// nullptr: not known.
+  /// nullptr: the machine is unknown.
   Machine* machine(const std::string& id) { return machines_.find(id); }
   std::map<std::string, Machine>& machines() { return machines_.all(); }
-  /// The cloud has answered its deletion with 200: everything on it is gone (invariant 4 b).
+  /// To be called when the cloud has confirmed the deletion of the machine with 200: none of its
+  /// tasks runs any more (invariant 4 b).
   void remove_machine(const std::string& id, double now);
   void set_types(std::vector<wire::MachineType> types) { machines_.set_types(std::move(types)); }
   const std::map<std::string, wire::MachineType>& types() const { return machines_.types(); }
@@ -100,15 +103,15 @@
   Freshness reconcile_heartbeat(const wire::Heartbeat& heartbeat, bool is_heartbeat, double now) {
     return heartbeats_.reconcile(heartbeat, is_heartbeat, now);
   }
-  /// See HeartbeatCommands::commands_for; none for a machine that is not known.
+  /// See HeartbeatCommands::commands_for; empty for an unknown machine.
   std::vector<wire::Command> commands_for(const wire::Heartbeat& heartbeat, bool may_start,
                                           double now);
-  /// A heartbeat of the machine was answered 200 by this leader.
+  /// Records that this leader responded to a heartbeat of the machine with 200.
   void record_response(const std::string& machine, double now);
   /// See LeaseTracker::record_forwarder.
-  void record_forwarder(const std::string& name, std::uint64_t incarnation, double quiet_until,
-                        double delegate_responded_at, double now) {
-    leases_.record_forwarder(name, incarnation, quiet_until, delegate_responded_at, now);
+  void record_forwarder(const std::string& name, std::uint64_t incarnation,
+                        double no_response_until, double delegate_responded_at, double now) {
+    leases_.record_forwarder(name, incarnation, no_response_until, delegate_responded_at, now);
   }
   bool is_forwarder_reachable(const std::string& name, double now) const {
     return leases_.is_forwarder_reachable(name, now);
@@ -116,8 +119,8 @@
   double latest_possible_response(const Machine& machine, double now) const {
     return leases_.latest_possible_response(machine, now);
   }
-  double lease_upper_bound() const { return leases_.lease_upper_bound(); }
-  /// Ends the placements of machines whose lease has certainly expired; returns those machines.
+  double lease_upper_bound_s() const { return leases_.lease_upper_bound_s(); }
+  /// Ends the placements of machines whose lease has certainly expired; returns the machine ids.
   std::vector<std::string> expire_leases(double now);
 
   // Health of machines and zones.
@@ -127,13 +130,13 @@
   bool any_unreachable() const { return zones_.any_unreachable(); }
   /// See BootMonitor::update_overdue.
   void update_overdue_boots(double now) { boots_.update_overdue(now); }
-  double expected_boot(const wire::MachineType& type, const std::string& zone, double now) const {
+  double expected_boot_s(const wire::MachineType& type, const std::string& zone, double now) const {
     return boots_.expected_boot_s(type, zone, now);
   }
   double boot_penalty(const wire::MachineType& type, const std::string& zone, double now) const {
     return boots_.penalty(type, zone, now);
   }
-  double quarantine_period() const { return failures_.quarantine_period(); }
+  double quarantine_period_s() const { return failures_.quarantine_period_s(); }
 
   // Quota and reservations.
   const wire::Resources& team_allocation(const std::string& team) const {
@@ -143,12 +146,12 @@
   void set_team_shares(const TeamShares* shares) { quota_.set_shares(shares); }
   wire::Resources guarantee_for(const base::Team& team) const { return quota_.guarantee(team); }
   wire::Resources limit_for(const base::Team& team) const { return quota_.limit(team); }
-  /// Replaces all reservations by those of the move plan that is under way.
+  /// Replaces all reservations by those of the current move plan.
   void set_reservations(Reservations reservations);
   const Reservations& reservations() const { return reservations_; }
-  /// Whether the reservation still holds room: its job is live, and nothing of what it is for is on
-  /// the machine yet.
-  bool in_force(const Reservation& reservation) const;
+  /// Whether the reservation still holds capacity: its job is live, and the tasks that it is for
+  /// have no placement on the machine yet.
+  bool is_reservation_active(const Reservation& reservation) const;
 
   const base::Settings& settings() const { return settings_; }
   std::uint64_t fencing_token() const { return fencing_token_; }
--- a/src/sched/failure_tracker.cpp
+++ b/src/sched/failure_tracker.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// Rounds of failed starts beyond which the back-off grows no further.
-constexpr int kMaxRounds = 5;
-/// Jobs that fail on one machine, and machines on which one job fails, that prove a fault.
-constexpr std::size_t kProof = 2;
+/// Number of failed rounds after which the backoff stops growing.
+constexpr int kMaxBackoffRounds = 5;
+/// Number of jobs failing on one machine, or of machines on which one job fails, from which the
+/// machine or the job is considered faulty.
+constexpr std::size_t kFaultThreshold = 2;
 
-/// `works_elsewhere`: the job that failed has completed tasks on other machines.
+/// `works_elsewhere`: the failed job has completed tasks on other machines.
 void update_quarantine(MachineFaults& faults, bool works_elsewhere, double now) {
-  const bool suspected = faults.failed_jobs.size() >= kProof;
+  const bool suspected = faults.failed_jobs.size() >= kFaultThreshold;
   if (faults.quarantine == Quarantine::none && (works_elsewhere || suspected)) {
     faults.quarantine = Quarantine::suspected;
     faults.quarantined_since = now;
@@ -24,7 +25,7 @@
 
 void clear_failures(Job& job) {
   job.retry.failed_rounds = 0;
-  job.retry.earlier_rounds = 0;
+  job.retry.earlier_failed_rounds = 0;
   job.retry.failed_machines.clear();
 }
 
@@ -33,32 +34,34 @@
 void FailureTracker::record_error(Job& job, Machine& machine, double now) {
   job.retry.failed_machines.insert(machine.id);
   if (job.crash_looping()) {
-    clear_suspicion(job);
+    clear_suspected_machines(job);
   } else {
     machine.faults.failed_jobs.insert(job.spec.id);
   }
   update_quarantine(machine.faults, job.retry.succeeded, now);
-  if (job.retry.failed_machines.size() >= kProof) back_off_retries(job, now);
+  if (job.retry.failed_machines.size() >= kFaultThreshold) back_off_retries(job, now);
 }
 
-// Guards against sound machines that are given back because two crash-looping jobs met there.
-void FailureTracker::clear_suspicion(const Job& job) {
+// Guards against deleting sound machines on which two crash-looping jobs failed.
+void FailureTracker::clear_suspected_machines(const Job& job) {
   for (const std::string& id : job.retry.failed_machines) {
     Machine* machine = machines_.find(id);
     if (machine == nullptr) continue;
     MachineFaults& faults = machine->faults;
     faults.failed_jobs.erase(job.spec.id);
-    if (faults.quarantine != Quarantine::suspected || faults.failed_jobs.size() >= kProof) continue;
+    if (faults.quarantine != Quarantine::suspected || faults.failed_jobs.size() >= kFaultThreshold)
+      continue;
     faults.quarantine = Quarantine::none;
     changes_.raise();
   }
 }
 
-// Counts rounds, not tasks: hundreds that were started together fail together.
+// Counts rounds instead of tasks, since hundreds of tasks started together also fail together.
 void FailureTracker::back_off_retries(Job& job, double now) const {
   if (now < job.retry.backoff_until) return;
   ++job.retry.failed_rounds;
-  const int rounds = std::min(job.retry.failed_rounds + job.retry.earlier_rounds, kMaxRounds);
+  const int rounds =
+      std::min(job.retry.failed_rounds + job.retry.earlier_failed_rounds, kMaxBackoffRounds);
   job.retry.backoff_until = now + settings_.heartbeat_interval_s * (1 << rounds);
 }
 
@@ -78,13 +81,14 @@
 }
 
 void FailureTracker::restore_earlier_failures(Job& job, double now) const {
-  // All tasks of a gang start under one attempt, other tasks under one each.
+  // All tasks of a gang share one attempt number; other tasks have one each.
   const bool shares_attempt = job.spec.kind == wire::JobKind::gang;
   const std::uint64_t rounds =
       shares_attempt ? job.last_attempt : job.last_attempt / job.spec.tasks;
-  if (rounds < 2 || job.done.size() > 0 || job.live() > 0) return;
-  job.retry.earlier_rounds = static_cast<int>(std::min<std::uint64_t>(rounds - 1, kMaxRounds));
-  job.retry.backoff_until = now + settings_.heartbeat_interval_s * job.retry.earlier_rounds;
+  if (rounds < 2 || job.done.size() > 0 || job.live_count() > 0) return;
+  job.retry.earlier_failed_rounds =
+      static_cast<int>(std::min<std::uint64_t>(rounds - 1, kMaxBackoffRounds));
+  job.retry.backoff_until = now + settings_.heartbeat_interval_s * job.retry.earlier_failed_rounds;
 }
 
 }  // namespace cranklock::sched
--- a/src/sched/failure_tracker.hpp
+++ b/src/sched/failure_tracker.hpp
@@ -1,4 +1,4 @@
-// Whether a failed task speaks against its job or against its machine.
+// Attributes task failures to the job or to the machine.
 #pragma once
 
 #include "base/settings.hpp"
@@ -7,37 +7,37 @@
 
 namespace cranklock::sched {
 
-/// Spaces out the retries of jobs that fail, and quarantines machines on which jobs fail.
+/// Applies retry backoff to failing jobs, and quarantines faulty machines.
 ///
-/// A machine is at fault when tasks of several jobs fail on it, or one of a job that works
-/// elsewhere. A job is at fault, crash looping, when its tasks fail on several machines and none of
-/// them has ever completed.
+/// A machine is considered faulty when tasks of several jobs fail on it, or a task of a job that
+/// has completed tasks elsewhere. A job is considered crash looping when its tasks fail on several
+/// machines and none of them has ever completed.
 class FailureTracker {
  public:
   /// All three must outlive this object.
   FailureTracker(const base::Settings& settings, MachineInventory& machines, ChangeSignal& changes)
       : settings_(settings), machines_(machines), changes_(changes) {}
 
-  /// A task exited with an error.
+  /// Records that a task exited with an error.
   void record_error(Job& job, Machine& machine, double now);
-  /// A task completed: its job works, and so does the machine.
+  /// Records that a task completed, which clears the failures of its job and of the machine.
   void record_completion(Job& job, Machine& machine);
-  /// A replica has been running since `running_since`. Replicas never complete: one that runs for
-  /// longer than a lease counts as working.
+  /// Records that a replica has been running since `running_since`. Replicas never complete, so one
+  /// that runs for longer than a lease clears the failures of its job.
   void record_running_replica(Job& job, double running_since, double now) const;
-  /// A start was rejected: the next one waits for a heartbeat interval.
+  /// Delays the next start by a heartbeat interval after a start was rejected.
   void delay_retry(Job& job, double now) const;
 
-  /// For a job that was read from the store. Guards against a crash-looping job that every change
-  /// of leader starts anew at full pace: the record tells how many attempts were made, and that no
-  /// task is done.
+  /// Restores the backoff of a job that was read from the store, from its number of attempts and
+  /// the absence of completed tasks. Guards against a leader change resetting the backoff of a
+  /// crash-looping job.
   void restore_earlier_failures(Job& job, double now) const;
-  /// For how many seconds after a quarantine has begun it may still be lifted, by evidence that the
-  /// jobs are at fault.
-  double quarantine_period() const { return 3 * settings_.heartbeat_interval_s; }
+  /// The time after the start of a quarantine during which it may still be lifted because the
+  /// failures turn out to be the fault of the jobs.
+  double quarantine_period_s() const { return 3 * settings_.heartbeat_interval_s; }
 
  private:
-  void clear_suspicion(const Job& job);
+  void clear_suspected_machines(const Job& job);
   void back_off_retries(Job& job, double now) const;
 
   const base::Settings& settings_;
--- a/src/sched/heartbeat_commands.cpp
+++ b/src/sched/heartbeat_commands.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Guards against the stop of a replica that is in service again (invariant 19): an agent takes an
-// answer within its patience, and the drain has to last until then.
+// Guards against stopping a replica that is back in service (invariant 19): an agent may accept the
+// response until its timeout, and the drain must last until then.
 bool may_send_stop(const Placement& placement, double now) {
-  constexpr double kResponsePatienceS = 4;  // of an agent, for the answer to its heartbeat
-  const double latest = now + kResponsePatienceS * (1 + 2 * base::kClockDrift);
-  return !placement.drain_deadline || latest < *placement.drain_deadline;
+  constexpr double kAgentResponseTimeoutS = 4;  // an agent's timeout for the response
+  const double latest_delivery = now + kAgentResponseTimeoutS * (1 + 2 * base::kClockDrift);
+  return !placement.drain_deadline || latest_delivery < *placement.drain_deadline;
 }
 
 }  // namespace
@@ -36,8 +36,8 @@
   const bool placed_here = placement != nullptr && placement->machine == machine.id;
   if (status.state == TaskState::exited) {
     // Invariant 5: `done` is durable before `forget`, since a placement is kept until a record
-    // without it has been written; and an indeterminate start that came after a forget would run
-    // the task once more.
+    // without it has been written. An indeterminate start that arrived after a `forget` would run
+    // the task a second time.
     const bool indeterminate =
         machine.agent.indeterminate_starts.contains({status.task, status.attempt});
     if (!placed_here && !indeterminate) {
@@ -45,14 +45,14 @@
     }
   } else if (!placed_here || placement->ended || job->cancelled()) {
     commands.push_back({CommandKind::stop, status.task, status.attempt, 0});
-  } else if (placement->stop && may_send_stop(*placement, now)) {
+  } else if (placement->stop_requested && may_send_stop(*placement, now)) {
     add_stop(*placement, status, now, commands);
   }
 }
 
 void HeartbeatCommands::add_stop(const Placement& placement, const wire::TaskStatus& status,
                                  double now, std::vector<wire::Command>& commands) const {
-  // A task that goes on past its grace period is stopped without one.
+  // A task that is still running after its grace period is stopped without one.
   const bool overdue =
       now > placement.stop_requested_at + placement.grace_s + 2 * settings_.heartbeat_interval_s;
   if (status.state == TaskState::checkpointing && !overdue) return;
@@ -66,20 +66,22 @@
   for (const wire::TaskStatus& status : heartbeat.tasks) {
     reported.insert({status.task, status.attempt});
   }
-  for (const PlacementRef& held : machine.tasks) {
-    const Job& job = *held.job;
-    Placement& placement = held.placement();
+  for (const PlacementRef& ref : machine.tasks) {
+    const Job& job = *ref.job;
+    Placement& placement = ref.placement();
     // Invariants 2 and 14.
     if (job.cancelled() || !placement.durable() || !job.dependencies_met) continue;
-    // Guards against a placement that is stopped while its start is indeterminate: nobody would
-    // ever see it end. Told here to start and to stop it, the agent knows the attempt, and the
-    // indeterminate start has no effect any more.
-    if (placement.stop && placement.unconfirmed_start_epoch != heartbeat.agent_epoch) continue;
+    // Guards against a placement that never ends because a stop was requested while its start is
+    // indeterminate: its absence proves nothing in this agent epoch. After a start and a stop in
+    // one response the agent knows the attempt, and the indeterminate start has no effect.
+    if (placement.stop_requested && placement.indeterminate_start_epoch != heartbeat.agent_epoch)
+      continue;
     const wire::TaskName task{job.spec.id, placement.task};
     if (reported.contains({task, placement.attempt})) continue;
     commands.push_back({CommandKind::start, task, placement.attempt, 0});
-    if (placement.stop) commands.push_back({CommandKind::stop, task, placement.attempt, 0});
-    placement.start_carrier = sequence_of(heartbeat);
+    if (placement.stop_requested)
+      commands.push_back({CommandKind::stop, task, placement.attempt, 0});
+    placement.last_start_sequence = sequence_of(heartbeat);
   }
 }
 
--- a/src/sched/heartbeat_commands.hpp
+++ b/src/sched/heartbeat_commands.hpp
@@ -1,4 +1,4 @@
-// The commands in the answer to a heartbeat.
+// Builds the commands in the response to a heartbeat.
 #pragma once
 
 #include <set>
@@ -10,15 +10,17 @@
 
 namespace cranklock::sched {
 
-/// Compares what an agent reports with what should run on its machine and tells it the difference.
+/// Compares the tasks that an agent reports with the placements on its machine, and builds the
+/// commands that reconcile the two.
 class HeartbeatCommands {
  public:
   /// Both must outlive this object.
   HeartbeatCommands(const base::Settings& settings, JobTable& jobs)
       : settings_(settings), jobs_(jobs) {}
 
-  /// The commands for the answer to this heartbeat, which has been reconciled before. Starts tasks
-  /// only while `may_start`, and notes in their placements that this answer carries their start.
+  /// The commands for the response to this heartbeat, which must have been reconciled before. Adds
+  /// start commands only if `may_start`, and records in each started placement that this response
+  /// carries its start.
   std::vector<wire::Command> commands_for(Machine& machine, const wire::Heartbeat& heartbeat,
                                           bool may_start, double now);
 
--- a/src/sched/heartbeat_reconciler.cpp
+++ b/src/sched/heartbeat_reconciler.cpp
@@ -10,19 +10,20 @@
       machines_.upsert(heartbeat.machine, {heartbeat.type, heartbeat.zone, heartbeat.spot}, now);
   const AgentSequence sequence = sequence_of(heartbeat);
   if (is_heartbeat) {
-    if (sequence <= machine.agent.newest_heartbeat) return HeartbeatFreshness::late_copy;
+    if (sequence <= machine.agent.newest_heartbeat) return HeartbeatFreshness::stale;
     machine.agent.newest_heartbeat = sequence;
   }
   if (machine.agent.heartbeat_received && sequence <= machine.agent.newest_message) {
-    return HeartbeatFreshness::overtaken;
+    return HeartbeatFreshness::out_of_order;
   }
   const bool acknowledges_token = heartbeat.fencing_token == fencing_token_;
   record_message(machine, heartbeat, now);
   tasks_.reconcile_reported(machine, heartbeat, acknowledges_token, now);
   if (!is_heartbeat) return HeartbeatFreshness::fresh;
-  // Invariant 4: an absence counts only in a heartbeat that shows our fencing token and is newer
-  // than what carried the start. The token shuts out commands of a former leader that are still
-  // under way, the order shuts out late copies and answers that crossed the heartbeat.
+  // Invariant 4: an absence counts only in a heartbeat that carries this leader's fencing token and
+  // is newer than the message that carried the start. The token excludes commands of a former
+  // leader that are still in transit; the order excludes stale copies and responses that crossed
+  // the heartbeat.
   if (heartbeat.fencing_token < fencing_token_) count_unacknowledged_response(machine, now);
   if (!acknowledges_token) return HeartbeatFreshness::fresh;
   machine.agent.unacknowledged_responses = 0;
@@ -34,7 +35,7 @@
                                          double now) {
   const bool was_usable = machine.agent.heartbeat_received && !machine.lease.expired;
   if (heartbeat.agent_epoch != machine.agent.newest_message.epoch) {
-    // What was told to an earlier agent epoch can't be executed in this one.
+    // Commands sent to an earlier agent epoch can't be executed in this one.
     machine.agent.indeterminate_starts.clear();
     if (machine.agent.heartbeat_received) {
       machine.images.clear();
@@ -63,7 +64,7 @@
   if (heartbeat.fencing_token != fencing_token_ || machine.agent.token_acknowledged) return;
   machine.agent.token_acknowledged = true;
   changes_.raise();
-  // Until just now a former leader may have renewed its lease, which is timed from here.
+  // A former leader may have renewed the agent's lease until now, so the lease is timed from here.
   machine.lease.last_response = std::max(machine.lease.last_response, now);
 }
 
@@ -74,8 +75,8 @@
       machine.cloud.reclaim_at ? std::min(*machine.cloud.reclaim_at, reclaim_at) : reclaim_at;
 }
 
-// Guards against a machine whose heartbeats arrive and that no answer reaches: nothing is placed on
-// it for the time of a lease.
+// Guards against a machine that sends heartbeats but receives no responses: nothing is placed on it
+// for the duration of a lease.
 void HeartbeatReconciler::count_unacknowledged_response(Machine& machine, double now) const {
   if (machine.lease.last_response <= 0) return;
   ++machine.agent.unacknowledged_responses;
--- a/src/sched/heartbeat_reconciler.hpp
+++ b/src/sched/heartbeat_reconciler.hpp
@@ -1,4 +1,4 @@
-// Takes heartbeats into the cluster state.
+// Applies heartbeats to the cluster state.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,15 @@
 
 namespace cranklock::sched {
 
-/// How a message compares with those of the same agent that were taken in before.
+/// The order of a message relative to those of the same agent that were applied before.
 enum class HeartbeatFreshness {
   fresh,
-  overtaken,  ///< a heartbeat that came after the answer to a later direct command
-  late_copy,  ///< a heartbeat no newer than one before; it changes and renews nothing
+  out_of_order,  ///< arrived after the response to a later direct command
+  stale,         ///< not newer than an earlier heartbeat; changes nothing and renews no lease
 };
 
-/// Decides what a message of an agent proves, by its order and its fencing token, and takes in what
-/// it says of the machine; what it says of tasks is the concern of TaskReconciler.
+/// Applies the messages of agents according to their order and their fencing token. Updates the
+/// machine; TaskReconciler updates the tasks.
 class HeartbeatReconciler {
  public:
   /// All references must outlive this object.
@@ -32,8 +32,8 @@
         tasks_(tasks),
         changes_(changes) {}
 
-  /// Takes in one message. `is_heartbeat` is false for the answer to a direct command: it shows
-  /// presence, but never absence, since it may cross a start on the way.
+  /// Applies one message. `is_heartbeat` is false for the response to a direct command: it proves
+  /// the presence of tasks, but never their absence, since it may cross a start command in transit.
   HeartbeatFreshness reconcile(const wire::Heartbeat& heartbeat, bool is_heartbeat, double now);
 
  private:
--- a/src/sched/job.cpp
+++ b/src/sched/job.cpp
@@ -45,31 +45,31 @@
 }
 
 void Placement::request_stop(double grace, double now) {
-  if (ended || stop) return;
-  stop = true;
+  if (ended || stop_requested) return;
+  stop_requested = true;
   grace_s = grace;
   stop_requested_at = now;
 }
 
 void Placement::request_drained_stop(double deadline, double now) {
-  if (ended || (stop && !drain_deadline)) return;
+  if (ended || (stop_requested && !drain_deadline)) return;
   request_stop(0, now);
   drain_deadline = deadline;
 }
 
 void Placement::revoke_drained_stop() {
   if (!drain_deadline) return;
-  stop = false;
+  stop_requested = false;
   drain_deadline.reset();
 }
 
-std::size_t Job::live() const {
+std::size_t Job::live_count() const {
   return static_cast<std::size_t>(std::count_if(placements.begin(), placements.end(),
                                                 [](const Placement& p) { return !p.ended; }));
 }
 
-// Guards a small processor against arrays of a thousand live tasks, whose heartbeats name hundreds:
-// a binary search finds each.
+// Binary search, since arrays may have a thousand live tasks and a heartbeat may name hundreds: a
+// linear search for each would overload a small processor.
 std::vector<Placement>::iterator Job::position(std::uint32_t task, std::uint64_t attempt) {
   return std::lower_bound(
       placements.begin(), placements.end(), PlacementKey{task, attempt},
@@ -97,7 +97,7 @@
   return !done.contains(task) && live_placement(task) == nullptr;
 }
 
-std::vector<std::uint32_t> Job::pending(std::size_t max_tasks) const {
+std::vector<std::uint32_t> Job::pending_tasks(std::size_t max_tasks) const {
   std::vector<std::uint32_t> tasks;
   std::uint32_t next = 0;
   auto done_range = done.ranges().begin();
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -1,4 +1,4 @@
-// A job as the leader holds it: what was submitted, what is done, and its placements.
+// The leader's state of a job: its specification, completed tasks and placements.
 #pragma once
 
 #include <compare>
@@ -14,17 +14,17 @@
 
 namespace cranklock::sched {
 
-/// A set of task numbers, kept as ordered ranges with gaps between them.
+/// A set of task numbers, stored as sorted, disjoint, non-adjacent ranges.
 class TaskSet {
  public:
-  /// The tasks from `from` to before `to`.
+  /// The half-open range of tasks [from, to).
   struct Range {
     std::uint32_t from = 0;
     std::uint32_t to = 0;
     bool operator==(const Range&) const = default;
   };
   void add(std::uint32_t task);
-  /// Appends a range that begins after all others.
+  /// Appends a range that starts after the end of all others.
   void add_range(Range range) { ranges_.push_back(range); }
   void merge(const TaskSet& other);
   bool contains(std::uint32_t task) const;
@@ -35,144 +35,145 @@
   std::vector<Range> ranges_;
 };
 
-/// Names a placement within its job.
+/// Identifies a placement within its job.
 struct PlacementKey {
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   auto operator<=>(const PlacementKey&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// What is known of the write that puts a placement into the record of its job.
+/// State of the write that adds a placement to the stored record of its job.
 enum class PlacementWrite {
   pending,     ///< not sent yet, or known to have failed
-  unresolved,  ///< not answered: it may have been applied, or may yet be
-  abandoned,   ///< unresolved, and the placement is not wanted any more
-  durable,     ///< the stored record names the placement
+  unresolved,  ///< no response: the write may have been applied, or may still be
+  abandoned,   ///< unresolved, and the placement is no longer needed
+  durable,     ///< the stored record contains the placement
 };
 
-/// One attempt of one task on one machine, from the decision until it is proven gone. Task, attempt
-/// and machine are stored; the rest is known to this leader only.
+/// One attempt of one task on one machine, from the placement decision until the attempt is proven
+/// to be gone. Task, attempt and machine are stored; the rest is runtime state of this leader.
 struct Placement {
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   std::string machine;
   PlacementWrite write = PlacementWrite::pending;
-  /// Proven gone, and counted nowhere. Kept until a record without it is durable, since only then
-  /// may the agent forget the task (invariant 5).
+  /// Proven gone, and no longer counted in any allocation. Kept until a record without it is
+  /// durable, since only then may the agent forget the task (invariant 5).
   bool ended = false;
-  bool stop = false;  ///< to be stopped, saving a checkpoint if grace_s allows
+  bool stop_requested = false;  ///< a checkpoint is saved if `grace_s` allows
   double grace_s = 0;
   double stop_requested_at = 0;
-  /// Of a replica that a router keeps drained until then: its stop is sent only before that time,
-  /// and only in answers to heartbeats, which are never carried out late (invariant 19).
+  /// Until when a router keeps this replica drained. Its stop is sent only before that time, and
+  /// only in responses to heartbeats, which an agent never executes late (invariant 19).
   std::optional<double> drain_deadline;
-  bool stop_sent = false;  ///< by a direct command; answers to heartbeats repeat it
-  bool seen = false;       ///< a heartbeat showed it
+  bool stop_sent = false;  ///< by a direct command; heartbeat responses repeat the stop
+  bool reported = false;   ///< a message of the agent has named this attempt
   wire::TaskState state = wire::TaskState::fetching;
   double running_since = 0;
   double decided_at = 0;
-  /// The newest heartbeat whose answer carried the start; epoch 0: none did. An absence counts only
-  /// in a newer heartbeat (invariant 4).
-  AgentSequence start_carrier;
-  int unacknowledged = 0;  ///< heartbeats that came after such an answer and did not show it
-  /// The agent epoch in which a direct start command was sent that was never answered: it may still
-  /// be executed in that epoch (invariant 5). 0: none.
-  std::uint64_t unconfirmed_start_epoch = 0;
+  /// Sequence of the newest heartbeat whose response carried the start, or of the response that
+  /// confirmed a direct start command; epoch 0: none. An absence counts only in a newer heartbeat
+  /// (invariant 4).
+  AgentSequence last_start_sequence;
+  int unacknowledged_starts = 0;  ///< heartbeats after a sent start that did not name the attempt
+  /// The agent epoch in which a direct start command was sent that has had no response: it may
+  /// still be executed in that epoch (invariant 5). 0: none.
+  std::uint64_t indeterminate_start_epoch = 0;
 
   PlacementKey key() const { return {task, attempt}; }
-  /// No start is sent before this (invariant 2).
+  /// A start is sent only once the placement is durable (invariant 2).
   bool durable() const { return write == PlacementWrite::durable; }
-  /// Until a later write of the record succeeds, or is found to have been forestalled, its room is
-  /// not free for others (invariant 9).
+  /// The placement's resources stay allocated until a later write of the record succeeds, or the
+  /// unresolved write is found to be superseded by another change of the record (invariant 9).
   bool write_unresolved() const {
     return write == PlacementWrite::unresolved || write == PlacementWrite::abandoned;
   }
   bool abandoned() const { return write == PlacementWrite::abandoned; }
-  /// Asks for a stop; the first request decides on the grace period.
+  /// Requests a stop; the first request sets the grace period.
   void request_stop(double grace, double now);
-  /// Asks for the stop of a replica that a router keeps drained until `deadline`, or prolongs such
-  /// a request. Of no effect on a placement that is to be stopped in any case.
+  /// Requests the stop of a replica that a router keeps drained until `deadline`, or extends the
+  /// deadline of such a request. No effect if an unconditional stop has been requested.
   void request_drained_stop(double deadline, double now);
-  /// Withdraws a request for a drained stop. If the stop was carried out meanwhile, the next
-  /// heartbeat shows it.
+  /// Withdraws a request for a drained stop. If the agent has already executed the stop, the next
+  /// heartbeat reports the exit.
   void revoke_drained_stop();
 };
 
 inline constexpr std::int64_t kNoDeadline = INT64_MAX;
 
-/// How urgent a job is, by itself and by its dependents, as of the last placement pass.
+/// Urgency of a job, inherited from its dependents too, as of the last placement pass.
 struct Urgency {
-  wire::Priority priority = wire::Priority::standard;  ///< the highest of them all
-  /// Time of day by which it has to start so that each of them meets its deadline, if all take as
-  /// long as their owners estimate.
+  wire::Priority priority = wire::Priority::standard;  ///< highest of the job and its dependents
+  /// Latest start, as a time of day, with which the job and its dependents meet their deadlines if
+  /// each takes as long as estimated in its specification.
   std::int64_t start_by_ms = kNoDeadline;
 };
 
-/// How the record of a job stands in the store, as far as this leader knows.
+/// State of a job's record in the state service, as known to this leader.
 struct RecordStatus {
-  std::uint64_t revision = 0;  ///< of the main value; writes are conditional on it
-  int parts = 0;               ///< stored beside the main value
-  /// Of the write that made the record, the same in its parts; a cancellation leaves both as they
-  /// are. 0: written before there were any.
+  std::uint64_t revision = 0;  ///< of the main value; writes compare and swap on it
+  int parts = 0;               ///< number of values stored in addition to the main value
+  /// Generation of the write that created the record, equal in the main value and its parts; a
+  /// cancellation changes neither. 0: written by a version without generations.
   std::uint64_t generation = 0;
-  bool dirty = false;      ///< the job holds something that is not stored yet
-  double dirty_since = 0;  ///< when it was first looked at for writing; 0: not yet
-  bool too_large = false;  ///< for any transaction; said once in the log
+  bool dirty = false;      ///< the job has changes that are not stored yet
+  double dirty_since = 0;  ///< when it was first considered for writing; 0: not yet
+  bool too_large = false;  ///< exceeds any transaction; set so that it is logged only once
 };
 
-/// Failures of a job's tasks and the retries that follow; kept by FailureTracker.
+/// Task failures and retry backoff of a job; maintained by FailureTracker.
 struct RetryState {
-  double backoff_until = 0;  ///< no task is placed before
-  /// Rounds of starts in a row that failed, on machines that are not known as faulty.
+  double backoff_until = 0;  ///< no task is placed before this time
+  /// Consecutive failed rounds of starts on machines that are not known to be faulty.
   int failed_rounds = 0;
-  int earlier_rounds = 0;  ///< the same under former leaders, judged by the attempts
-  /// Machines where a task of it failed since it last worked.
+  int earlier_failed_rounds = 0;  ///< under former leaders, estimated from the attempt numbers
+  /// Machines on which a task of the job failed since the last completion or long-running replica.
   std::set<std::string> failed_machines;
-  bool succeeded = false;  ///< a task of it completed somewhere
+  bool succeeded = false;  ///< a task of the job has completed on some machine
 };
 
-/// A live job: its stored record, and what this leader alone knows of it. Times in milliseconds are
-/// times of day, others seconds on the steady clock of this leader.
+/// A live job: its stored record and the runtime state of this leader. Times in milliseconds are
+/// times of day; others are seconds on the steady clock of this leader.
 struct Job {
   // Stored.
   wire::JobSpec spec;
   std::int64_t created_ms = 0;
   std::int64_t cancelled_at_ms = 0;  ///< 0: not cancelled
-  std::uint64_t last_attempt = 0;    ///< the highest given so far (invariant 12)
+  std::uint64_t last_attempt = 0;    ///< the highest number assigned so far (invariant 12)
   TaskSet done;
-  std::vector<Placement> placements;  ///< by task and attempt, once ClusterState holds the job
+  std::vector<Placement> placements;  ///< sorted by task and attempt once ClusterState has the job
 
-  // Known to this leader alone.
+  // Runtime state of this leader, not stored.
   RecordStatus record;
   RetryState retry;
   double known_since = 0;
-  double cancelled_since = 0;  ///< not after the cancellation
+  double cancelled_since = 0;  ///< lower bound of the time of the cancellation
   bool guaranteed = false;     ///< within its team's guarantee, as of the last placement pass
-  /// All jobs that it needs are known to be done; until then none of its tasks is placed or started
-  /// (invariant 14). Kept by JobTable.
+  /// All its dependencies are known to be done; until then none of its tasks is placed or started
+  /// (invariant 14). Maintained by JobTable.
   bool dependencies_met = true;
-  /// From when its waiting counts: its submission, or the end of the last job that it needs if that
-  /// came later.
+  /// Start of its queueing time: its submission, or the end of its last dependency if that was
+  /// later.
   std::int64_t ready_ms = 0;
   Urgency urgency;
 
-  /// Its tasks fail on every machine: no machine is at fault.
+  /// Its tasks fail on several machines and none has completed: the job is at fault.
   bool crash_looping() const { return retry.failed_machines.size() >= 2 && !retry.succeeded; }
   bool cancelled() const { return cancelled_at_ms != 0; }
   bool complete() const { return done.size() == spec.tasks; }
-  /// Placements that have not ended.
-  std::size_t live() const;
-  /// Where the task's attempt is among the placements, or would be inserted.
+  /// The number of placements that have not ended.
+  std::size_t live_count() const;
+  /// The position of the task's attempt in `placements`, or its insertion point.
   std::vector<Placement>::iterator position(std::uint32_t task, std::uint64_t attempt);
-  /// nullptr: there is no such placement.
+  /// nullptr: no such placement.
   Placement* find(std::uint32_t task, std::uint64_t attempt);
   void sort_placements();
-  /// Whether the task is neither done nor on any machine.
+  /// Whether the task is neither done nor placed.
   bool is_pending(std::uint32_t task) const;
-  /// The placement of the task that has not ended; nullptr: there is none.
+  /// The task's placement that has not ended; nullptr: none.
   const Placement* live_placement(std::uint32_t task) const;
-  /// Up to `max_tasks` tasks that are neither done nor on any machine.
-  std::vector<std::uint32_t> pending(std::size_t max_tasks) const;
+  /// Up to `max_tasks` tasks that are neither done nor placed.
+  std::vector<std::uint32_t> pending_tasks(std::size_t max_tasks) const;
   std::uint32_t pending_count() const;
 };
 
--- a/src/sched/job_table.cpp
+++ b/src/sched/job_table.cpp
@@ -7,48 +7,48 @@
 
 namespace {
 
-/// Keeps what is known of a placement that the record names as well.
-void keep_learnt_state(Placement& stored, const Placement& known) {
+/// Copies the runtime state of a placement that the stored record contains as well.
+void carry_over_runtime_state(Placement& stored, const Placement& known) {
   stored = known;
-  // An abandoned placement was never started, as its record had not been known to be written.
+  // An abandoned placement was never started, since its write was never known to be durable.
   stored.ended = known.ended || known.abandoned();
   stored.write = PlacementWrite::durable;
 }
 
 }  // namespace
 
-void keep_learnt_state(Job& stored, Job& known) {
+void carry_over_runtime_state(Job& stored, Job& known) {
   stored.known_since = known.known_since;
   stored.retry = known.retry;
-  // A cancellation is final, even if the record was read from before it.
+  // A cancellation is final, even if the record was read before the cancellation was written.
   if (known.cancelled()) {
     stored.cancelled_at_ms = known.cancelled_at_ms;
     stored.cancelled_since = known.cancelled_since;
   }
-  // Guards against an attempt that is given once to one machine and, after an unanswered write, to
-  // another: carried out late, that write would make the two look like one placement
+  // Guards against assigning an attempt number again, to another machine, after a write without a
+  // response: if that write were applied late, the two placements could not be told apart
   // (invariant 12).
   stored.last_attempt = std::max(stored.last_attempt, known.last_attempt);
   const auto stored_done = stored.done.size();
-  stored.done.merge(known.done);  // perhaps not written yet; a done task stays done
+  stored.done.merge(known.done);  // may not be written yet; a completed task stays completed
   stored.record.dirty = stored.done.size() != stored_done;
-  // The record decides which placements there are.
+  // The stored record is authoritative for the set of placements.
   for (Placement& placement : stored.placements) {
-    const Placement* learnt = known.find(placement.task, placement.attempt);
-    if (learnt == nullptr || learnt->machine != placement.machine) continue;
-    keep_learnt_state(placement, *learnt);
+    const Placement* known_placement = known.find(placement.task, placement.attempt);
+    if (known_placement == nullptr || known_placement->machine != placement.machine) continue;
+    carry_over_runtime_state(placement, *known_placement);
     stored.record.dirty = stored.record.dirty || placement.ended;
   }
 }
 
 Job& JobTable::put(Job job) {
   const std::string id = job.spec.id;
-  Job& held = jobs_.insert_or_assign(id, std::move(job)).first->second;
-  dependencies_.add(id, held.spec.dependencies);
-  update_dependencies(held);
-  if (held.cancelled()) cancel_dependents(held);
+  Job& stored_job = jobs_.insert_or_assign(id, std::move(job)).first->second;
+  dependencies_.add(id, stored_job.spec.dependencies);
+  update_dependencies(stored_job);
+  if (stored_job.cancelled()) cancel_dependents(stored_job);
   changes_.raise();
-  return held;
+  return stored_job;
 }
 
 void JobTable::erase(const std::string& id) {
@@ -76,7 +76,7 @@
     cancel(job, cancellation->at_ms, cancellation->since);
     return;
   }
-  // Guards against a job that arrives when one that it needs is cancelled and still live.
+  // Guards against a job submitted while one of its dependencies is cancelled and still live.
   for (const std::string& dependency : dependencies_.dependencies_of(id)) {
     const Job* live = find(dependency);
     if (live == nullptr || !live->cancelled()) continue;
@@ -85,20 +85,20 @@
   }
 }
 
-// No dependent has a task, as none was allowed to start: only their records have to follow. Guards
-// against a stack overflow by long chains: goes from one job to the next without recursion.
+// Dependents have no tasks to stop, since none was allowed to start; only their records change.
+// Iterative, since recursion could overflow the stack on long dependency chains.
 void JobTable::cancel_dependents(const Job& cancelled) {
-  std::vector<const Job*> next{&cancelled};
-  while (!next.empty()) {
-    const Job* dependency = next.back();
-    next.pop_back();
+  std::vector<const Job*> to_visit{&cancelled};
+  while (!to_visit.empty()) {
+    const Job* dependency = to_visit.back();
+    to_visit.pop_back();
     for (const std::string& id : dependencies_.dependents(dependency->spec.id)) {
       Job* dependent = find(id);
       if (dependent == nullptr || dependent->cancelled()) continue;
       dependent->cancelled_at_ms = dependency->cancelled_at_ms;
       dependent->cancelled_since = dependency->cancelled_since;
       changes_.raise();
-      next.push_back(dependent);
+      to_visit.push_back(dependent);
     }
   }
 }
@@ -115,7 +115,7 @@
   if (!dependencies_.has_dependents(id)) return;
   dependencies_.record_outcome(id, outcome);
   changes_.raise();
-  const auto dependents = dependencies_.dependents(id);  // a copy: what follows may change it
+  const auto dependents = dependencies_.dependents(id);  // a copy: the updates may change the set
   for (const std::string& dependent : dependents) {
     if (Job* live = find(dependent)) update_dependencies(*live);
   }
--- a/src/sched/job_table.hpp
+++ b/src/sched/job_table.hpp
@@ -1,4 +1,4 @@
-// The live jobs, by id, and what is known of the jobs that they need.
+// The live jobs by id, and the known outcomes of their dependencies.
 #pragma once
 
 #include <cstdint>
@@ -12,33 +12,35 @@
 
 namespace cranklock::sched {
 
-/// Applies to a job that was read from the store what this leader has learnt of it before: retry
-/// state, cancellation, done tasks, and the state of each placement that the record still names.
-/// Marks it dirty when the record has to be written again. `known` is the job as held until now.
-void keep_learnt_state(Job& stored, Job& known);
+/// Copies the runtime state of `known`, the job as held until now, to `stored`, the job as read
+/// from the state service: retry state, cancellation, completed tasks, and the state of each
+/// placement that the record still contains. Marks the job dirty if its record has to be written
+/// again.
+void carry_over_runtime_state(Job& stored, Job& known);
 
 /// Owns the live jobs and their dependencies, and cancels jobs whose dependencies were cancelled
-/// (invariant 14). Placements are the concern of PlacementTracker.
+/// (invariant 14). PlacementTracker manages placements.
 class JobTable {
  public:
   explicit JobTable(ChangeSignal& changes) : changes_(changes) {}
 
-  /// Adds the job, or replaces the one with its id, and applies to it what is known of the jobs
-  /// that it needs.
+  /// Adds the job, or replaces the one with its id, and applies the known outcomes of its
+  /// dependencies to it.
   Job& put(Job job);
   void erase(const std::string& id);
-  /// nullptr: not live.
+  /// nullptr: the job is not live.
   Job* find(const std::string& id);
   const Job* find(const std::string& id) const;
   std::map<std::string, Job>& all() { return jobs_; }
   const Dependencies& dependencies() const { return dependencies_; }
 
-  /// Cancels the job and all live jobs that need it, directly or through others. `at_ms` is the
-  /// time of day of the cancellation; `since` is a time on the steady clock not after it.
+  /// Cancels the job and all its live direct and transitive dependents. `at_ms` is the time of day
+  /// of the cancellation; `since` is a lower bound of it on the steady clock.
   void cancel(Job& job, std::int64_t at_ms, double since);
-  /// The outcome of a job is known to be stored: jobs that need it may start, or are cancelled.
+  /// Records the stored outcome of a job: its dependents may start, or are cancelled.
   void record_outcome(const std::string& id, const Dependencies::Outcome& outcome);
-  /// Jobs that live ones need, which are not live themselves and whose outcome has yet to be read.
+  /// The dependencies of live jobs that are not live themselves and whose outcome has not been
+  /// read.
   std::vector<std::string> unknown_outcomes() const;
 
  private:
--- a/src/sched/machine.cpp
+++ b/src/sched/machine.cpp
@@ -29,8 +29,8 @@
 
 bool Machine::stopping() const {
   return agent.unknown_tasks > 0 ||
-         std::any_of(tasks.begin(), tasks.end(), [](const PlacementRef& held) {
-           return held.job->cancelled() || held.placement().stop;
+         std::any_of(tasks.begin(), tasks.end(), [](const PlacementRef& ref) {
+           return ref.job->cancelled() || ref.placement().stop_requested;
          });
 }
 
--- a/src/sched/machine.hpp
+++ b/src/sched/machine.hpp
@@ -1,4 +1,4 @@
-// A machine as the leader knows it.
+// The leader's state of a machine.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +15,8 @@
 
 namespace cranklock::sched {
 
-/// A live placement as its machine refers to it. MachineInventory alone keeps these references;
-/// they are valid as long as the job holds the placement.
+/// A machine's reference to a live placement. Only MachineInventory stores these references; they
+/// are valid as long as the job holds the placement.
 struct PlacementRef {
   Job* job;
   std::uint32_t task;
@@ -26,17 +26,17 @@
   bool operator==(const PlacementRef&) const = default;
 };
 
-/// What is rented: a machine type in a zone, as an ordinary or as a spot machine.
+/// The unit of scale-out requests: a machine type in a zone, on demand or spot.
 struct MachineKind {
   std::string type, zone;
   bool spot = false;
   auto operator<=>(const MachineKind&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// Whether a task of the job may ever run on machines of this kind.
+/// Whether the job's constraints on type, zone and spot allow machines of this kind.
 bool allows(const wire::JobSpec& spec, const MachineKind& kind);
 
-/// One start of one task.
+/// One attempt of one task.
 struct TaskAttempt {
   wire::TaskName task;
   std::uint64_t attempt = 0;
@@ -49,88 +49,89 @@
   double size_gb = 0;
 };
 
-/// What is known of a machine by way of the cloud.
+/// State of a machine as known from the cloud, and from scale-out requests and deletions.
 struct CloudStatus {
-  /// When its scale-out request was answered, or earlier by the age that the cloud lists.
+  /// When its scale-out request succeeded; for a listed machine, earlier by its listed age.
   double provisioned_at = 0;
   bool provisioned_here = false;  ///< by this leader
-  bool listed = false;            ///< some list has named it
+  bool listed = false;            ///< has appeared in a list of the cloud
   bool booting = false;           ///< as last listed
-  bool failed = false;            ///< some list has called it failed, which is final
-  bool overdue = false;      ///< it has booted for so long that it may never come up (BootMonitor)
+  bool failed = false;            ///< has been listed as failed, which is final
+  bool overdue = false;  ///< has been booting for so long that it may never report (BootMonitor)
   bool terminating = false;  ///< this leader deletes it; nothing is placed on it
-  /// When the cloud reclaims it, by its preemption notice.
+  /// When the cloud reclaims it, according to its preemption notice.
   std::optional<double> reclaim_at;
 };
 
-/// What the messages of a machine's agent to this leader have shown.
+/// State of a machine's agent, from its messages to this leader.
 struct AgentStatus {
-  bool heartbeat_received = false;  ///< or the answer to a direct command
-  /// It has shown this leader's fencing token in its present agent epoch.
+  bool heartbeat_received = false;  ///< or the response to a direct command
+  /// The agent has sent this leader's fencing token in its current agent epoch.
   bool token_acknowledged = false;
-  AgentSequence newest_message;    ///< of heartbeats and of answers to direct commands
+  AgentSequence newest_message;    ///< of heartbeats and responses to direct commands
   AgentSequence newest_heartbeat;  ///< of heartbeats alone
-  double last_heartbeat = 0;       ///< when the newest message was taken in
-  /// Answers in a row after which it still did not show this leader's fencing token.
+  double last_heartbeat = 0;       ///< when the newest message was applied
+  /// Consecutive responses after which it still did not send this leader's fencing token.
   int unacknowledged_responses = 0;
-  double unresponsive_until = 0;  ///< answers do not seem to reach it; 0: they do
+  double unresponsive_until = 0;  ///< responses seem not to reach it; 0: they do
   int unknown_tasks = 0;          ///< reported tasks without a placement that have not exited
-  /// Indeterminate starts of the present agent epoch: these tasks must not be forgotten
+  /// Indeterminate starts of the current agent epoch: no `forget` is sent for these tasks
   /// (invariant 5).
   std::set<TaskAttempt> indeterminate_starts;
 };
 
-/// What bears on the lease of an agent; LeaseTracker judges it.
+/// Inputs for the expiry of an agent's lease; see LeaseTracker.
 struct AgentLease {
-  double last_response = 0;  ///< when this leader last answered a heartbeat 200
-  /// Until when a forwarder, by name, may answer its heartbeats in place of this leader.
+  double last_response = 0;  ///< when this leader last responded to a heartbeat with 200
+  /// By forwarder name: until when it may respond to heartbeats in place of this leader.
   std::map<std::string, double> delegated_until;
-  double redirected_at = 0;  ///< when it was last sent to a forwarder
-  bool expired = false;      ///< for certain; its tasks have ended
-  /// Its zone is unreachable, or was until lately: it is kept until then though it is silent.
+  double redirected_at = 0;  ///< when it was last redirected to a forwarder
+  bool expired = false;      ///< certainly expired; its tasks have ended
+  /// Until when the machine is kept without heartbeats, since its zone is or recently was
+  /// unreachable.
   double grace_until = 0;
 };
 
 /// Whether a machine takes no tasks because tasks failed on it.
 enum class Quarantine {
   none,
-  suspected,  ///< those of several jobs failed, which may turn out to be at fault themselves
-  confirmed,  ///< one of a job that works elsewhere failed
+  suspected,  ///< tasks of several jobs failed; the jobs may turn out to be at fault
+  confirmed,  ///< a task of a job that works on other machines failed
 };
 
-/// Failures of tasks on a machine; kept by FailureTracker.
+/// Failures of tasks on a machine; maintained by FailureTracker.
 struct MachineFaults {
   Quarantine quarantine = Quarantine::none;
   double quarantined_since = 0;
-  /// Jobs that failed here since a task last completed here, without those that are crash looping.
+  /// Jobs with failed tasks here since a task last completed here, except crash-looping jobs.
   std::set<std::string> failed_jobs;
 };
 
-/// All times are seconds on the steady clock of this leader.
+/// A machine. All times are seconds on the steady clock of this leader.
 struct Machine {
   std::string id;
   MachineKind kind;
-  std::string address;     ///< of the agent; empty: not known yet
-  double known_since = 0;  ///< to this leader
+  std::string address;     ///< of the agent; empty: unknown
+  double known_since = 0;  ///< when this leader added it
   CloudStatus cloud;
   AgentStatus agent;
   AgentLease lease;
   MachineFaults faults;
   std::vector<CachedImage> images;  ///< most recently used last
   wire::Resources allocated;        ///< the sum over `tasks`
-  std::vector<PlacementRef> tasks;  ///< live placements; kept by MachineInventory
-  double idle_since = 0;            ///< when the last of them ended
+  std::vector<PlacementRef> tasks;  ///< live placements; maintained by MachineInventory
+  double idle_since = 0;            ///< when the last live placement ended
 
-  /// It is known to exist under this leader. A heartbeat alone does not prove that: it may be a
-  /// late copy from a machine that is gone.
+  /// Whether the machine is known to exist under this leader. A heartbeat alone does not prove
+  /// that: it may be a stale copy from a machine that no longer exists.
   bool confirmed() const { return agent.token_acknowledged || cloud.provisioned_here; }
   bool quarantined() const { return faults.quarantine != Quarantine::none; }
   bool idle() const { return tasks.empty() && agent.unknown_tasks == 0; }
   bool holds_image(const std::string& image) const;
-  /// Moves the job's image to the end of the cache, and evicts the least recently used ones beyond
-  /// `cache_gb`; no size: none is evicted.
+  /// Moves the job's image to the end of the cache, and evicts the least recently used images
+  /// beyond `cache_gb`; nullopt: evicts none.
   void record_image_use(const wire::JobSpec& spec, std::optional<double> cache_gb);
-  /// Something on it is to be stopped, or may still run though its placement has ended.
+  /// Whether a task on it is to be stopped, or may still run although its placement has ended.
   bool stopping() const;
 };
 
--- a/src/sched/machine_inventory.cpp
+++ b/src/sched/machine_inventory.cpp
@@ -13,10 +13,10 @@
   machine.known_since = now;
   machine.idle_since = now;
   machine.cloud.provisioned_at = now;
-  if (const auto waiting = unattached_.find(id); waiting != unattached_.end()) {
-    machine.tasks = std::move(waiting->second);
-    unattached_.erase(waiting);
-    for (const PlacementRef& held : machine.tasks) machine.allocated += held.job->spec.resources;
+  if (const auto unattached = unattached_.find(id); unattached != unattached_.end()) {
+    machine.tasks = std::move(unattached->second);
+    unattached_.erase(unattached);
+    for (const PlacementRef& ref : machine.tasks) machine.allocated += ref.job->spec.resources;
   }
   changes_.raise();
   return machines_.emplace(id, std::move(machine)).first->second;
@@ -45,18 +45,18 @@
                               double now) {
   Machine* machine = find(machine_id);
   if (machine == nullptr) {
-    const auto waiting = unattached_.find(machine_id);
-    if (waiting == unattached_.end()) return;
-    std::erase(waiting->second, placement);
-    if (waiting->second.empty()) unattached_.erase(waiting);
+    const auto unattached = unattached_.find(machine_id);
+    if (unattached == unattached_.end()) return;
+    std::erase(unattached->second, placement);
+    if (unattached->second.empty()) unattached_.erase(unattached);
     return;
   }
-  const auto held = std::find(machine->tasks.begin(), machine->tasks.end(), placement);
-  if (held == machine->tasks.end()) return;
-  machine->tasks.erase(held);
+  const auto attached = std::find(machine->tasks.begin(), machine->tasks.end(), placement);
+  if (attached == machine->tasks.end()) return;
+  machine->tasks.erase(attached);
   machine->allocated -= placement.job->spec.resources;
   if (machine->tasks.empty()) {
-    machine->allocated = {};  // drops what rounding has left
+    machine->allocated = {};  // clears the rounding error
     machine->idle_since = now;
   }
 }
--- a/src/sched/machine_inventory.hpp
+++ b/src/sched/machine_inventory.hpp
@@ -1,4 +1,4 @@
-// The machines that the leader knows, by id, and what is allocated on each.
+// The machines by id, and the resources allocated on each.
 #pragma once
 
 #include <map>
@@ -17,29 +17,28 @@
  public:
   explicit MachineInventory(ChangeSignal& changes) : changes_(changes) {}
 
-  /// The machine with this id; it is added if neither the cloud's list nor a heartbeat has named it
-  /// before.
+  /// The machine with this id; adds it if it is unknown.
   Machine& upsert(const std::string& id, const MachineKind& kind, double now);
-  /// nullptr: not known.
+  /// nullptr: the machine is unknown.
   Machine* find(const std::string& id);
-  /// Removes a machine on which no placement is left.
+  /// Removes a machine, which must have no placements left.
   void erase(const std::string& id);
   std::map<std::string, Machine>& all() { return machines_; }
 
-  /// Counts a placement on its machine. The machine may be unknown as yet: a stored record may name
-  /// one that neither the list nor a heartbeat has shown.
+  /// Adds a placement to its machine. The machine may still be unknown: a stored record may name a
+  /// machine that has appeared neither in the cloud's list nor in a heartbeat.
   void attach(const PlacementRef& placement, const std::string& machine_id);
   void detach(const PlacementRef& placement, const std::string& machine_id, double now);
 
   void set_types(std::vector<wire::MachineType> types);
   const std::map<std::string, wire::MachineType>& types() const { return types_; }
-  /// nullptr: the cloud does not list it.
+  /// nullptr: the cloud does not list the type.
   const wire::MachineType* type(const std::string& name) const;
 
  private:
   ChangeSignal& changes_;
   std::map<std::string, Machine> machines_;
-  /// Placements on machines that are not known yet, by machine id.
+  /// Placements on unknown machines, by machine id.
   std::map<std::string, std::vector<PlacementRef>> unattached_;
   std::map<std::string, wire::MachineType> types_;
 };
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -85,7 +85,7 @@
       !job.is_pending(task)) {
     return false;
   }
-  return job.live() < max_live_tasks(cluster_.settings()) &&
+  return job.live_count() < max_live_tasks(cluster_.settings()) &&
          within_quota_limit(cluster_, job.spec.team, job.spec.resources) &&
          allows(job.spec, target.kind) &&
          zone_rules_allow(job.spec, count_zones(cluster_, job), target.kind.zone) &&
@@ -104,8 +104,8 @@
 void PlacementPass::place(Job& job) {
   // More live tasks would not fit the job's record; the rest waits its turn.
   const std::size_t max_live = max_live_tasks(cluster_.settings());
-  const std::size_t live = job.live();
-  const auto tasks = job.pending(live < max_live ? max_live - live : 0);
+  const std::size_t live = job.live_count();
+  const auto tasks = job.pending_tasks(live < max_live ? max_live - live : 0);
   if (tasks.empty()) return;
   if (job.spec.kind == wire::JobKind::gang) {
     place_gang(job, tasks);
@@ -117,7 +117,7 @@
 /// Places all tasks of the gang under one attempt number, or none.
 void PlacementPass::place_gang(Job& job, const std::vector<std::uint32_t>& tasks) {
   // The old attempt must be gone entirely before the next begins.
-  if (job.live() > 0 || tasks.size() != job.spec.tasks) return;
+  if (job.live_count() > 0 || tasks.size() != job.spec.tasks) return;
   if (!within_quota_limit(cluster_, job.spec.team, job.spec.resources * job.spec.tasks)) return;
   candidates_.clear_blocked_by_reservation();
   std::vector<Candidate*> chosen;
--- a/src/sched/placement_tracker.cpp
+++ b/src/sched/placement_tracker.cpp
@@ -38,7 +38,7 @@
   job.record.dirty = dirty;
 }
 
-void PlacementTracker::forget_ended(Job& job, const std::set<PlacementKey>& written) {
+void PlacementTracker::erase_ended(Job& job, const std::set<PlacementKey>& written) {
   std::erase_if(job.placements, [&](const Placement& placement) {
     return placement.ended && written.contains(placement.key());
   });
@@ -46,9 +46,9 @@
 
 void PlacementTracker::end_all(Machine& machine, double now) {
   const auto tasks = machine.tasks;  // a copy: ending a placement changes the list
-  for (const PlacementRef& held : tasks) {
-    end(*held.job, held.placement(), now);
-    stop_gang(*held.job, held.attempt, now);
+  for (const PlacementRef& ref : tasks) {
+    end(*ref.job, ref.placement(), now);
+    stop_gang(*ref.job, ref.attempt, now);
   }
 }
 
@@ -61,7 +61,7 @@
 
 void PlacementTracker::attach_all(Job& job, double now) {
   for (Placement& placement : job.placements) {
-    // A former leader made it, and the record does not say when.
+    // Placed by a former leader; the record does not contain the time.
     if (placement.decided_at == 0) placement.decided_at = now;
     attach(job, placement);
   }
--- a/src/sched/preemption.cpp
+++ b/src/sched/preemption.cpp
@@ -111,7 +111,7 @@
     if (victim->cancelled() || !may_preempt(job, *victim)) continue;
     if (victim->spec.kind == wire::JobKind::gang && victim->spec.tasks > 1) continue;
     Placement& placement = held.placement();
-    if (placement.stop || !placement.durable()) continue;
+    if (placement.stop_requested || !placement.durable()) continue;
     victims.push_back({lost_work_s(*victim, placement), victim, &placement});
   }
   std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
--- a/src/sched/task_reconciler.cpp
+++ b/src/sched/task_reconciler.cpp
@@ -31,7 +31,7 @@
     return;
   }
   const bool running = status.state == TaskState::running;
-  if (!placement.seen || (placement.state != status.state && running)) {
+  if (!placement.reported || (placement.state != status.state && running)) {
     const wire::MachineType* type = machines_.type(machine.kind.type);
     machine.record_image_use(job.spec,
                              type != nullptr ? std::optional(type->cache_gb) : std::nullopt);
@@ -40,7 +40,7 @@
   if (running && placement.running_since > 0 && job.spec.kind == wire::JobKind::service) {
     failures_.record_running_replica(job, placement.running_since, now);
   }
-  placement.seen = true;
+  placement.reported = true;
   placement.state = status.state;
 }
 
@@ -51,8 +51,8 @@
     apply_exit(machine, job, placement, status, now);
     return;
   }
-  // Guards against a late copy, from before our leadership, of an exit in an earlier agent epoch:
-  // the same attempt may have been started again since. Only that the task is done stays true.
+  // Guards against a stale copy, from before this leadership, of an exit in an earlier agent epoch:
+  // the same attempt may have been started again since. Only a completion remains valid.
   if (status.exit_reason != ExitReason::completed || job.done.contains(placement.task)) return;
   job.done.add(placement.task);
   job.record.dirty = true;
@@ -61,7 +61,7 @@
 
 void TaskReconciler::apply_exit(Machine& machine, Job& job, Placement& placement,
                                 const wire::TaskStatus& status, double now) {
-  placement.seen = true;
+  placement.reported = true;
   placement.state = TaskState::exited;
   switch (status.exit_reason) {
     case ExitReason::completed:
@@ -92,35 +92,36 @@
     reported.insert({status.task, status.attempt});
   }
   const auto tasks = machine.tasks;  // a copy: ending a placement changes the list
-  for (const PlacementRef& held : tasks) {
-    Job& job = *held.job;
-    Placement& placement = held.placement();
+  for (const PlacementRef& ref : tasks) {
+    Job& job = *ref.job;
+    Placement& placement = ref.placement();
     if (reported.contains({{job.spec.id, placement.task}, placement.attempt})) continue;
     if (!is_proven_absent(machine, job, placement, sequence_of(heartbeat), now)) continue;
     placements_.end(job, placement, now);
-    PlacementTracker::stop_gang(job, held.attempt, now);
+    PlacementTracker::stop_gang(job, ref.attempt, now);
   }
 }
 
-// Whether a heartbeat with this position, which does not name the task, proves that the task is not
-// on the machine and never will be under this attempt.
+// Whether a heartbeat with sequence `reported` that does not name the task proves that this attempt
+// is not on the machine and will not start there.
 bool TaskReconciler::is_proven_absent(Machine& machine, const Job& job, Placement& placement,
                                       AgentSequence reported, double now) const {
-  const AgentSequence started = placement.start_carrier;
-  const std::uint64_t unconfirmed_epoch = placement.unconfirmed_start_epoch;
-  // Guards against an indeterminate start: it may still be executed in this agent epoch.
-  if (unconfirmed_epoch == reported.epoch) return false;
-  const bool start_sent = started.epoch != 0;
-  // Guards against late copies, and against answers that crossed this heartbeat.
-  if (start_sent && reported <= started) return false;
-  const bool lost = placement.seen || (start_sent && started.epoch != reported.epoch) ||
-                    (unconfirmed_epoch != 0 && unconfirmed_epoch != reported.epoch);
-  if (lost || placement.stop || job.cancelled()) return true;
-  // Guards against a machine whose heartbeats arrive and that no answer reaches: idle for ever, it
-  // would hold whatever is placed on it. What it was not told, it does not run.
+  const AgentSequence start = placement.last_start_sequence;
+  const std::uint64_t indeterminate_epoch = placement.indeterminate_start_epoch;
+  // An indeterminate start may still be executed in this agent epoch.
+  if (indeterminate_epoch == reported.epoch) return false;
+  const bool start_sent = start.epoch != 0;
+  // Excludes stale copies, and responses that crossed this heartbeat in transit.
+  if (start_sent && reported <= start) return false;
+  const bool certainly_gone = placement.reported || (start_sent && start.epoch != reported.epoch) ||
+                              (indeterminate_epoch != 0 && indeterminate_epoch != reported.epoch);
+  if (certainly_gone || placement.stop_requested || job.cancelled()) return true;
+  // Guards against a machine that sends heartbeats but receives no responses: it would stay idle
+  // and hold its placements indefinitely. A start that was never sent can't be executed.
   if (!start_sent) return false;
-  ++placement.unacknowledged;
-  if (placement.unacknowledged < kMaxUnacknowledgedResponses) return false;  // it is sent again
+  ++placement.unacknowledged_starts;
+  if (placement.unacknowledged_starts < kMaxUnacknowledgedResponses)
+    return false;  // the start is sent again
   machine.agent.unresponsive_until = now + settings_.lease_s;
   return true;
 }
--- a/src/sched/task_reconciler.hpp
+++ b/src/sched/task_reconciler.hpp
@@ -1,4 +1,4 @@
-// Squares the tasks that a heartbeat reports with the recorded placements.
+// Reconciles the tasks that a heartbeat reports with the placements.
 #pragma once
 
 #include <set>
@@ -11,13 +11,14 @@
 
 namespace cranklock::sched {
 
-/// How many answers in a row an agent may ignore before it counts as unresponsive; one may be lost.
+/// Consecutive unacknowledged responses after which an agent counts as unresponsive; a single
+/// response may be lost.
 inline constexpr int kMaxUnacknowledgedResponses = 2;
 
-/// Takes in what a message of an agent says of its tasks: presence, states, exits and absences.
+/// Applies the task reports of an agent's messages: presence, states, exits and absences.
 class TaskReconciler {
  public:
-  /// All of them must outlive this object.
+  /// All references must outlive this object.
   TaskReconciler(const base::Settings& settings, JobTable& jobs, MachineInventory& machines,
                  PlacementTracker& placements, FailureTracker& failures, ChangeSignal& changes)
       : settings_(settings),
@@ -27,13 +28,13 @@
         failures_(failures),
         changes_(changes) {}
 
-  /// Takes in the tasks that the message names. `token_acknowledged`: it shows this leader's
-  /// fencing token.
+  /// Applies the tasks that the message names. `token_acknowledged`: the message carries this
+  /// leader's fencing token.
   void reconcile_reported(Machine& machine, const wire::Heartbeat& heartbeat,
                           bool token_acknowledged, double now);
   /// Ends the placements that the heartbeat proves gone by not naming them (invariant 4 a). To be
-  /// called for heartbeats only, not for answers to direct commands, and only for those that show
-  /// this leader's fencing token.
+  /// called only for heartbeats that carry this leader's fencing token, and not for responses to
+  /// direct commands.
   void reconcile_absent(Machine& machine, const wire::Heartbeat& heartbeat, double now);
 
  private:
--- a/src/sched/waiting_queue.cpp
+++ b/src/sched/waiting_queue.cpp
@@ -56,7 +56,7 @@
   assign_guarantees(cluster, jobs_by_age);
   WaitingQueue queue;
   for (Job* job : jobs_by_age) {
-    if (job->live() > 0) queue.placed.add(*job);
+    if (job->live_count() > 0) queue.placed.add(*job);
     if (job->retry.backoff_until > now || job->pending_count() == 0) continue;
     queue.jobs.push_back(job);
   }
--- a/src/sched/zone_reachability.hpp
+++ b/src/sched/zone_reachability.hpp
@@ -1,4 +1,4 @@
-// Which zones are cut off from this leader.
+// Detects zones that are unreachable from this leader.
 #pragma once
 
 #include <map>
@@ -11,9 +11,9 @@
 
 namespace cranklock::sched {
 
-/// Finds zones whose agents have all gone quiet at once while others are heard. The machines there
-/// may well run on: nothing new is asked of them, and they are kept for a while, until the zone
-/// comes back.
+/// Marks a zone as unreachable when the heartbeats of all its agents stop while other zones still
+/// report. The machines there may still be running: nothing new is placed on them, and they are
+/// kept until the zone is reachable again or a time limit has passed.
 class ZoneReachability {
  public:
   /// All three must outlive this object.
@@ -21,7 +21,7 @@
                    ChangeSignal& changes)
       : settings_(settings), machines_(machines), changes_(changes) {}
 
-  /// To be called periodically; returns the zones that have become unreachable since the last call.
+  /// To be called periodically. Returns the zones that have become unreachable since the last call.
   std::vector<std::string> update(double now);
   bool is_unreachable(const std::string& zone) const { return unreachable_until_.contains(zone); }
   bool any_unreachable() const { return !unreachable_until_.empty(); }
@@ -29,11 +29,11 @@
  private:
   struct ZoneActivity {
     int agents = 0;
-    double last_heard = 0;
+    double last_heartbeat = 0;  ///< or the time when a silent listed machine became known
   };
   struct FleetActivity {
     std::map<std::string, ZoneActivity> zones;
-    double last_heard = 0;  ///< from any agent
+    double last_heartbeat = 0;  ///< of any agent
   };
   FleetActivity measure_activity() const;
   void mark_unreachable(const std::string& zone, double now);
@@ -43,8 +43,8 @@
   const base::Settings& settings_;
   MachineInventory& machines_;
   ChangeSignal& changes_;
-  /// By unreachable zone: when it is treated as an ordinary one again, whose silent machines are
-  /// replaced.
+  /// By unreachable zone: the time from which it is treated as a reachable zone again, so that its
+  /// machines without heartbeats are replaced.
   std::map<std::string, double> unreachable_until_;
 };
 
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -35,7 +35,7 @@
   void run(sched::Job& job, const std::string& machine) {
     auto& placement = fleet.cluster.add_placement(job, 0, 1, machine, 0);
     placement.write = sched::PlacementWrite::durable;
-    placement.seen = true;
+    placement.reported = true;
     placement.state = wire::TaskState::running;
     placement.running_since = 0;
   }
@@ -50,7 +50,8 @@
   EXPECT_NE(advice->moves[0].from, advice->moves[0].to);
   EXPECT_NE(to_string(*advice).find("1 moves would make room for job j-000003"), std::string::npos);
   // It moves nothing, and looks again only when it is time.
-  EXPECT_FALSE(halves.array.placements[0].stop || halves.second.placements[0].stop);
+  EXPECT_FALSE(halves.array.placements[0].stop_requested ||
+               halves.second.placements[0].stop_requested);
   EXPECT_FALSE(halves.advisor.look(89));
   EXPECT_TRUE(halves.advisor.look(90));
 }
--- a/tests/boot_monitor_test.cpp
+++ b/tests/boot_monitor_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are overdue, and how long boots take.
+// Overdue machines and expected boot times.
 #include "sched/boot_monitor.hpp"
 
 #include <gtest/gtest.h>
@@ -32,49 +32,50 @@
   EXPECT_TRUE(changes.take());
   EXPECT_GT(boots.penalty(type, "a", 2 * type.ready_s + 1), 1);
   EXPECT_EQ(boots.penalty(type, "b", 2 * type.ready_s + 1), 1);
-  // It comes after all.
+  // The machine reports after all.
   boots.record_message(machine, 3 * type.ready_s);
   EXPECT_FALSE(machine.cloud.overdue);
 }
 
-// Guards against a new leader that takes machines for overdue which have been up for long.
+// Guards against a new leader marking machines as overdue that have been running for a long time.
 TEST_F(BootTest, OnlyMachinesThatBootCanBeOverdue) {
-  Machine& up = provisioned("n-1", 0);
-  up.cloud.listed = true;
-  Machine& reports = provisioned("n-2", 0);
-  reports.agent.heartbeat_received = true;
-  Machine& found = machines.upsert("n-3", {type.name, "a", false}, 0);
+  Machine& running = provisioned("n-1", 0);
+  running.cloud.listed = true;
+  Machine& reporting = provisioned("n-2", 0);
+  reporting.agent.heartbeat_received = true;
+  Machine& provisioned_elsewhere = machines.upsert("n-3", {type.name, "a", false}, 0);
   boots.update_overdue(100 * type.ready_s);
-  EXPECT_FALSE(up.cloud.overdue || reports.cloud.overdue || found.cloud.overdue);
-  up.cloud.booting = true;
+  EXPECT_FALSE(running.cloud.overdue || reporting.cloud.overdue ||
+               provisioned_elsewhere.cloud.overdue);
+  running.cloud.booting = true;
   boots.update_overdue(100 * type.ready_s);
-  EXPECT_TRUE(up.cloud.overdue);
+  EXPECT_TRUE(running.cloud.overdue);
 }
 
 TEST_F(BootTest, MachinesOfAnUnreachableZoneAndOfUnknownTypesAreNotOverdue) {
   Machine& unreachable = provisioned("n-1", 0);
   unreachable.lease.grace_until = 10 * type.ready_s;
-  Machine& unlisted = machines.upsert("n-2", {"other", "a", false}, 0);
-  unlisted.cloud.provisioned_here = true;
+  Machine& unknown_type = machines.upsert("n-2", {"other", "a", false}, 0);
+  unknown_type.cloud.provisioned_here = true;
   boots.update_overdue(10 * type.ready_s);
-  EXPECT_FALSE(unreachable.cloud.overdue || unlisted.cloud.overdue);
+  EXPECT_FALSE(unreachable.cloud.overdue || unknown_type.cloud.overdue);
   boots.update_overdue(10 * type.ready_s + 1);
   EXPECT_TRUE(unreachable.cloud.overdue);
 }
 
-TEST_F(BootTest, ExpectsWhatTheFirstMessagesOfItsOwnMachinesTell) {
+TEST_F(BootTest, ExpectedBootTimeIsLearntFromTheFirstMessageOfEachMachine) {
   const double slow_s = 3 * type.ready_s;
   for (const char* id : {"n-1", "n-2", "n-3"}) {
     Machine& machine = provisioned(id, 0);
     boots.record_message(machine, slow_s);
     machine.agent.heartbeat_received = true;
-    boots.record_message(machine, 9 * slow_s);  // later messages tell nothing
+    boots.record_message(machine, 9 * slow_s);  // later messages are ignored
   }
   EXPECT_EQ(boots.expected_boot_s(type, "a", slow_s), slow_s);
   EXPECT_EQ(boots.expected_boot_s(type, "b", slow_s), type.ready_s);
 }
 
-TEST_F(BootTest, LearnsNothingFromMachinesOfOtherLeaders) {
+TEST_F(BootTest, MachinesProvisionedByOtherLeadersAreIgnored) {
   for (const char* id : {"n-1", "n-2", "n-3"}) {
     boots.record_message(machines.upsert(id, {type.name, "a", false}, 0), 3 * type.ready_s);
   }
--- a/tests/complete_job.hpp
+++ b/tests/complete_job.hpp
@@ -1,4 +1,4 @@
-// A job with every field set, as it stands on the wire and in stored records.
+// A job specification with every field set, as in messages and in stored records.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/failure_tracker_test.cpp
+++ b/tests/failure_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Whether a failed task speaks against its job or against its machine.
+// Attribution of task failures to the job or to the machine.
 #include "sched/failure_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -32,19 +32,19 @@
   EXPECT_EQ(job.retry.backoff_until, 0);
 }
 
-TEST_F(FailureTest, AMachineThatFailsAJobWhichWorksElsewhereIsQuarantinedForGood) {
+TEST_F(FailureTest, AMachineThatFailsAJobWhichWorksElsewhereStaysQuarantined) {
   failures.record_completion(job, second);
   failures.record_error(job, first, 1);
   EXPECT_TRUE(first.quarantined());
   EXPECT_EQ(first.faults.quarantine, Quarantine::confirmed);
-  // Another job that turns out to be at fault clears nothing.
+  // Another job that turns out to be crash looping does not lift the quarantine.
   failures.record_error(other, first, 2);
   failures.record_error(other, second, 3);
   ASSERT_TRUE(other.crash_looping());
   EXPECT_TRUE(first.quarantined());
 }
 
-TEST_F(FailureTest, ACrashLoopingJobClearsTheMachinesThatItMet) {
+TEST_F(FailureTest, ACrashLoopingJobClearsTheMachinesThatItFailedOn) {
   failures.record_error(job, first, 1);
   failures.record_error(other, first, 1);
   ASSERT_TRUE(first.quarantined());
@@ -56,9 +56,9 @@
   EXPECT_TRUE(changes.take());
 }
 
-TEST_F(FailureTest, RetriesAreSpacedOutByRoundsAndNotByTasks) {
+TEST_F(FailureTest, BackoffGrowsWithRoundsAndNotWithTasks) {
   failures.record_error(job, first, 1);
-  EXPECT_EQ(job.retry.failed_rounds, 0);  // one machine proves nothing
+  EXPECT_EQ(job.retry.failed_rounds, 0);  // a single machine is not enough
   for (int i = 0; i < 8; ++i) failures.record_error(job, second, 1);
   EXPECT_EQ(job.retry.failed_rounds, 1);
   EXPECT_EQ(job.retry.backoff_until, 1 + 2 * settings.heartbeat_interval_s);
@@ -73,16 +73,16 @@
   failures.record_error(job, first, 1);
   failures.record_error(job, second, 1);
   failures.record_error(other, second, 1);
-  job.retry.earlier_rounds = 2;
+  job.retry.earlier_failed_rounds = 2;
   failures.record_completion(job, second);
   EXPECT_TRUE(job.retry.succeeded);
   EXPECT_EQ(job.retry.failed_rounds, 0);
-  EXPECT_EQ(job.retry.earlier_rounds, 0);
+  EXPECT_EQ(job.retry.earlier_failed_rounds, 0);
   EXPECT_TRUE(job.retry.failed_machines.empty());
   EXPECT_TRUE(second.faults.failed_jobs.empty());
 }
 
-TEST_F(FailureTest, AReplicaThatRunsForALeaseWorks) {
+TEST_F(FailureTest, AReplicaThatRunsForALeaseClearsItsFailures) {
   failures.record_error(job, first, 1);
   failures.record_running_replica(job, 5, 5 + settings.lease_s);
   EXPECT_FALSE(job.retry.failed_machines.empty());
@@ -97,28 +97,28 @@
   EXPECT_EQ(job.retry.failed_rounds, 0);
 }
 
-// A new leader finds in the record that the tasks were started again and again for nothing.
-TEST_F(FailureTest, EarlierFailuresAreReadFromTheAttempts) {
+// A new leader derives from the attempts in the record that the tasks have failed repeatedly.
+TEST_F(FailureTest, EarlierFailuresAreDerivedFromTheAttempts) {
   job.last_attempt = 4;  // one round
   failures.restore_earlier_failures(job, 10);
-  EXPECT_EQ(job.retry.earlier_rounds, 0);
+  EXPECT_EQ(job.retry.earlier_failed_rounds, 0);
   job.last_attempt = 16;
   failures.restore_earlier_failures(job, 10);
-  EXPECT_EQ(job.retry.earlier_rounds, 3);
+  EXPECT_EQ(job.retry.earlier_failed_rounds, 3);
   EXPECT_EQ(job.retry.backoff_until, 10 + 3 * settings.heartbeat_interval_s);
   job.last_attempt = 1'000'000;
   failures.restore_earlier_failures(job, 10);
-  EXPECT_EQ(job.retry.earlier_rounds, 5);
-  // The tasks of a gang share their attempt.
+  EXPECT_EQ(job.retry.earlier_failed_rounds, 5);
+  // The tasks of a gang share one attempt number.
   Job gang = make_job("j-000003", JobKind::gang, 4, 1);
   gang.last_attempt = 4;
   failures.restore_earlier_failures(gang, 10);
-  EXPECT_EQ(gang.retry.earlier_rounds, 3);
-  // Something is done: the job works.
+  EXPECT_EQ(gang.retry.earlier_failed_rounds, 3);
+  // A completed task shows that the job works.
   other.last_attempt = 16;
   other.done.add(0);
   failures.restore_earlier_failures(other, 10);
-  EXPECT_EQ(other.retry.earlier_rounds, 0);
+  EXPECT_EQ(other.retry.earlier_failed_rounds, 0);
 }
 
 }  // namespace
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -98,7 +98,7 @@
       if (p.ended) ended.push_back(p.key());
       p.write = sched::PlacementWrite::durable;
     }
-    cluster.forget_ended(job, ended);
+    cluster.erase_ended(job, ended);
     job.record.dirty = false;
   }
 };
--- a/tests/heartbeat_commands_test.cpp
+++ b/tests/heartbeat_commands_test.cpp
@@ -1,4 +1,4 @@
-// The commands in the answer to a heartbeat.
+// The commands in the response to a heartbeat.
 #include "sched/heartbeat_commands.hpp"
 
 #include <gtest/gtest.h>
@@ -16,14 +16,14 @@
 struct HeartbeatCommandsTest : ::testing::Test, testing::HeartbeatParts {
   HeartbeatCommands commands{settings, jobs};
 
-  std::vector<wire::Command> answer(std::vector<wire::TaskStatus> tasks, bool may_start = true,
-                                    double now = 1) {
+  std::vector<wire::Command> respond(std::vector<wire::TaskStatus> tasks, bool may_start = true,
+                                     double now = 1) {
     return commands.commands_for(machine, heartbeat("n-1", 1, 2, std::move(tasks)), may_start, now);
   }
-  /// The kinds of the commands in the answer to a report of the job's first task.
-  std::vector<CommandKind> answer_to(TaskState state, double now = 1) {
+  /// The kinds of the commands in the response to a report of the job's first task.
+  std::vector<CommandKind> response_to(TaskState state, double now = 1) {
     std::vector<CommandKind> kinds;
-    for (const auto& command : answer({task("j-000001", 0, 1, state)}, false, now)) {
+    for (const auto& command : respond({task("j-000001", 0, 1, state)}, false, now)) {
       kinds.push_back(command.kind);
     }
     return kinds;
@@ -34,85 +34,87 @@
 
 TEST_F(HeartbeatCommandsTest, ADurablePlacementIsStarted) {
   Placement& placement = place(0, 1);
-  const auto started = answer({});
+  const auto started = respond({});
   ASSERT_EQ(started.size(), 1U);
   EXPECT_EQ(started[0].kind, CommandKind::start);
   EXPECT_EQ(started[0].task, (wire::TaskName{"j-000001", 0}));
   EXPECT_EQ(started[0].attempt, 1U);
-  EXPECT_EQ(placement.start_carrier, (AgentSequence{1, 2}));
-  EXPECT_TRUE(answer({task("j-000001", 0, 1, TaskState::fetching)}).empty());
+  EXPECT_EQ(placement.last_start_sequence, (AgentSequence{1, 2}));
+  EXPECT_TRUE(respond({task("j-000001", 0, 1, TaskState::fetching)}).empty());
 }
 
 TEST_F(HeartbeatCommandsTest, NothingIsStartedWithoutPermission) {
   Placement& placement = place(0, 1);
-  EXPECT_TRUE(answer({}, false).empty());
+  EXPECT_TRUE(respond({}, false).empty());
   placement.write = PlacementWrite::pending;  // invariant 2
-  EXPECT_TRUE(answer({}).empty());
+  EXPECT_TRUE(respond({}).empty());
   placement.write = PlacementWrite::durable;
   job.dependencies_met = false;  // invariant 14
-  EXPECT_TRUE(answer({}).empty());
+  EXPECT_TRUE(respond({}).empty());
   job.dependencies_met = true;
   job.cancelled_at_ms = 5;
-  EXPECT_TRUE(answer({}).empty());
+  EXPECT_TRUE(respond({}).empty());
   job.cancelled_at_ms = 0;
   machine.cloud.terminating = true;
-  EXPECT_TRUE(answer({}).empty());
-  EXPECT_EQ(placement.start_carrier, AgentSequence());
+  EXPECT_TRUE(respond({}).empty());
+  EXPECT_EQ(placement.last_start_sequence, AgentSequence());
 }
 
-TEST_F(HeartbeatCommandsTest, WhatHasNoPlacementHereIsStopped) {
-  EXPECT_EQ(answer_to(TaskState::running), Kinds{CommandKind::stop});
+TEST_F(HeartbeatCommandsTest, ATaskWithoutAPlacementHereIsStopped) {
+  EXPECT_EQ(response_to(TaskState::running), Kinds{CommandKind::stop});
   Placement& placement = place(0, 1);
-  EXPECT_EQ(answer_to(TaskState::running), Kinds{});
+  EXPECT_EQ(response_to(TaskState::running), Kinds{});
   placement.machine = "n-2";
-  EXPECT_EQ(answer_to(TaskState::running), Kinds{CommandKind::stop});
+  EXPECT_EQ(response_to(TaskState::running), Kinds{CommandKind::stop});
   placement.machine = "n-1";
   job.cancelled_at_ms = 5;
-  EXPECT_EQ(answer_to(TaskState::running), Kinds{CommandKind::stop});
+  EXPECT_EQ(response_to(TaskState::running), Kinds{CommandKind::stop});
 }
 
 // Invariant 5: `done` is durable before `forget`, and an indeterminate start is never forgotten.
-TEST_F(HeartbeatCommandsTest, AnExitedTaskIsForgottenOnlyWhenNothingNamesIt) {
+TEST_F(HeartbeatCommandsTest, AnExitedTaskIsForgottenOnlyWithoutPlacementAndIndeterminateStart) {
   place(0, 1).ended = true;
-  EXPECT_EQ(answer_to(TaskState::exited), Kinds{});
+  EXPECT_EQ(response_to(TaskState::exited), Kinds{});
   job.placements.clear();
   machine.tasks.clear();
-  EXPECT_EQ(answer_to(TaskState::exited), Kinds{CommandKind::forget});
+  EXPECT_EQ(response_to(TaskState::exited), Kinds{CommandKind::forget});
   machine.agent.indeterminate_starts.insert({{"j-000001", 0}, 1});
-  EXPECT_EQ(answer_to(TaskState::exited), Kinds{});
+  EXPECT_EQ(response_to(TaskState::exited), Kinds{});
 }
 
-TEST_F(HeartbeatCommandsTest, AStopLeavesItsGracePeriodAndThenIsFinal) {
+TEST_F(HeartbeatCommandsTest, AStopIsRepeatedWithoutGraceAfterTheGracePeriod) {
   place(0, 1).request_stop(8, 1);
-  const auto stopped = answer({task("j-000001", 0, 1, TaskState::running)}, false, 2);
+  const auto stopped = respond({task("j-000001", 0, 1, TaskState::running)}, false, 2);
   ASSERT_EQ(stopped.size(), 1U);
   EXPECT_EQ(stopped[0].grace_s, 8);
-  EXPECT_EQ(answer_to(TaskState::checkpointing, 2), Kinds{});
+  EXPECT_EQ(response_to(TaskState::checkpointing, 2), Kinds{});
   const double overdue = 1 + 8 + 2 * settings.heartbeat_interval_s + 0.1;
-  const auto final = answer({task("j-000001", 0, 1, TaskState::checkpointing)}, false, overdue);
-  ASSERT_EQ(final.size(), 1U);
-  EXPECT_EQ(final[0].grace_s, 0);
+  const auto final_stop =
+      respond({task("j-000001", 0, 1, TaskState::checkpointing)}, false, overdue);
+  ASSERT_EQ(final_stop.size(), 1U);
+  EXPECT_EQ(final_stop[0].grace_s, 0);
 }
 
-// Invariant 19: the agent may take this answer 4 s from now, and the drain has to last until then.
+// Invariant 19: the agent may accept this response up to 4 s from now, and the drain must last
+// until then.
 TEST_F(HeartbeatCommandsTest, ADrainedReplicaIsStoppedOnlyWhileItsDrainLasts) {
   place(0, 1).request_drained_stop(10, 1);
-  EXPECT_EQ(answer_to(TaskState::running, 5.9), Kinds{CommandKind::stop});
-  EXPECT_EQ(answer_to(TaskState::running, 6), Kinds{});
+  EXPECT_EQ(response_to(TaskState::running, 5.9), Kinds{CommandKind::stop});
+  EXPECT_EQ(response_to(TaskState::running, 6), Kinds{});
 }
 
-// Guards against a placement that nobody would ever see end.
-TEST_F(HeartbeatCommandsTest, AnIndeterminateStartThatIsToStopIsStartedAndStopped) {
+// Guards against a placement that never ends because its start stays indeterminate.
+TEST_F(HeartbeatCommandsTest, AStopOfAnIndeterminateStartIsSentWithTheStart) {
   Placement& placement = place(0, 1);
   placement.request_stop(5, 1);
-  EXPECT_TRUE(answer({}).empty());
-  placement.unconfirmed_start_epoch = 1;
-  const auto both = answer({});
-  ASSERT_EQ(both.size(), 2U);
-  EXPECT_EQ(both[0].kind, CommandKind::start);
-  EXPECT_EQ(both[1].kind, CommandKind::stop);
-  placement.unconfirmed_start_epoch = 2;  // in another agent epoch
-  EXPECT_TRUE(answer({}).empty());
+  EXPECT_TRUE(respond({}).empty());
+  placement.indeterminate_start_epoch = 1;
+  const auto start_and_stop = respond({});
+  ASSERT_EQ(start_and_stop.size(), 2U);
+  EXPECT_EQ(start_and_stop[0].kind, CommandKind::start);
+  EXPECT_EQ(start_and_stop[1].kind, CommandKind::stop);
+  placement.indeterminate_start_epoch = 2;  // of another agent epoch
+  EXPECT_TRUE(respond({}).empty());
 }
 
 }  // namespace
--- a/tests/heartbeat_parts.hpp
+++ b/tests/heartbeat_parts.hpp
@@ -1,4 +1,4 @@
-// The parts of the cluster state that heartbeats go through, without the others.
+// The classes of the cluster state that process heartbeats, without the rest of it.
 #pragma once
 
 #include "fixtures.hpp"
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -1,4 +1,4 @@
-// The order of messages, and what they say of their machine.
+// The order of messages, and their effects on the machine.
 #include "sched/heartbeat_reconciler.hpp"
 
 #include <gtest/gtest.h>
@@ -18,13 +18,13 @@
   TaskReconciler tasks{settings, jobs, machines, placements, failures, changes};
   HeartbeatReconciler heartbeats{settings, kFencingToken, machines, boots, tasks, changes};
 
-  HeartbeatFreshness beat(std::uint64_t epoch, std::uint64_t sequence, double now = 1,
-                          std::uint64_t token = kFencingToken) {
+  HeartbeatFreshness reconcile(std::uint64_t epoch, std::uint64_t sequence, double now = 1,
+                               std::uint64_t token = kFencingToken) {
     return heartbeats.reconcile(heartbeat("n-1", epoch, sequence, {}, token), true, now);
   }
 };
 
-TEST_F(HeartbeatReconcilerTest, AMachineBecomesKnownByItsHeartbeat) {
+TEST_F(HeartbeatReconcilerTest, AHeartbeatAddsAnUnknownMachine) {
   heartbeats.reconcile(heartbeat("n-7", 1, 1, {}, kFencingToken, "b"), true, 3);
   const Machine* found = machines.find("n-7");
   ASSERT_NE(found, nullptr);
@@ -35,70 +35,70 @@
   EXPECT_EQ(found->address, "10.1.0.1:9000");
 }
 
-TEST_F(HeartbeatReconcilerTest, ALateCopyChangesAndRenewsNothing) {
-  EXPECT_EQ(beat(1, 5, 1), HeartbeatFreshness::fresh);
-  EXPECT_EQ(beat(1, 5, 2), HeartbeatFreshness::late_copy);
-  EXPECT_EQ(beat(1, 4, 2), HeartbeatFreshness::late_copy);
+TEST_F(HeartbeatReconcilerTest, AStaleHeartbeatChangesNothing) {
+  EXPECT_EQ(reconcile(1, 5, 1), HeartbeatFreshness::fresh);
+  EXPECT_EQ(reconcile(1, 5, 2), HeartbeatFreshness::stale);
+  EXPECT_EQ(reconcile(1, 4, 2), HeartbeatFreshness::stale);
   EXPECT_EQ(machine.agent.last_heartbeat, 1);
-  EXPECT_EQ(beat(2, 1, 3), HeartbeatFreshness::fresh);  // a new agent epoch
+  EXPECT_EQ(reconcile(2, 1, 3), HeartbeatFreshness::fresh);  // a new agent epoch
   EXPECT_EQ(machine.agent.newest_message, (AgentSequence{2, 1}));
 }
 
-TEST_F(HeartbeatReconcilerTest, AHeartbeatMayBeOvertakenByADirectAnswer) {
-  beat(1, 1);
+TEST_F(HeartbeatReconcilerTest, AHeartbeatMayArriveAfterALaterDirectResponse) {
+  reconcile(1, 1);
   heartbeats.reconcile(heartbeat("n-1", 1, 3), false, 2);
-  EXPECT_EQ(beat(1, 2, 3), HeartbeatFreshness::overtaken);
+  EXPECT_EQ(reconcile(1, 2, 3), HeartbeatFreshness::out_of_order);
   EXPECT_EQ(machine.agent.last_heartbeat, 2);
-  EXPECT_EQ(beat(1, 2, 3), HeartbeatFreshness::late_copy);
+  EXPECT_EQ(reconcile(1, 2, 3), HeartbeatFreshness::stale);
 }
 
-TEST_F(HeartbeatReconcilerTest, AbsencesCountOnlyInHeartbeatsThatShowOurToken) {
+TEST_F(HeartbeatReconcilerTest, AbsencesCountOnlyInHeartbeatsWithThisLeadersToken) {
   Placement& placement = place(0, 1);
-  placement.seen = true;
-  beat(1, 1, 1, kFencingToken - 1);
+  placement.reported = true;
+  reconcile(1, 1, 1, kFencingToken - 1);
   EXPECT_FALSE(placement.ended);
-  heartbeats.reconcile(heartbeat("n-1", 1, 2), false, 1);  // the answer to a direct command
+  heartbeats.reconcile(heartbeat("n-1", 1, 2), false, 1);  // the response to a direct command
   EXPECT_FALSE(placement.ended);
-  beat(1, 3);
+  reconcile(1, 3);
   EXPECT_TRUE(placement.ended);
 }
 
-TEST_F(HeartbeatReconcilerTest, ANewAgentEpochHasForgottenWhatWasBefore) {
-  beat(1, 1);
+TEST_F(HeartbeatReconcilerTest, ANewAgentEpochResetsTheStateOfTheAgent) {
+  reconcile(1, 1);
   machine.agent.indeterminate_starts.insert({{"j-000001", 0}, 1});
   machine.images.push_back({"img", 10});
-  beat(1, 2);
+  reconcile(1, 2);
   EXPECT_EQ(machine.agent.indeterminate_starts.size(), 1U);
   EXPECT_TRUE(machine.holds_image("img"));
-  beat(2, 1, 1, kFencingToken - 1);
+  reconcile(2, 1, 1, kFencingToken - 1);
   EXPECT_TRUE(machine.agent.indeterminate_starts.empty());
   EXPECT_FALSE(machine.holds_image("img"));
   EXPECT_FALSE(machine.agent.token_acknowledged);
 }
 
-TEST_F(HeartbeatReconcilerTest, TheLeaseIsTimedFromTheFirstShowingOfOurToken) {
-  beat(1, 1, 5, kFencingToken - 1);
+TEST_F(HeartbeatReconcilerTest, TheLeaseIsTimedFromTheFirstMessageWithThisLeadersToken) {
+  reconcile(1, 1, 5, kFencingToken - 1);
   EXPECT_EQ(machine.lease.last_response, 0);
   changes.take();
-  beat(1, 2, 6);
+  reconcile(1, 2, 6);
   EXPECT_EQ(machine.lease.last_response, 6);
   EXPECT_TRUE(changes.take());
-  beat(1, 3, 7);
+  reconcile(1, 3, 7);
   EXPECT_EQ(machine.lease.last_response, 6);
 }
 
-TEST_F(HeartbeatReconcilerTest, AMachineThatNeverShowsOurTokenIsUnresponsive) {
-  beat(1, 1, 1, kFencingToken - 1);
-  beat(1, 2, 2, kFencingToken - 1);
-  EXPECT_EQ(machine.agent.unresponsive_until, 0);  // it was not answered yet
+TEST_F(HeartbeatReconcilerTest, AMachineThatNeverSendsThisLeadersTokenIsUnresponsive) {
+  reconcile(1, 1, 1, kFencingToken - 1);
+  reconcile(1, 2, 2, kFencingToken - 1);
+  EXPECT_EQ(machine.agent.unresponsive_until, 0);  // no response was sent yet
   machine.lease.last_response = 2;
-  beat(1, 3, 3, kFencingToken - 1);
+  reconcile(1, 3, 3, kFencingToken - 1);
   EXPECT_EQ(machine.agent.unresponsive_until, 0);
-  beat(1, 4, 4, kFencingToken - 1);
+  reconcile(1, 4, 4, kFencingToken - 1);
   EXPECT_EQ(machine.agent.unresponsive_until, 4 + settings.lease_s);
-  // It is tried again later.
+  // It is usable again after a lease.
   changes.take();
-  beat(1, 5, 4.1 + settings.lease_s);
+  reconcile(1, 5, 4.1 + settings.lease_s);
   EXPECT_EQ(machine.agent.unresponsive_until, 0);
   EXPECT_EQ(machine.agent.unacknowledged_responses, 0);
   EXPECT_TRUE(changes.take());
@@ -119,13 +119,13 @@
 }
 
 TEST_F(HeartbeatReconcilerTest, AMachineWhoseLeaseExpiredIsUsableAgain) {
-  beat(1, 1);
+  reconcile(1, 1);
   machine.lease.expired = true;
   changes.take();
-  beat(2, 1);
+  reconcile(2, 1);
   EXPECT_FALSE(machine.lease.expired);
   EXPECT_TRUE(changes.take());
-  beat(2, 2);
+  reconcile(2, 2);
   EXPECT_FALSE(changes.take());
 }
 
--- a/tests/machine_inventory_test.cpp
+++ b/tests/machine_inventory_test.cpp
@@ -1,4 +1,4 @@
-// Machines, what is allocated on each, and their image caches.
+// Machines, the resources allocated on each, and their image caches.
 #include "sched/machine_inventory.hpp"
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
   machines.detach(first, "n-1", 7);
   EXPECT_EQ(machine.allocated, job.spec.resources);
   EXPECT_EQ(machine.idle_since, 0);
-  machines.detach(first, "n-1", 8);  // again: of no effect
+  machines.detach(first, "n-1", 8);  // a repeated call has no effect
   EXPECT_EQ(machine.allocated, job.spec.resources);
   machines.detach(second, "n-1", 9);
   EXPECT_EQ(machine.allocated, wire::Resources());
@@ -49,8 +49,9 @@
   EXPECT_TRUE(machine.idle());
 }
 
-// Guards against a record that names a machine which neither the list nor a heartbeat has shown.
-TEST_F(InventoryTest, APlacementWaitsForItsMachineToBecomeKnown) {
+// Guards against losing placements whose stored record names a machine that has appeared neither in
+// the cloud's list nor in a heartbeat.
+TEST_F(InventoryTest, APlacementIsAttachedWhenItsMachineBecomesKnown) {
   const PlacementRef kept{&job, 0, 1};
   const PlacementRef gone{&job, 1, 2};
   machines.attach(kept, "n-1");
@@ -60,12 +61,12 @@
   ASSERT_EQ(machine.tasks.size(), 1U);
   EXPECT_EQ(machine.tasks.front(), kept);
   EXPECT_EQ(machine.allocated, job.spec.resources);
-  // Nothing waits for it any more.
+  // No placement is attached a second time.
   machines.erase("n-1");
   EXPECT_TRUE(machines.upsert("n-1", kKind, 3).tasks.empty());
 }
 
-TEST_F(InventoryTest, TypesAreReplacedAsAWhole) {
+TEST_F(InventoryTest, SetTypesReplacesAllTypes) {
   machines.set_types({testing::machine_type("g8"), testing::machine_type("g4", 4)});
   ASSERT_NE(machines.type("g4"), nullptr);
   EXPECT_EQ(machines.type("g4")->resources.gpus, 4);
@@ -89,7 +90,7 @@
   EXPECT_TRUE(machine.holds_image("first"));
   EXPECT_FALSE(machine.holds_image("second"));
   EXPECT_TRUE(machine.holds_image("third"));
-  use("large", 500);  // the one in use stays
+  use("large", 500);  // the image in use is never evicted
   ASSERT_EQ(machine.images.size(), 1U);
   EXPECT_TRUE(machine.holds_image("large"));
 }
@@ -105,16 +106,16 @@
   EXPECT_EQ(machine.images.size(), 2U);
 }
 
-TEST(Machine, IsStoppingWhileAnythingOnItIsToEnd) {
+TEST(Machine, IsStoppingWhileATaskIsToStop) {
   Job job = testing::make_job("j-000001", wire::JobKind::job_array, 1, 4);
   job.placements.emplace_back();
   job.placements.front().attempt = 1;
   Machine machine;
   machine.tasks.push_back({&job, 0, 1});
   EXPECT_FALSE(machine.stopping());
-  job.placements.front().stop = true;
+  job.placements.front().stop_requested = true;
   EXPECT_TRUE(machine.stopping());
-  job.placements.front().stop = false;
+  job.placements.front().stop_requested = false;
   job.cancelled_at_ms = 1;
   EXPECT_TRUE(machine.stopping());
   job.cancelled_at_ms = 0;
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -53,7 +53,7 @@
   void place(sched::Job& job, std::uint32_t task, const std::string& machine) {
     auto& placement = fleet.cluster.add_placement(job, task, 1, machine, 0);
     placement.write = sched::PlacementWrite::durable;
-    placement.seen = true;
+    placement.reported = true;
     placement.state = wire::TaskState::running;
     placement.running_since = 0;
   }
@@ -81,18 +81,18 @@
   ASSERT_TRUE(executor.has_plan());
   const auto move = executor.wanted().plan->moves.at(0);
   halves.advance(executor);
-  EXPECT_FALSE(halves.source(move).stop);
+  EXPECT_FALSE(halves.source(move).stop_requested);
   EXPECT_TRUE(halves.fleet.cluster.reservations().empty()) << "held before it is stored";
   Halves::store(executor);
   EXPECT_EQ(halves.fleet.cluster.reservations().all().size(), 2U);
   halves.advance(executor);  // wants the stop stored
-  EXPECT_FALSE(halves.source(move).stop);
+  EXPECT_FALSE(halves.source(move).stop_requested);
   ASSERT_TRUE(executor.pending_write());
   EXPECT_EQ(executor.pending_write()->plan->moves.at(0).step, MoveStep::stopping);
   EXPECT_EQ(executor.pending_write()->past.size(), 1U);
   Halves::store(executor);
   halves.advance(executor);
-  EXPECT_TRUE(halves.source(move).stop);
+  EXPECT_TRUE(halves.source(move).stop_requested);
   EXPECT_DOUBLE_EQ(halves.source(move).grace_s, 3);
 }
 
@@ -111,7 +111,7 @@
   auto successor = halves.executor();
   successor.load(stored, halves.wall_ms(), halves.now);
   halves.advance(successor);
-  EXPECT_TRUE(halves.source(move).stop);
+  EXPECT_TRUE(halves.source(move).stop_requested);
   // Proven free: the next pass puts it on its target, and nowhere else.
   halves.fleet.cluster.end_placement(halves.job(move.task.job), halves.source(move), halves.now);
   halves.advance(successor);
@@ -167,10 +167,10 @@
   halves.search(executor);
   Halves::store(executor);
   auto& source = halves.source(executor.wanted().plan->moves.at(0));
-  source.unconfirmed_start_epoch = 1;
+  source.indeterminate_start_epoch = 1;
   halves.advance(executor);
   EXPECT_EQ(executor.wanted().plan->moves.at(0).step, MoveStep::reserved);
-  source.unconfirmed_start_epoch = 0;
+  source.indeterminate_start_epoch = 0;
   halves.advance(executor);
   EXPECT_EQ(executor.wanted().plan->moves.at(0).step, MoveStep::stopping);
 }
@@ -287,10 +287,10 @@
   const auto request = drains.ask();
   EXPECT_EQ(request.attempt, 1U);
   drains.answer(request, DrainState::draining, drains.halves.now);
-  EXPECT_FALSE(drains.source().stop);
+  EXPECT_FALSE(drains.source().stop_requested);
   drains.halves.now += 1;
   drains.drain();
-  EXPECT_TRUE(drains.source().stop);
+  EXPECT_TRUE(drains.source().stop_requested);
   EXPECT_TRUE(drains.is_told_to_stop());
   // The worker may read the answer 4 s later: then the replica must still be drained.
   drains.halves.now += request.lease_s - 4.5;
@@ -310,7 +310,7 @@
   const double sent = drains.halves.now;
   drains.halves.now += request.lease_s;
   drains.answer(request, DrainState::drained, sent);
-  EXPECT_FALSE(drains.source().stop);
+  EXPECT_FALSE(drains.source().stop_requested);
   EXPECT_EQ(drains.move().step, MoveStep::draining);
 }
 
@@ -320,7 +320,7 @@
   const auto move = drains.move();
   drains.answer(request, DrainState::refused, drains.halves.now);
   EXPECT_FALSE(drains.executor.has_plan());
-  EXPECT_FALSE(drains.halves.source(move).stop);
+  EXPECT_FALSE(drains.halves.source(move).stop_requested);
   const auto undone = drains.executor.take_due_drains(drains.halves.now);
   ASSERT_EQ(undone.size(), 1U);
   EXPECT_DOUBLE_EQ(undone[0].lease_s, 0);
@@ -365,7 +365,7 @@
     drains.executor.record_drain_answer(request, std::nullopt, drains.halves.now - 1,
                                         drains.halves.now);
     drains.halves.advance(drains.executor);
-    EXPECT_FALSE(drains.executor.has_plan() && drains.source().stop);
+    EXPECT_FALSE(drains.executor.has_plan() && drains.source().stop_requested);
   }
   EXPECT_FALSE(drains.executor.has_plan());
 }
@@ -374,12 +374,12 @@
 TEST(MoveExecutor, ADroppedPlanTakesItsDrainedStopsBack) {
   Drains drains;
   drains.drain();
-  ASSERT_TRUE(drains.source().stop);
+  ASSERT_TRUE(drains.source().stop_requested);
   auto& source = drains.source();
   drains.halves.fleet.cluster.cancel(drains.halves.job(kLarge), 1, 1);
   drains.halves.advance(drains.executor);
   EXPECT_FALSE(drains.executor.has_plan());
-  EXPECT_FALSE(source.stop);
+  EXPECT_FALSE(source.stop_requested);
   EXPECT_EQ(drains.executor.take_due_drains(drains.halves.now).size(), 1U);
 }
 
@@ -392,13 +392,13 @@
   auto successor = drains.halves.executor(true);
   successor.load(drains.executor.wanted(), drains.halves.wall_ms(), drains.halves.now);
   drains.halves.advance(successor);
-  EXPECT_FALSE(drains.source().stop);
+  EXPECT_FALSE(drains.source().stop_requested);
   const auto due = successor.take_due_drains(drains.halves.now);
   ASSERT_EQ(due.size(), 1U);
   successor.record_drain_answer(due[0], DrainAnswer{due[0].task, 1, DrainState::drained, 0},
                                 drains.halves.now, drains.halves.now);
   drains.halves.advance(successor);
-  EXPECT_TRUE(drains.source().stop);
+  EXPECT_TRUE(drains.source().stop_requested);
 }
 
 TEST(MoveExecutor, WithoutARouterReplicasStay) {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -301,7 +301,7 @@
   Fleet& fleet = scenario.fleet;
   EXPECT_EQ(fleet.pass().preempted, 4);
   for (const auto& placement : scenario.batch.placements) {
-    EXPECT_EQ(placement.stop, placement.machine != "n-1");
+    EXPECT_EQ(placement.stop_requested, placement.machine != "n-1");
   }
   EXPECT_EQ(fleet.pass().preempted, 0);  // what leaves will do
   // The first machine is free: what waits behind the gang does not get it.
@@ -309,7 +309,7 @@
   EXPECT_EQ(fleet.pass(2).placed, 0);
   scenario.end_batch_on("n-3", 3);
   EXPECT_EQ(fleet.pass(3).placed, 2);
-  EXPECT_EQ(scenario.gang->live(), 2u);
+  EXPECT_EQ(scenario.gang->live_count(), 2u);
 }
 
 TEST(Placement, NothingIsStoppedForAGangThatWouldNotBeWhole) {
--- a/tests/placement_tracker_test.cpp
+++ b/tests/placement_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Placements count on their machine and in their team's quota until they are proven gone.
+// Placements are allocated on their machine and in their team's quota until they are proven gone.
 #include "sched/placement_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   Job gang = make_job("j-000002", JobKind::gang, 2, 2, "blue");
 };
 
-TEST_F(TrackerTest, APlacementCountsFromTheDecisionToItsEnd) {
+TEST_F(TrackerTest, APlacementIsAllocatedFromItsDecisionToItsEnd) {
   Placement& placement = placements.add(job, 0, 3, "n-1", 5);
   EXPECT_EQ(placement.decided_at, 5);
   EXPECT_EQ(job.last_attempt, 3U);
@@ -35,19 +35,19 @@
   EXPECT_TRUE(changes.take());
   EXPECT_TRUE(first.tasks.empty());
   EXPECT_EQ(quota.allocated("red"), wire::Resources());
-  placements.end(job, placement, 7);  // again: of no effect
+  placements.end(job, placement, 7);  // a repeated call has no effect
   EXPECT_EQ(quota.allocated("red"), wire::Resources());
 }
 
-TEST_F(TrackerTest, PlacementsStayInOrder) {
+TEST_F(TrackerTest, PlacementsStaySorted) {
   placements.add(job, 2, 1, "n-1", 0);
   placements.add(job, 0, 2, "n-1", 0);
   placements.add(job, 1, 3, "n-1", 0);
   for (std::uint32_t task = 0; task < 3; ++task) EXPECT_EQ(job.placements[task].task, task);
 }
 
-// Guards against giving away room that a write still under way may take (invariant 9).
-TEST_F(TrackerTest, AnUnresolvedWriteKeepsItsRoomUntilAnotherSucceeds) {
+// Guards against allocating resources again that an unresolved write may still use (invariant 9).
+TEST_F(TrackerTest, AnUnresolvedWriteKeepsItsAllocationUntilAnotherSucceeds) {
   Placement& placement = placements.add(job, 0, 1, "n-1", 0);
   placement.write = PlacementWrite::unresolved;
   placements.end(job, placement, 1);
@@ -62,17 +62,17 @@
   EXPECT_EQ(quota.allocated("red"), wire::Resources());
 }
 
-TEST_F(TrackerTest, OnlyEndedPlacementsThatWereWrittenAreForgotten) {
+TEST_F(TrackerTest, OnlyEndedPlacementsThatWereWrittenAreErased) {
   for (std::uint32_t task = 0; task < 3; ++task) placements.add(job, task, task + 1, "n-1", 0);
   placements.end(job, job.placements[0], 1);
   placements.end(job, job.placements[1], 1);
-  PlacementTracker::forget_ended(job, {{0, 1}, {2, 3}});
+  PlacementTracker::erase_ended(job, {{0, 1}, {2, 3}});
   ASSERT_EQ(job.placements.size(), 2U);
   EXPECT_EQ(job.placements[0].task, 1U);
   EXPECT_EQ(job.placements[1].task, 2U);
 }
 
-TEST_F(TrackerTest, ALostMachineStopsTheRestOfItsGangs) {
+TEST_F(TrackerTest, EndingAllPlacementsOfAMachineStopsTheOtherTasksOfItsGangs) {
   placements.add(gang, 0, 1, "n-1", 0);
   placements.add(gang, 1, 1, "n-2", 0);
   placements.add(job, 0, 1, "n-1", 0);
@@ -81,11 +81,11 @@
   EXPECT_TRUE(first.tasks.empty());
   EXPECT_TRUE(gang.placements[0].ended);
   EXPECT_FALSE(gang.placements[1].ended);
-  EXPECT_TRUE(gang.placements[1].stop);
-  EXPECT_FALSE(job.placements[1].stop);
+  EXPECT_TRUE(gang.placements[1].stop_requested);
+  EXPECT_FALSE(job.placements[1].stop_requested);
 }
 
-TEST_F(TrackerTest, AStoredJobIsCountedAndTakenOutAgain) {
+TEST_F(TrackerTest, AStoredJobIsAllocatedAndReleased) {
   job.placements.resize(2);
   job.placements[0].machine = "n-1";
   job.placements[1].task = 1;
@@ -100,7 +100,7 @@
   EXPECT_TRUE(first.tasks.empty());
 }
 
-TEST(Placement, TheFirstStopRequestDecides) {
+TEST(Placement, TheFirstStopRequestSetsTheGracePeriod) {
   Placement placement;
   placement.request_stop(8, 1);
   placement.request_stop(0, 2);
@@ -108,20 +108,20 @@
   EXPECT_EQ(placement.stop_requested_at, 1);
 }
 
-TEST(Placement, ADrainedStopCanBeProlongedAndRevoked) {
+TEST(Placement, ADrainedStopCanBeExtendedAndRevoked) {
   Placement placement;
   placement.request_drained_stop(10, 1);
   placement.request_drained_stop(15, 2);
-  EXPECT_TRUE(placement.stop);
+  EXPECT_TRUE(placement.stop_requested);
   EXPECT_EQ(placement.drain_deadline, 15);
   placement.revoke_drained_stop();
-  EXPECT_FALSE(placement.stop);
+  EXPECT_FALSE(placement.stop_requested);
   EXPECT_FALSE(placement.drain_deadline);
-  // One that is to be stopped in any case stays so.
+  // An unconditional stop request is not changed.
   placement.request_stop(0, 3);
   placement.request_drained_stop(20, 4);
   placement.revoke_drained_stop();
-  EXPECT_TRUE(placement.stop);
+  EXPECT_TRUE(placement.stop_requested);
   EXPECT_FALSE(placement.drain_deadline);
 }
 
--- a/tests/plan_check_test.cpp
+++ b/tests/plan_check_test.cpp
@@ -29,7 +29,7 @@
   void put_on_source(const std::string& machine) {
     auto& placement = fleet.cluster.add_placement(moved, 0, 1, machine, 0);
     placement.write = sched::PlacementWrite::durable;
-    placement.seen = true;
+    placement.reported = true;
     placement.state = wire::TaskState::running;
   }
   static MovePlan plan_to(const std::string& target) {
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -51,8 +51,8 @@
 TEST(Preemption, TheLeastLostWorkIsStoppedAndNoMoreThanNeeded) {
   FullMachine full;
   EXPECT_EQ(full.preempt(), 1);
-  EXPECT_FALSE(full.victim.placements[0].stop);
-  EXPECT_TRUE(full.victim.placements[1].stop);
+  EXPECT_FALSE(full.victim.placements[0].stop_requested);
+  EXPECT_TRUE(full.victim.placements[1].stop_requested);
   EXPECT_EQ(full.preempt(), 0);  // what is being released will do
 }
 
@@ -62,7 +62,7 @@
   full.victim.spec.checkpoint_save_s = 7;
   ASSERT_EQ(full.preempt(), 1);
   const auto& first = full.victim.placements[0];
-  const auto& stopped = first.stop ? first : full.victim.placements[1];
+  const auto& stopped = first.stop_requested ? first : full.victim.placements[1];
   EXPECT_DOUBLE_EQ(stopped.grace_s, 7);
 }
 
--- a/tests/quota_policy_test.cpp
+++ b/tests/quota_policy_test.cpp
@@ -112,14 +112,14 @@
   fleet.cluster.set_team_shares(&shares);
   auto& job = fleet.add(testing::make_job("j-1", wire::JobKind::job_array, 8, 1));
   fleet.pass();
-  EXPECT_EQ(job.live(), 0U) << "a share of nothing is not a team without a limit";
+  EXPECT_EQ(job.live_count(), 0U) << "a share of nothing is not a team without a limit";
   EXPECT_FALSE(job.guaranteed);
   shares.gpus = 3;
   fleet.pass();
-  EXPECT_EQ(job.live(), 3U);
+  EXPECT_EQ(job.live_count(), 3U);
   shares.gpus = 8;
   fleet.pass();
-  EXPECT_EQ(job.live(), 8U);
+  EXPECT_EQ(job.live_count(), 8U);
   EXPECT_TRUE(job.guaranteed);
 }
 
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -77,13 +77,13 @@
   held.waiting.retry.backoff_until = 10;  // it can't start yet
   auto& other = held.add(kOther, JobKind::service, 2, 5, "blue");
   held.fleet.pass(1);
-  EXPECT_EQ(other.live(), 1U);
+  EXPECT_EQ(other.live_count(), 1U);
   EXPECT_EQ(held.machine_of(other, 0), "n-2");
   // It is free at once when the plan is over.
   held.hold({});
   EXPECT_TRUE(held.fleet.cluster.take_changed());
   held.fleet.pass(2);
-  EXPECT_EQ(other.live(), 2U);
+  EXPECT_EQ(other.live_count(), 2U);
 }
 
 TEST(Reservations, EntitledWorkTakesTheRoom) {
@@ -95,7 +95,7 @@
   urgent.spec.priority = wire::Priority::production;
   auto& placed = held.fleet.add(std::move(urgent));
   held.fleet.pass(1);
-  EXPECT_EQ(placed.live(), 2U);
+  EXPECT_EQ(placed.live_count(), 2U);
 }
 
 TEST(Reservations, HeldRoomIsForWhomItIsHeld) {
@@ -105,7 +105,7 @@
   held.fleet.pass(1);
   EXPECT_EQ(held.machine_of(held.waiting, 0), "n-1");
   // It is not counted beside what has come.
-  EXPECT_FALSE(held.fleet.cluster.in_force(held.for_waiting()));
+  EXPECT_FALSE(held.fleet.cluster.is_reservation_active(held.for_waiting()));
 }
 
 TEST(Reservations, RoomForAMoveThatHasNotBegunYieldsToTheJobItIsFor) {
--- a/tests/task_reconciler_test.cpp
+++ b/tests/task_reconciler_test.cpp
@@ -1,4 +1,4 @@
-// What a message of an agent proves about tasks.
+// Effects of an agent's messages on tasks and placements.
 #include "sched/task_reconciler.hpp"
 
 #include <gtest/gtest.h>
@@ -18,20 +18,20 @@
 struct TaskReconcilerTest : ::testing::Test, testing::HeartbeatParts {
   TaskReconciler tasks{settings, jobs, machines, placements, failures, changes};
 
-  void report(TaskState state, ExitReason reason = ExitReason::none, bool token = true,
+  void report(TaskState state, ExitReason reason = ExitReason::none, bool token_acknowledged = true,
               double now = 1) {
     const auto message = heartbeat("n-1", 1, 2, {task("j-000001", 0, 1, state, reason)});
-    tasks.reconcile_reported(machine, message, token, now);
+    tasks.reconcile_reported(machine, message, token_acknowledged, now);
   }
-  void absent(std::uint64_t epoch, std::uint64_t sequence) {
+  void report_absence(std::uint64_t epoch, std::uint64_t sequence) {
     tasks.reconcile_absent(machine, heartbeat("n-1", epoch, sequence), 1);
   }
 };
 
-TEST_F(TaskReconcilerTest, AReportedTaskIsSeenAndItsImageCached) {
+TEST_F(TaskReconcilerTest, AReportedTaskUpdatesThePlacementAndTheImageCache) {
   Placement& placement = place(0, 1);
   report(TaskState::fetching);
-  EXPECT_TRUE(placement.seen);
+  EXPECT_TRUE(placement.reported);
   EXPECT_TRUE(machine.holds_image("img"));
   EXPECT_EQ(placement.running_since, 0);
   report(TaskState::running, ExitReason::none, true, 7);
@@ -85,8 +85,8 @@
   EXPECT_EQ(job.retry.backoff_until, 3 + settings.heartbeat_interval_s);
 }
 
-// Guards against a late copy, from before our leadership, of an exit in an earlier agent epoch.
-TEST_F(TaskReconcilerTest, WithoutOurTokenOnlyACompletionIsBelieved) {
+// Guards against a stale copy, from before this leadership, of an exit in an earlier agent epoch.
+TEST_F(TaskReconcilerTest, WithoutThisLeadersTokenOnlyACompletionCounts) {
   Placement& placement = place(0, 1);
   job.record.dirty = false;
   report(TaskState::exited, ExitReason::error, false);
@@ -104,7 +104,7 @@
   placements.add(gang, 1, 1, "n-2", 0);
   const auto exited = task("j-000002", 0, 1, TaskState::exited, ExitReason::stopped);
   tasks.reconcile_reported(machine, heartbeat("n-1", 1, 2, {exited}), true, 1);
-  EXPECT_TRUE(gang.placements[1].stop);
+  EXPECT_TRUE(gang.placements[1].stop_requested);
 }
 
 TEST_F(TaskReconcilerTest, AReplicaThatRunsForLongEnoughClearsItsFailures) {
@@ -118,71 +118,71 @@
   EXPECT_TRUE(service.retry.failed_machines.empty());
 }
 
-TEST_F(TaskReconcilerTest, ASeenTaskThatIsNotNamedAnyMoreIsGone) {
+TEST_F(TaskReconcilerTest, AReportedTaskThatIsNoLongerNamedHasEnded) {
   Placement& placement = place(0, 1);
-  placement.seen = true;
-  absent(1, 2);
+  placement.reported = true;
+  report_absence(1, 2);
   EXPECT_TRUE(placement.ended);
 }
 
-TEST_F(TaskReconcilerTest, AnAbsenceCountsOnlyAfterTheAnswerThatCarriedTheStart) {
+TEST_F(TaskReconcilerTest, AnAbsenceCountsOnlyAfterTheResponseThatCarriedTheStart) {
   Placement& placement = place(0, 1);
-  placement.start_carrier = {1, 5};
-  placement.stop = true;
-  absent(1, 5);
+  placement.last_start_sequence = {1, 5};
+  placement.stop_requested = true;
+  report_absence(1, 5);
   EXPECT_FALSE(placement.ended);
-  absent(1, 6);
+  report_absence(1, 6);
   EXPECT_TRUE(placement.ended);
 }
 
 TEST_F(TaskReconcilerTest, AStartOfAnEarlierAgentEpochIsLost) {
   Placement& placement = place(0, 1);
-  placement.start_carrier = {1, 5};
-  absent(2, 1);
+  placement.last_start_sequence = {1, 5};
+  report_absence(2, 1);
   EXPECT_TRUE(placement.ended);
 }
 
-// Invariant 5: an indeterminate start may be executed as long as the agent epoch lasts.
+// Invariant 5: an indeterminate start may be executed until the end of the agent epoch.
 TEST_F(TaskReconcilerTest, AnIndeterminateStartIsKeptForItsAgentEpoch) {
   Placement& placement = place(0, 1);
-  placement.unconfirmed_start_epoch = 1;
-  placement.seen = true;
-  placement.stop = true;
-  absent(1, 9);
+  placement.indeterminate_start_epoch = 1;
+  placement.reported = true;
+  placement.stop_requested = true;
+  report_absence(1, 9);
   EXPECT_FALSE(placement.ended);
-  absent(2, 1);
+  report_absence(2, 1);
   EXPECT_TRUE(placement.ended);
 }
 
-TEST_F(TaskReconcilerTest, WhatWasNeverStartedEndsOnlyWhenItIsToStop) {
-  Placement& waiting = place(0, 1);
-  absent(1, 2);
-  EXPECT_FALSE(waiting.ended);
-  waiting.stop = true;
-  absent(1, 3);
-  EXPECT_TRUE(waiting.ended);
+TEST_F(TaskReconcilerTest, APlacementWithoutAStartEndsOnlyOnAStopRequest) {
+  Placement& placement = place(0, 1);
+  report_absence(1, 2);
+  EXPECT_FALSE(placement.ended);
+  placement.stop_requested = true;
+  report_absence(1, 3);
+  EXPECT_TRUE(placement.ended);
 }
 
-// Guards against a machine whose heartbeats arrive and that no answer reaches.
+// Guards against a machine that sends heartbeats but receives no responses.
 TEST_F(TaskReconcilerTest, AMachineThatIgnoresTwoStartsIsUnresponsive) {
   Placement& placement = place(0, 1);
-  placement.start_carrier = {1, 2};
-  absent(1, 3);  // one answer may be lost
+  placement.last_start_sequence = {1, 2};
+  report_absence(1, 3);  // one response may be lost
   EXPECT_FALSE(placement.ended);
   EXPECT_EQ(machine.agent.unresponsive_until, 0);
-  placement.start_carrier = {1, 3};
-  absent(1, 4);
+  placement.last_start_sequence = {1, 3};
+  report_absence(1, 4);
   EXPECT_TRUE(placement.ended);
   EXPECT_EQ(machine.agent.unresponsive_until, 1 + settings.lease_s);
 }
 
 TEST_F(TaskReconcilerTest, ANamedTaskIsNotAbsent) {
   Placement& placement = place(0, 1);
-  placement.seen = true;
+  placement.reported = true;
   const auto message = heartbeat("n-1", 1, 2, {task("j-000001", 0, 1, TaskState::running)});
   tasks.reconcile_absent(machine, message, 1);
   EXPECT_FALSE(placement.ended);
-  // Another attempt of it is another task start.
+  // Another attempt of the same task does not count.
   const auto other = heartbeat("n-1", 1, 3, {task("j-000001", 0, 2, TaskState::running)});
   tasks.reconcile_absent(machine, other, 1);
   EXPECT_TRUE(placement.ended);
