--- a/src/control/scale_out_requester.cpp
+++ b/src/control/scale_out_requester.cpp
@@ -69,7 +69,8 @@
 void ScaleOutRequester::add_machines(const ScaleOutResult& result, const MachineKind& kind) {
   for (const auto& id : result.machines) {
     if (!machines_.is_deleted(id))
-      context_.cluster.upsert_machine(id, kind, context_.now()).cloud.provisioned_here = true;
+      context_.cluster.upsert_machine(id, kind, context_.now()).cloud.provisioned_by_this_leader =
+          true;
   }
 }
 
--- a/src/sched/boot_monitor.cpp
+++ b/src/sched/boot_monitor.cpp
@@ -11,14 +11,14 @@
 bool is_booting(const Machine& machine) {
   // Guards against a new leader marking running machines as overdue before they have reported to
   // it: the cloud's list states which machines are booting.
-  return machine.cloud.listed ? machine.cloud.booting : machine.cloud.provisioned_here;
+  return machine.cloud.listed ? machine.cloud.booting : machine.cloud.provisioned_by_this_leader;
 }
 
 }  // namespace
 
 void BootMonitor::record_message(Machine& machine, double now) {
   // A machine that another leader provisioned may have finished its boot long ago.
-  if (!machine.agent.heartbeat_received && machine.cloud.provisioned_here) {
+  if (!machine.agent.heartbeat_received && machine.cloud.provisioned_by_this_leader) {
     boot_times_.record_boot(location_of(machine), now - machine.cloud.provisioned_at, now);
   }
   machine.cloud.overdue = false;
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -101,7 +101,7 @@
 
 inline constexpr std::int64_t kNoDeadline = INT64_MAX;
 
-/// Urgency of a job, inherited from its dependents too, as of the last placement pass.
+/// Urgency of a job, including that of its dependents, as of the last placement pass.
 struct Urgency {
   wire::Priority priority = wire::Priority::standard;  ///< highest of the job and its dependents
   /// Latest start, as a time of day, with which the job and its dependents meet their deadlines if
--- a/src/sched/machine.hpp
+++ b/src/sched/machine.hpp
@@ -53,10 +53,10 @@
 struct CloudStatus {
   /// When its scale-out request succeeded; for a listed machine, earlier by its listed age.
   double provisioned_at = 0;
-  bool provisioned_here = false;  ///< by this leader
-  bool listed = false;            ///< has appeared in a list of the cloud
-  bool booting = false;           ///< as last listed
-  bool failed = false;            ///< has been listed as failed, which is final
+  bool provisioned_by_this_leader = false;
+  bool listed = false;   ///< has appeared in a list of the cloud
+  bool booting = false;  ///< as last listed
+  bool failed = false;   ///< has been listed as failed, which is final
   bool overdue = false;  ///< has been booting for so long that it may never report (BootMonitor)
   bool terminating = false;  ///< this leader deletes it; nothing is placed on it
   /// When the cloud reclaims it, according to its preemption notice.
@@ -124,7 +124,7 @@
 
   /// Whether the machine is known to exist under this leader. A heartbeat alone does not prove
   /// that: it may be a stale copy from a machine that no longer exists.
-  bool confirmed() const { return agent.token_acknowledged || cloud.provisioned_here; }
+  bool confirmed() const { return agent.token_acknowledged || cloud.provisioned_by_this_leader; }
   bool quarantined() const { return faults.quarantine != Quarantine::none; }
   bool idle() const { return tasks.empty() && agent.unknown_tasks == 0; }
   bool holds_image(const std::string& image) const;
--- a/tests/boot_monitor_test.cpp
+++ b/tests/boot_monitor_test.cpp
@@ -17,7 +17,7 @@
   BootTest() { machines.set_types({type}); }
   Machine& provisioned(const std::string& id, double now) {
     Machine& machine = machines.upsert(id, {type.name, "a", false}, now);
-    machine.cloud.provisioned_here = true;
+    machine.cloud.provisioned_by_this_leader = true;
     changes.take();
     return machine;
   }
@@ -56,7 +56,7 @@
   Machine& unreachable = provisioned("n-1", 0);
   unreachable.lease.grace_until = 10 * type.ready_s;
   Machine& unknown_type = machines.upsert("n-2", {"other", "a", false}, 0);
-  unknown_type.cloud.provisioned_here = true;
+  unknown_type.cloud.provisioned_by_this_leader = true;
   boots.update_overdue(10 * type.ready_s);
   EXPECT_FALSE(unreachable.cloud.overdue || unknown_type.cloud.overdue);
   boots.update_overdue(10 * type.ready_s + 1);
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -67,7 +67,7 @@
   }
   void provision(const std::string& id, const std::string& zone) {
     auto& machine = cluster.upsert_machine(id, {"g8", zone, false}, 0);
-    machine.cloud.provisioned_here = machine.cloud.listed = machine.cloud.booting = true;
+    machine.cloud.provisioned_by_this_leader = machine.cloud.listed = machine.cloud.booting = true;
   }
   double ready_s() const { return cluster.type("g8")->ready_s; }
   int requested_machines(double now) {
@@ -100,7 +100,7 @@
 TEST(BootTimes, RunningMachinesAreNotOverdue) {
   ProvisionedFleet fleet;
   auto& machine = *fleet.cluster.machine("n-9");
-  machine.cloud.provisioned_here = machine.cloud.booting = false;
+  machine.cloud.provisioned_by_this_leader = machine.cloud.booting = false;
   machine.cloud.provisioned_at = -20 * fleet.ready_s();
   EXPECT_EQ(fleet.requested_machines(1), 0);
   EXPECT_FALSE(machine.cloud.overdue);
--- a/tests/machine_inventory_test.cpp
+++ b/tests/machine_inventory_test.cpp
@@ -53,10 +53,10 @@
 // the cloud's list nor in a heartbeat.
 TEST_F(InventoryTest, APlacementIsAttachedWhenItsMachineBecomesKnown) {
   const PlacementRef kept{&job, 0, 1};
-  const PlacementRef gone{&job, 1, 2};
+  const PlacementRef detached{&job, 1, 2};
   machines.attach(kept, "n-1");
-  machines.attach(gone, "n-1");
-  machines.detach(gone, "n-1", 1);
+  machines.attach(detached, "n-1");
+  machines.detach(detached, "n-1", 1);
   Machine& machine = machines.upsert("n-1", kKind, 2);
   ASSERT_EQ(machine.tasks.size(), 1U);
   EXPECT_EQ(machine.tasks.front(), kept);
