--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -31,7 +31,7 @@
 
 /// Whether the job has ended: no placement is left on a machine, and none will be made.
 bool has_ended(const Job& job) {
-  return job.cancelled() ? job.live() == 0 : job.complete();
+  return job.cancelled() ? job.live_count() == 0 : job.complete();
 }
 
 }  // namespace
@@ -163,7 +163,7 @@
     context_.cluster.resolve_abandoned(job, *placement, now());
     ended.push_back(abandoned);
   }
-  context_.cluster.forget_ended(job, ended);
+  context_.cluster.erase_ended(job, ended);
 }
 
 // Dependents may rely on the outcome only now that its write was confirmed (invariant 14).
--- a/src/control/write_order.cpp
+++ b/src/control/write_order.cpp
@@ -31,7 +31,7 @@
 
 /// Whether the job is cancelled and none of its tasks can still be on a machine.
 bool is_cancelled_and_stopped(const Job& job) {
-  return job.cancelled() && job.live() == 0;
+  return job.cancelled() && job.live_count() == 0;
 }
 
 bool has_undurable_placements(const Job& job) {
