--- a/src/control/decision_loop.cpp
+++ b/src/control/decision_loop.cpp
@@ -56,7 +56,7 @@
   last_pass_at_ = context_.now();
   const bool expedited = std::exchange(pass_expedited_, false);
   auto result =
-      sched::place_waiting(context_.cluster, parts_.scaler.refused_until(), last_pass_at_);
+      sched::place_waiting_jobs(context_.cluster, parts_.scaler.refused_until(), last_pass_at_);
   if (result.incomplete) context_.cluster.mark_changed();
   if (parts_.quota_shares != nullptr && expedited) parts_.quota_shares->on_new_work();
   log_shortfall(result.shortfall);
--- a/src/control/machine_supervisor.cpp
+++ b/src/control/machine_supervisor.cpp
@@ -19,7 +19,7 @@
     const double now = context_.now();
     expire_leases(now);
     context_.cluster.update_overdue_boots(now);
-    const auto zones = sched::count_workers(context_.cluster, now);
+    const auto zones = sched::count_agents_by_zone(context_.cluster, now);
     for (auto& [id, machine] : context_.cluster.machines()) {
       if (!machine.cloud.terminating) check_machine(machine, zones, now);
     }
--- a/src/control/machine_supervisor.hpp
+++ b/src/control/machine_supervisor.hpp
@@ -25,7 +25,7 @@
   net::Task<void> run();
 
  private:
-  using Zones = std::map<std::string, sched::ZoneWorkers>;
+  using Zones = std::map<std::string, sched::ZoneAgents>;
 
   void expire_leases(double now);
   void check_machine(sched::Machine& machine, const Zones& zones, double now);
--- a/src/control/small_records.cpp
+++ b/src/control/small_records.cpp
@@ -79,8 +79,8 @@
 std::string write_pool(const sched::PoolState& pool) {
   JsonWriter writer;
   writer.begin();
-  writer.key(kPoolCountField).integer(pool.count);
-  writer.key(kPoolScaledField).integer(pool.scaled_ms);
+  writer.key(kPoolCountField).integer(pool.target_machines);
+  writer.key(kPoolScaledField).integer(pool.last_scaled_ms);
   writer.end();
   return writer.take();
 }
@@ -89,8 +89,9 @@
   const JsonDocument document(text);
   if (!document.is_object()) return not_an_object();
   sched::PoolState pool;
-  pool.count = static_cast<int>(wire::read_amount(document.root(), kPoolCountField).value_or(0));
-  pool.scaled_ms =
+  pool.target_machines =
+      static_cast<int>(wire::read_amount(document.root(), kPoolCountField).value_or(0));
+  pool.last_scaled_ms =
       static_cast<std::int64_t>(wire::read_amount(document.root(), kPoolScaledField).value_or(0));
   return pool;
 }
--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -5,30 +5,32 @@
 namespace cranklock::sched {
 
 std::size_t max_live_tasks(const base::Settings& settings) {
-  constexpr double kTaskBytes = 44;   // its number, attempt and machine, and a range of done tasks
-  constexpr double kValueBytes = 80;  // what stands around the lists, and does not fill up, in each
-  constexpr double kTransactionBytes = 60.0 * 1024;
-  const double value_bytes = settings.value_kb * 1024 - kValueBytes;
-  // The job's description takes up to one value.
-  const double task_bytes =
-      std::min(value_bytes * (settings.txn_ops - 1), kTransactionBytes - value_bytes);
-  return static_cast<std::size_t>(std::max(task_bytes / kTaskBytes, 1.0));
+  constexpr double kBytesPerTask =
+      44;  // task number, attempt, machine and a range of completed tasks
+  constexpr double kValueOverheadBytes = 80;  // fixed part of each value, outside the lists
+  constexpr double kMaxTransactionBytes = 60.0 * 1024;
+  const double list_bytes_per_value = settings.value_kb * 1024 - kValueOverheadBytes;
+  // The job specification occupies up to one value.
+  const double total_list_bytes = std::min(list_bytes_per_value * (settings.txn_ops - 1),
+                                           kMaxTransactionBytes - list_bytes_per_value);
+  return static_cast<std::size_t>(std::max(total_list_bytes / kBytesPerTask, 1.0));
 }
 
 bool within_quota_limit(const ClusterState& cluster, const std::string& team,
-                        const wire::Resources& more) {
-  constexpr double kSlack = 1e-6;  // sums of decimal amounts
+                        const wire::Resources& additional) {
+  constexpr double kTolerance = 1e-6;  // rounding of sums of decimal amounts
   const auto* team_settings = cluster.settings().team(team);
   if (team_settings == nullptr) return false;
-  const wire::Resources sum = cluster.team_allocation(team) + more;
+  const wire::Resources total = cluster.team_allocation(team) + additional;
   const wire::Resources limit = cluster.limit_for(*team_settings);
-  return (team_settings->gpus_max <= 0 || sum.gpus <= limit.gpus + kSlack) &&
-         (team_settings->cpus_max <= 0 || sum.cpus <= limit.cpus + kSlack);
+  return (team_settings->gpus_max <= 0 || total.gpus <= limit.gpus + kTolerance) &&
+         (team_settings->cpus_max <= 0 || total.cpus <= limit.cpus + kTolerance);
 }
 
 namespace {
 
-/// Whether nothing speaks against the machine, once it is up.
+/// Whether neither the machine's zone, lease, cloud status nor quarantine rules out placement; does
+/// not check that the machine is up.
 bool is_healthy(const ClusterState& cluster, const Machine& machine) {
   return !cluster.is_unreachable(machine.kind.zone) && !machine.lease.expired &&
          !machine.cloud.terminating && !machine.cloud.failed && !machine.quarantined() &&
@@ -50,44 +52,45 @@
 
 namespace {
 
-/// Whether the agent should be sending heartbeats.
-bool should_be_heard(const Machine& machine) {
+/// Whether the agent is expected to send heartbeats.
+bool expects_heartbeats(const Machine& machine) {
   return machine.agent.heartbeat_received && !machine.lease.expired && !machine.cloud.terminating &&
          !machine.cloud.reclaim_at;
 }
 
 }  // namespace
 
-std::map<std::string, ZoneWorkers> count_workers(ClusterState& cluster, double now) {
-  constexpr double kHeardWithinIntervals = 2;
-  std::map<std::string, ZoneWorkers> zones;
+std::map<std::string, ZoneAgents> count_agents_by_zone(ClusterState& cluster, double now) {
+  constexpr double kResponsiveWithinIntervals = 2;
+  std::map<std::string, ZoneAgents> zones;
   for (const auto& [id, machine] : cluster.machines()) {
-    if (!should_be_heard(machine)) continue;
-    ZoneWorkers& zone = zones[machine.kind.zone];
-    ++zone.workers;
-    const double quiet_s = now - machine.agent.last_heartbeat;
-    if (quiet_s < kHeardWithinIntervals * cluster.settings().heartbeat_interval_s) ++zone.heard;
+    if (!expects_heartbeats(machine)) continue;
+    ZoneAgents& zone = zones[machine.kind.zone];
+    ++zone.agents;
+    const double since_heartbeat_s = now - machine.agent.last_heartbeat;
+    if (since_heartbeat_s < kResponsiveWithinIntervals * cluster.settings().heartbeat_interval_s)
+      ++zone.responsive;
   }
   return zones;
 }
 
 bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
-                  const std::map<std::string, ZoneWorkers>& zones, double now) {
-  constexpr double kQuietIntervalsAfterNotice = 1.5;
-  constexpr double kQuietIntervals = 3;  // one or two heartbeats may be lost
-  constexpr double kHeardShare = 0.9;    // of the other agents of the zone
+                  const std::map<std::string, ZoneAgents>& zones, double now) {
+  constexpr double kSilentIntervalsAfterNotice = 1.5;
+  constexpr double kSilentIntervals = 3;       // tolerates one or two lost heartbeats
+  constexpr double kMinResponsiveShare = 0.9;  // of the other agents in the zone
   if (!machine.kind.spot || !machine.agent.heartbeat_received || machine.cloud.terminating)
     return false;
   const double interval_s = cluster.settings().heartbeat_interval_s;
-  const double quiet_s = now - machine.agent.last_heartbeat;
+  const double since_heartbeat_s = now - machine.agent.last_heartbeat;
   if (machine.cloud.reclaim_at && now > *machine.cloud.reclaim_at) {
-    return quiet_s > kQuietIntervalsAfterNotice * interval_s;
+    return since_heartbeat_s > kSilentIntervalsAfterNotice * interval_s;
   }
-  if (quiet_s < kQuietIntervals * interval_s) return false;
+  if (since_heartbeat_s < kSilentIntervals * interval_s) return false;
   const auto zone = zones.find(machine.kind.zone);
   if (zone == zones.end()) return false;
-  const int others = zone->second.workers - (should_be_heard(machine) ? 1 : 0);
-  return others > 0 && zone->second.heard >= kHeardShare * others;
+  const int others = zone->second.agents - (expects_heartbeats(machine) ? 1 : 0);
+  return others > 0 && zone->second.responsive >= kMinResponsiveShare * others;
 }
 
 }  // namespace cranklock::sched
--- a/src/sched/availability.hpp
+++ b/src/sched/availability.hpp
@@ -1,5 +1,5 @@
-// Which machines take work, and how much of it a team or a job may have: what placement, the scaler
-// and plans of moves ask alike. Pure: no I/O, time passed in.
+// Availability checks shared by placement, the scaler and move plans: which machines accept new
+// tasks and how many resources a team or job may use. Pure: no I/O; the time is passed in.
 #pragma once
 
 #include <cstddef>
@@ -10,34 +10,36 @@
 
 namespace cranklock::sched {
 
-/// How many tasks of one job may be placed at a time, at least one: its record is written whole in
-/// one transaction, so the limits of the key-value store bound it.
+/// The maximum number of concurrently placed tasks of one job, at least 1. A job record is written
+/// in a single transaction, so the size limits of the key-value store bound it.
 std::size_t max_live_tasks(const base::Settings& settings);
 
-/// Whether the team may use this much beside what it uses now, which counts every placement that is
-/// not proven free (invariant 9). False for a team that the settings do not name.
+/// Whether the team stays within its quota limit if it uses `additional` resources on top of its
+/// current allocation, which includes every placement not yet proven gone (invariant 9). False for
+/// a team that is not in the settings.
 bool within_quota_limit(const ClusterState& cluster, const std::string& team,
-                        const wire::Resources& more);
+                        const wire::Resources& additional);
 
 /// Whether new tasks may be placed on the machine.
 bool is_schedulable(const ClusterState& cluster, const Machine& machine);
 
-/// Whether the machine boots, or has only to show our fencing token, to become schedulable.
+/// Whether the machine is expected to become schedulable: it is booting, or its agent has yet to
+/// report this leader's fencing token.
 bool is_starting(const ClusterState& cluster, const Machine& machine);
 
-/// The agents of one zone that should send heartbeats.
-struct ZoneWorkers {
-  int workers = 0;
-  int heard = 0;  ///< those whose last heartbeat is younger than two intervals
+/// The agents of one zone that are expected to send heartbeats.
+struct ZoneAgents {
+  int agents = 0;
+  int responsive = 0;  ///< agents whose last heartbeat is less than two intervals old
 };
-/// Counts them by zone. Zones without any are left out.
-std::map<std::string, ZoneWorkers> count_workers(ClusterState& cluster, double now);
+/// Counts the agents by zone. Zones without agents are omitted.
+std::map<std::string, ZoneAgents> count_agents_by_zone(ClusterState& cluster, double now);
 
-/// Whether the cloud has certainly reclaimed a spot machine: it is quiet after its preemption
-/// notice, or has been for three heartbeats while the other agents of its zone are heard. One whose
-/// zone is quiet too may only be cut off. The machine is then deleted, which proves its tasks gone
-/// (invariant 4) long before its lease would.
+/// Whether the cloud has certainly reclaimed a spot machine: its heartbeats stopped after its
+/// preemption notice, or stopped for three intervals while the other agents of its zone are
+/// responsive. If those are silent too, the zone may only be partitioned. A reclaimed machine is
+/// deleted, which proves its tasks gone (invariant 4) long before its lease expires.
 bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
-                  const std::map<std::string, ZoneWorkers>& zones, double now);
+                  const std::map<std::string, ZoneAgents>& zones, double now);
 
 }  // namespace cranklock::sched
--- a/src/sched/best_fit.cpp
+++ b/src/sched/best_fit.cpp
@@ -13,16 +13,16 @@
   return share;
 }
 
-bool is_exposed(const ClusterState& cluster, const Job& job, const std::string& zone) {
+bool lacks_local_controller(const ClusterState& cluster, const Job& job, const std::string& zone) {
   return job.spec.kind == wire::JobKind::service && !cluster.settings().has_node(zone);
 }
 
-double placement_cost(const ClusterState& cluster, const Job& job, const Candidate& candidate,
-                      const ZoneCount& zones) {
-  // Best fit keeps whole machines for the largest tasks; a full machine's worth of unused room
-  // weighs a tenth of what its boot does.
+double placement_cost_s(const ClusterState& cluster, const Job& job, const Candidate& candidate,
+                        const ZoneCount& zones) {
+  // Best fit keeps whole machines free for the largest tasks. A completely unused machine costs a
+  // tenth of its boot time.
   constexpr double kFragmentationWeight = 0.1;
-  constexpr double kMinFetchRate = 0.01;  // GB/s, against a type that states none
+  constexpr double kMinFetchRate = 0.01;  // GB/s, for machine types that state no rate
   const wire::MachineType& type = *candidate.type;
   double seconds = 0;
   if (candidate.machine != nullptr && !candidate.machine->holds_image(job.spec.image)) {
@@ -31,14 +31,16 @@
   seconds += kFragmentationWeight * type.ready_s *
              dominant_share(candidate.free - job.spec.resources, type.resources);
   if (job.spec.spot && !candidate.kind.spot) seconds += type.ready_s;
-  if (is_exposed(cluster, job, candidate.kind.zone)) seconds += kExposureWeight * type.ready_s;
-  if (job.spec.spread) seconds += type.ready_s * zones.in(candidate.kind.zone);
+  if (lacks_local_controller(cluster, job, candidate.kind.zone))
+    seconds += kNoLocalControllerWeight * type.ready_s;
+  if (job.spec.spread) seconds += type.ready_s * zones.tasks_in(candidate.kind.zone);
   return seconds;
 }
 
 namespace {
 
-/// Whether a task of the job may go there now. The cheapest test that rules out most comes first.
+/// Whether a task of the job may be placed on the candidate now. Ordered so that the cheapest check
+/// that rejects the most candidates runs first.
 bool is_feasible(CandidateSet& candidates, const Job& job, const Candidate& candidate,
                  const ZoneCount& zones, const std::string& only_zone) {
   if (!job.spec.resources.fits_in(candidates.available_to(job, candidate))) return false;
@@ -46,7 +48,8 @@
   if (!only_zone.empty() && candidate.kind.zone != only_zone) return false;
   if (candidate.nominated_for != nullptr && candidate.nominated_for != &job) return false;
   if (!zone_rules_allow(job.spec, zones, candidate.kind.zone)) return false;
-  // Two machines that failed it speak against the job, one against the machine.
+  // One failed machine is avoided since the machine may be at fault; failures on two or more
+  // machines indicate a fault of the job.
   return job.retry.failed_machines.size() != 1 ||
          !job.retry.failed_machines.contains(candidate.machine->id);
 }
@@ -60,7 +63,7 @@
   candidates.record_search();
   for (auto& candidate : candidates.schedulable()) {
     if (!is_feasible(candidates, job, candidate, zones, only_zone)) continue;
-    const double cost = placement_cost(candidates.cluster(), job, candidate, zones);
+    const double cost = placement_cost_s(candidates.cluster(), job, candidate, zones);
     if (cost < best_cost) {
       best = &candidate;
       best_cost = cost;
--- a/src/sched/best_fit.hpp
+++ b/src/sched/best_fit.hpp
@@ -1,4 +1,5 @@
-// Bin packing: the machine on which a task starts soonest and leaves least room unused.
+// Bin packing: selects the machine where a task starts soonest and leaves the least unused
+// capacity.
 #pragma once
 
 #include <string>
@@ -8,23 +9,25 @@
 
 namespace cranklock::sched {
 
-/// What a replica's placement in an exposed zone weighs, as a share of a boot or of a price.
-inline constexpr double kExposureWeight = 0.5;
+/// The penalty for placing a replica in a zone without a controller, as a fraction of the boot time
+/// (placement) or of the price (scale-out).
+inline constexpr double kNoLocalControllerWeight = 0.5;
 
-/// The largest share of the whole that an amount takes of any resource.
+/// The largest fraction of `whole` that `part` takes of any single resource.
 double dominant_share(const wire::Resources& part, const wire::Resources& whole);
 
-/// Whether the task would be a replica in a zone without a controller, where nobody keeps it
-/// running while the zone is cut off.
-bool is_exposed(const ClusterState& cluster, const Job& job, const std::string& zone);
+/// Whether the task would be a service replica in a zone without a controller. While such a zone is
+/// partitioned from the others, no controller keeps its replicas running.
+bool lacks_local_controller(const ClusterState& cluster, const Job& job, const std::string& zone);
 
-/// What it costs, in seconds, to put a task of the job there: the fetch of its image, and the
-/// equivalents in boot time of unused room and of zones and kinds that suit it less.
-double placement_cost(const ClusterState& cluster, const Job& job, const Candidate& candidate,
-                      const ZoneCount& zones);
+/// The cost, in seconds, of placing a task of the job on the candidate: the time to fetch its
+/// image, plus penalties, as fractions of the boot time, for unused capacity and for zones and
+/// machine kinds that the job should rather avoid.
+double placement_cost_s(const ClusterState& cluster, const Job& job, const Candidate& candidate,
+                        const ZoneCount& zones);
 
-/// The schedulable machine that costs least for one task of the job, the first of equals; null if
-/// it fits nowhere. `only_zone` restricts the search unless it is empty.
+/// The schedulable machine with the lowest cost for one task of the job, the first one on a tie;
+/// null if the task fits on none. A non-empty `only_zone` restricts the search to that zone.
 Candidate* find_best_fit(CandidateSet& candidates, const Job& job, const ZoneCount& zones,
                          const std::string& only_zone = {});
 
--- a/src/sched/candidates.cpp
+++ b/src/sched/candidates.cpp
@@ -9,7 +9,7 @@
 namespace cranklock::sched {
 namespace {
 
-/// What tasks that are being stopped still hold, by machine; few are at any time.
+/// Resources still held by tasks that are being stopped, by machine. Few tasks are, at any time.
 std::map<std::string, wire::Resources> releasing_by_machine(ClusterState& cluster) {
   std::map<std::string, wire::Resources> releasing;
   for (const auto& [id, job] : cluster.jobs()) {
@@ -50,16 +50,16 @@
   return found == schedulable_.end() ? nullptr : &*found;
 }
 
-// What is reserved there for others, save for those whose resources the job is entitled to:
-// enforces, for placement, that a reservation never stands against work entitled to preempt its
-// holder (invariant 19).
-wire::Resources CandidateSet::reserved_against(const Job& job, const Candidate& candidate) {
+// Resources reserved for others on the candidate, without those reserved for a job that this job
+// may preempt. Enforces, for placement, that a reservation never blocks work that is entitled to
+// preempt its holder (invariant 19).
+wire::Resources CandidateSet::reserved_for_others(const Job& job, const Candidate& candidate) {
   wire::Resources reserved;
   for (const Reservation* reservation : reservations_) {
     if (reservation->machine != candidate.machine->id) continue;
     const Job& holder = *cluster_.job(reservation->job);
     if (&holder == &job && !reservation->task) continue;
-    if (reservation->yields_to == job.spec.id) continue;
+    if (reservation->also_usable_by == job.spec.id) continue;
     if (&holder != &job && may_preempt(job, holder)) continue;
     reserved += reservation->resources;
   }
@@ -67,7 +67,7 @@
 }
 
 wire::Resources CandidateSet::unreserved_for(const Job& job, const Candidate& candidate) {
-  const wire::Resources available = candidate.free - reserved_against(job, candidate);
+  const wire::Resources available = candidate.free - reserved_for_others(job, candidate);
   if (job.spec.resources.fits_in(candidate.free + candidate.releasing) &&
       !job.spec.resources.fits_in(available + candidate.releasing)) {
     blocked_by_reservation_ = true;
--- a/src/sched/candidates.hpp
+++ b/src/sched/candidates.hpp
@@ -1,4 +1,4 @@
-// The machines that a placement pass may put tasks on, and what is available there to a job.
+// The machines on which a placement pass may place tasks, and the resources available to each job.
 #pragma once
 
 #include <cstddef>
@@ -9,59 +9,60 @@
 
 namespace cranklock::sched {
 
-/// A machine that a task could go to: one that takes work, or one that starts or would be rented.
+/// A machine on which a task could be placed: a schedulable one, one that is starting, or one that
+/// a scale-out would add.
 struct Candidate {
   MachineKind kind;
-  wire::Resources free;        ///< changes during the pass, as tasks are placed
-  Machine* machine = nullptr;  ///< null unless it takes work now
+  wire::Resources free;        ///< decreases during the pass as tasks are placed
+  Machine* machine = nullptr;  ///< null unless the machine is schedulable
   wire::Resources releasing;   ///< held by tasks that are being stopped
-  /// The job that alone may use the machine for the rest of the pass; see nomination.hpp.
+  /// The only job that may use the machine for the rest of the pass, if set; see nomination.hpp.
   const Job* nominated_for = nullptr;
   const wire::MachineType* type = nullptr;
-  bool has_reservations = false;  ///< a plan of moves holds resources there
+  bool has_reservations = false;  ///< a move plan has reserved resources on it
 };
 
-/// All candidates of one pass, and the reservations in force. Lists keep their order and their
-/// elements' addresses for as long as the pass lasts.
+/// All candidates of one pass, and the active reservations. The order of the lists and the
+/// addresses of their elements do not change during the pass.
 class CandidateSet {
  public:
   explicit CandidateSet(ClusterState& cluster);
 
   ClusterState& cluster() { return cluster_; }
   const ClusterState& cluster() const { return cluster_; }
-  /// Machines that take work, by id.
+  /// Schedulable machines, ordered by id.
   std::vector<Candidate>& schedulable() { return schedulable_; }
   const std::vector<Candidate>& schedulable() const { return schedulable_; }
-  /// Machines that boot, or have only to show our fencing token, by id.
+  /// Machines for which is_starting() holds, ordered by id.
   std::vector<Candidate>& starting() { return starting_; }
-  /// The machine, if it takes work; otherwise null.
+  /// The schedulable machine with this id, or null.
   Candidate* find(const std::string& machine);
 
-  /// What the job may use there: what is free, less what is reserved for others. Records in
-  /// blocked_by_reservation() when the job's task would fit but for those reservations.
+  /// The resources available to the job on the candidate: free resources less those reserved for
+  /// others. Sets blocked_by_reservation() if a task of the job fits only without the reservations.
   wire::Resources available_to(const Job& job, const Candidate& candidate) {
     return candidate.has_reservations ? unreserved_for(job, candidate) : candidate.free;
   }
 
-  /// Forgets, before a new search, whether an earlier one met a reservation.
+  /// Resets blocked_by_reservation() before a new search.
   void clear_blocked_by_reservation() { blocked_by_reservation_ = false; }
-  /// Whether, since then, a machine lacked resources only because they are reserved: others may
-  /// find room there all the same.
+  /// Whether, since the last reset, a machine had too few resources only because of reservations.
+  /// The same resources may still be available to other jobs.
   bool blocked_by_reservation() const { return blocked_by_reservation_; }
 
-  /// The reservations in force; ClusterState owns them.
+  /// The active reservations; owned by ClusterState.
   const std::vector<const Reservation*>& reservations() const { return reservations_; }
-  /// The reserved task has been placed.
+  /// Removes a reservation whose task has been placed.
   void fulfil(const Reservation* reservation) { std::erase(reservations_, reservation); }
 
-  /// Counts a search through all schedulable machines against the pass's budget.
+  /// Adds one search through all schedulable machines to examined().
   void record_search() { examined_ += schedulable_.size(); }
-  /// Machines examined so far, counted anew by each search.
+  /// Machines examined so far; a machine counts once per search.
   std::size_t examined() const { return examined_; }
 
  private:
   wire::Resources unreserved_for(const Job& job, const Candidate& candidate);
-  wire::Resources reserved_against(const Job& job, const Candidate& candidate);
+  wire::Resources reserved_for_others(const Job& job, const Candidate& candidate);
 
   ClusterState& cluster_;
   std::vector<Candidate> schedulable_, starting_;
@@ -70,8 +71,8 @@
   std::size_t examined_ = 0;
 };
 
-/// The zones to try for a gang, in the order of the machines: each alone if all its tasks have to
-/// be in one zone, otherwise only "", which stands for all together.
+/// The zones to try for a gang: if all its tasks must be in one zone, each zone in order of its
+/// first machine; otherwise only "", which stands for all zones combined.
 std::vector<std::string> gang_zones(const CandidateSet& candidates, const wire::JobSpec& spec);
 
 }  // namespace cranklock::sched
--- a/src/sched/cluster_state.cpp
+++ b/src/sched/cluster_state.cpp
@@ -80,7 +80,7 @@
 
 bool ClusterState::in_force(const Reservation& reservation) const {
   const Job* job = jobs_.find(reservation.job);
-  return job != nullptr && holds_room(reservation, *job);
+  return job != nullptr && holds_capacity(reservation, *job);
 }
 
 }  // namespace cranklock::sched
--- a/src/sched/dependencies.cpp
+++ b/src/sched/dependencies.cpp
@@ -43,7 +43,7 @@
   return std::nullopt;
 }
 
-std::int64_t Dependencies::met_ms(const std::string& job) const {
+std::int64_t Dependencies::met_at_ms(const std::string& job) const {
   std::int64_t latest = 0;
   for (const auto& dependency : dependencies_of(job)) {
     latest = std::max(latest, by_dependency_.at(dependency).outcome.at_ms);
@@ -63,12 +63,12 @@
   return found == dependencies_.end() ? none : found->second;
 }
 
-std::vector<std::string> Dependencies::unknown() const {
-  std::vector<std::string> unknown_jobs;
+std::vector<std::string> Dependencies::unresolved() const {
+  std::vector<std::string> unresolved_jobs;
   for (const auto& [id, dependency] : by_dependency_) {
-    if (dependency.outcome.resolution == Resolution::unknown) unknown_jobs.push_back(id);
+    if (dependency.outcome.resolution == Resolution::unknown) unresolved_jobs.push_back(id);
   }
-  return unknown_jobs;
+  return unresolved_jobs;
 }
 
 }  // namespace cranklock::sched
--- a/src/sched/entitlement.hpp
+++ b/src/sched/entitlement.hpp
@@ -1,5 +1,5 @@
-// Which work may preempt which. Pure functions of the guarantee and priority that the jobs have as
-// of the present placement pass.
+// Preemption rules. Pure functions of the jobs' guarantees and priorities in the current placement
+// pass.
 #pragma once
 
 #include <array>
@@ -9,22 +9,22 @@
 
 namespace cranklock::sched {
 
-/// Whether the preemptor is entitled to the resources of the victim: by a higher priority, or
-/// because it is within its team's guarantee and the victim is another team's work beyond its own.
-/// What is guaranteed is preempted only for what is guaranteed.
+/// Whether the preemptor is entitled to the victim's resources: it has a higher priority, or it is
+/// within its team's guarantee while the victim belongs to another team and exceeds that team's
+/// guarantee. A guaranteed job is preempted only for another guaranteed job.
 bool may_preempt(const Job& preemptor, const Job& victim);
 
-/// The priorities of which something is placed, so that a job that could preempt nothing at all
-/// costs no search.
+/// The priorities of all placed jobs. Avoids a search for victims when the job cannot preempt any
+/// placed job.
 class PlacedPriorities {
  public:
-  /// Takes in a job that has live placements.
+  /// Adds a job that has live placements.
   void add(const Job& job);
-  /// Whether there may be a victim for the job. Never false when there is one.
+  /// Whether a placed job may be a victim for the preemptor. Never false if there is one.
   bool any_preemptible_by(const Job& preemptor) const;
 
  private:
-  /// By priority: whether work beyond its team's guarantee (0), or within it (1), is placed.
+  /// By priority: whether a job beyond its team's guarantee (0), or within it (1), is placed.
   std::map<wire::Priority, std::array<bool, 2>> placed_;
 };
 
--- a/src/sched/failed_searches.cpp
+++ b/src/sched/failed_searches.cpp
@@ -5,8 +5,8 @@
 namespace cranklock::sched {
 namespace {
 
-/// Whether every machine that would do for `spec` would have done for `failed` too.
-bool asks_no_less(const wire::JobSpec& spec, const wire::JobSpec& failed) {
+/// Whether every machine suitable for `spec` would also have been suitable for `failed`.
+bool requires_at_least(const wire::JobSpec& spec, const wire::JobSpec& failed) {
   return failed.resources.fits_in(spec.resources) && (failed.spot || !spec.spot) &&
          (failed.types.empty() || failed.types == spec.types) &&
          (failed.zone.empty() || failed.zone == spec.zone);
@@ -14,14 +14,14 @@
 
 }  // namespace
 
-bool FailedSearches::rule_out(const ClusterState& cluster, const Job& job) const {
+bool FailedSearches::rules_out(const ClusterState& cluster, const Job& job) const {
   if (cluster.reservations().any_for_waiting(job.spec.id)) return false;
   return std::any_of(failed_.begin(), failed_.end(),
-                     [&](const Job* failed) { return asks_no_less(job.spec, failed->spec); });
+                     [&](const Job* failed) { return requires_at_least(job.spec, failed->spec); });
 }
 
 void FailedSearches::record(const CandidateSet& candidates, const Job& job) {
-  constexpr std::size_t kMaxEntries = 16;  // sizes differ little
+  constexpr std::size_t kMaxEntries = 16;  // jobs have few distinct sizes
   if (candidates.blocked_by_reservation()) return;
   if (job.spec.one_zone || job.spec.spread || job.retry.failed_machines.size() == 1) return;
   if (failed_.size() < kMaxEntries) failed_.push_back(&job);
--- a/src/sched/failed_searches.hpp
+++ b/src/sched/failed_searches.hpp
@@ -1,4 +1,4 @@
-// Searches of one pass that found no machine, so that they are not repeated for equal tasks.
+// The failed searches of one pass, kept so that they are not repeated for equal tasks.
 #pragma once
 
 #include <vector>
@@ -7,15 +7,16 @@
 
 namespace cranklock::sched {
 
-/// Remembers the jobs that found no machine. Resources only shrink while jobs are placed, so what
-/// found none leaves none for more of the same: a burst of equal jobs costs one search of the
-/// fleet, not one each.
+/// Records the jobs for which no machine was found. Free resources only decrease while jobs are
+/// placed, so a later search with the same requirements fails too. A burst of equal jobs thus costs
+/// one search of the fleet instead of one per job.
 class FailedSearches {
  public:
-  /// Whether a search for the job would fail as an earlier one did, which asked for no more.
-  bool rule_out(const ClusterState& cluster, const Job& job) const;
-  /// Records that a search for the job has failed, unless the reason may not hold for others: its
-  /// zone rules, a machine that failed it, or a reservation.
+  /// Whether a search for the job must fail because an earlier one with equal or lower requirements
+  /// failed.
+  bool rules_out(const ClusterState& cluster, const Job& job) const;
+  /// Records a failed search for the job, unless the cause may not apply to other jobs: its zone
+  /// rules, a machine avoided after a failure, or a reservation.
   void record(const CandidateSet& candidates, const Job& job);
 
  private:
--- a/src/sched/gang_placement.cpp
+++ b/src/sched/gang_placement.cpp
@@ -5,42 +5,42 @@
 namespace cranklock::sched {
 namespace {
 
-/// Resources taken for a trial. They are given back exactly, without the rounding of adding what
-/// was subtracted.
+/// Temporary allocations. The destructor restores the saved amounts; adding back what was
+/// subtracted would leave rounding errors.
 class TrialAllocation {
  public:
   TrialAllocation() = default;
   TrialAllocation(const TrialAllocation&) = delete;
   TrialAllocation& operator=(const TrialAllocation&) = delete;
   ~TrialAllocation() {
-    for (auto taken = taken_.rbegin(); taken != taken_.rend(); ++taken) {
-      taken->candidate->free = taken->free_before;
+    for (auto change = changes_.rbegin(); change != changes_.rend(); ++change) {
+      change->candidate->free = change->free_before;
     }
   }
 
-  void take(Candidate& candidate, const wire::Resources& resources) {
-    taken_.push_back({&candidate, candidate.free});
+  void allocate(Candidate& candidate, const wire::Resources& resources) {
+    changes_.push_back({&candidate, candidate.free});
     candidate.free -= resources;
   }
 
  private:
-  struct Taken {
+  struct Change {
     Candidate* candidate;
     wire::Resources free_before;
   };
-  std::vector<Taken> taken_;
+  std::vector<Change> changes_;
 };
 
-/// The same in one zone, or in all if `only_zone` is empty.
-std::vector<Candidate*> fit_gang_in(CandidateSet& candidates, const Job& job,
-                                    const std::string& only_zone) {
+/// As fit_gang(), within one zone, or in all zones if `only_zone` is empty.
+std::vector<Candidate*> fit_gang_in_zone(CandidateSet& candidates, const Job& job,
+                                         const std::string& only_zone) {
   TrialAllocation trial;
   ZoneCount zones;
   std::vector<Candidate*> chosen;
   for (std::uint32_t task = 0; task < job.spec.tasks; ++task) {
     Candidate* candidate = find_best_fit(candidates, job, zones, only_zone);
     if (candidate == nullptr) return {};
-    trial.take(*candidate, job.spec.resources);
+    trial.allocate(*candidate, job.spec.resources);
     zones.add(candidate->kind.zone);
     chosen.push_back(candidate);
   }
@@ -51,7 +51,7 @@
 
 std::vector<Candidate*> fit_gang(CandidateSet& candidates, const Job& job) {
   for (const auto& zone : gang_zones(candidates, job.spec)) {
-    auto chosen = fit_gang_in(candidates, job, zone);
+    auto chosen = fit_gang_in_zone(candidates, job, zone);
     if (!chosen.empty()) return chosen;
   }
   return {};
--- a/src/sched/gang_placement.hpp
+++ b/src/sched/gang_placement.hpp
@@ -1,4 +1,4 @@
-// Machines for all tasks of a gang at once.
+// Selects machines for all tasks of a gang at once.
 #pragma once
 
 #include <vector>
@@ -7,8 +7,8 @@
 
 namespace cranklock::sched {
 
-/// The machines on which all tasks of the gang fit together, one entry for each task in order;
-/// empty if there is no room for all of them. Takes nothing: the candidates stay as they were.
+/// Machines on which all tasks of the gang fit at the same time, one entry per task in order; empty
+/// if they do not all fit. The free resources of the candidates are left unchanged.
 std::vector<Candidate*> fit_gang(CandidateSet& candidates, const Job& job);
 
 }  // namespace cranklock::sched
--- a/src/sched/job_table.cpp
+++ b/src/sched/job_table.cpp
@@ -70,7 +70,7 @@
 void JobTable::update_dependencies(Job& job) {
   const std::string& id = job.spec.id;
   job.dependencies_met = dependencies_.met(id);
-  job.ready_ms = std::max(job.created_ms, dependencies_.met_ms(id));
+  job.ready_ms = std::max(job.created_ms, dependencies_.met_at_ms(id));
   if (job.cancelled()) return;
   if (const auto cancellation = dependencies_.cancellation(id)) {
     cancel(job, cancellation->at_ms, cancellation->since);
@@ -122,7 +122,7 @@
 }
 
 std::vector<std::string> JobTable::unknown_outcomes() const {
-  auto unknown = dependencies_.unknown();
+  auto unknown = dependencies_.unresolved();
   std::erase_if(unknown, [this](const std::string& id) { return jobs_.contains(id); });
   return unknown;
 }
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -16,15 +16,14 @@
 namespace cranklock::sched {
 namespace {
 
-// Guards against a pass that holds up heartbeats, users and the renewal of the leader lease: a
-// burst, or the loss of many machines, is dealt with in several passes, the most entitled work
-// first.
+// A long pass would delay heartbeats, user requests and the renewal of the leader lease. A burst,
+// or the loss of many machines, is therefore spread over several passes, most entitled jobs first.
 constexpr int kMaxPlacedPerPass = 400;  // tasks
-/// Searches for preemption, each through all schedulable machines.
+/// Preemption searches per pass; each examines all schedulable machines.
 constexpr std::size_t kMaxPreemptionSearches = 100;
 
-/// One placement pass: serves the waiting jobs in order and hands what finds no machine on to
-/// preemption and to the shortfall.
+/// One placement pass: places the waiting jobs in order, then passes those left unplaced to
+/// preemption and to the shortfall estimate.
 class PlacementPass {
  public:
   PlacementPass(ClusterState& cluster, const std::map<MachineKind, double>& refused_until,
@@ -34,7 +33,7 @@
   PassResult run() {
     place_rescheduled();
     const WaitingQueue queue = queue_waiting_jobs(cluster_, now_);
-    result_.incomplete = !place_all(queue.jobs);
+    result_.incomplete = !place_jobs(queue.jobs);
     if (!result_.incomplete) {
       preempt_for_unplaced(queue.placed);
       estimate_shortfall();
@@ -46,11 +45,11 @@
  private:
   void place_rescheduled();
   bool may_reschedule(const Job& job, std::uint32_t task, const Candidate& target);
-  bool place_all(const std::vector<Job*>& jobs);
-  void place(Job& job);
+  bool place_jobs(const std::vector<Job*>& jobs);
+  void place_job(Job& job);
   void place_gang(Job& job, const std::vector<std::uint32_t>& tasks);
   void place_tasks(Job& job, const std::vector<std::uint32_t>& tasks);
-  void start_on(Candidate& candidate, Job& job, std::uint32_t task, std::uint64_t attempt);
+  void place_task(Candidate& candidate, Job& job, std::uint32_t task, std::uint64_t attempt);
   void preempt_for_unplaced(const PlacedPriorities& placed);
   void estimate_shortfall();
 
@@ -59,27 +58,28 @@
   double now_;
   CandidateSet candidates_;
   FailedSearches failed_searches_;
-  std::vector<Job*> unplaced_;  ///< in the order of the queue
+  std::vector<Job*> unplaced_;  ///< in queue order
   PassResult result_;
 };
 
-// Tasks that a plan has stopped go to their targets before anything else is placed. Guards against
-// their team's limit, which was theirs until just now, going to another job of the team, and
-// against other tasks of the same job that wait.
+// Tasks that a move plan has stopped are placed on their targets before anything else. Otherwise
+// the team quota that they have just released could go to another job of the team, or their targets
+// to other pending tasks of the same job.
 void PlacementPass::place_rescheduled() {
-  const auto reservations = candidates_.reservations();  // a copy: fulfilling one removes it
+  const auto reservations = candidates_.reservations();  // a copy, since fulfil() removes elements
   for (const Reservation* reservation : reservations) {
     if (!reservation->task) continue;
     Candidate* target = candidates_.find(reservation->machine);
     if (target == nullptr) continue;
     Job& job = *cluster_.job(reservation->job);
     if (!may_reschedule(job, *reservation->task, *target)) continue;
-    start_on(*target, job, *reservation->task, job.last_attempt + 1);
+    place_task(*target, job, *reservation->task, job.last_attempt + 1);
     candidates_.fulfil(reservation);
   }
 }
 
-/// A plan grants nothing (invariant 17): a move's start is an ordinary start, and checked as one.
+/// A move plan grants no privileges (invariant 17): the start of a moved task passes the same
+/// checks as any other start.
 bool PlacementPass::may_reschedule(const Job& job, std::uint32_t task, const Candidate& target) {
   if (job.cancelled() || !job.dependencies_met || job.retry.backoff_until > now_ ||
       !job.is_pending(task)) {
@@ -92,17 +92,17 @@
          job.spec.resources.fits_in(target.free);
 }
 
-/// False if it stopped early, having placed as many tasks as a pass may.
-bool PlacementPass::place_all(const std::vector<Job*>& jobs) {
+/// Returns false if it stopped early because the pass reached kMaxPlacedPerPass.
+bool PlacementPass::place_jobs(const std::vector<Job*>& jobs) {
   for (Job* job : jobs) {
-    place(*job);
+    place_job(*job);
     if (result_.placed >= kMaxPlacedPerPass) return false;
   }
   return true;
 }
 
-void PlacementPass::place(Job& job) {
-  // More live tasks would not fit the job's record; the rest waits its turn.
+void PlacementPass::place_job(Job& job) {
+  // More live tasks would not fit into the job's record; the others stay pending.
   const std::size_t max_live = max_live_tasks(cluster_.settings());
   const std::size_t live = job.live();
   const auto tasks = job.pending(live < max_live ? max_live - live : 0);
@@ -116,33 +116,35 @@
 
 /// Places all tasks of the gang under one attempt number, or none.
 void PlacementPass::place_gang(Job& job, const std::vector<std::uint32_t>& tasks) {
-  // The old attempt must be gone entirely before the next begins.
+  // All tasks of the previous attempt must have ended before the next attempt begins.
   if (job.live() > 0 || tasks.size() != job.spec.tasks) return;
   if (!within_quota_limit(cluster_, job.spec.team, job.spec.resources * job.spec.tasks)) return;
   candidates_.clear_blocked_by_reservation();
   std::vector<Candidate*> chosen;
-  if (!failed_searches_.rule_out(cluster_, job)) chosen = fit_gang(candidates_, job);
+  if (!failed_searches_.rules_out(cluster_, job)) chosen = fit_gang(candidates_, job);
   if (chosen.empty()) {
     unplaced_.push_back(&job);
     nominate_gang_machines(candidates_, job, now_);
     return;
   }
   const std::uint64_t attempt = job.last_attempt + 1;
-  for (std::size_t i = 0; i < tasks.size(); ++i) start_on(*chosen[i], job, tasks[i], attempt);
+  for (std::size_t i = 0; i < tasks.size(); ++i) place_task(*chosen[i], job, tasks[i], attempt);
 }
 
-/// Places as many of the tasks as the team's limit and the machines allow.
+/// Places as many of the tasks as the team's quota and the free resources allow.
 void PlacementPass::place_tasks(Job& job, const std::vector<std::uint32_t>& tasks) {
   ZoneCount zones = count_zones(cluster_, job);
   Candidate* candidate = nullptr;
   for (const auto task : tasks) {
     if (!within_quota_limit(cluster_, job.spec.team, job.spec.resources)) return;
-    // Where one task fits best the next does too, as long as it fits: less is left over there.
+    // The best fit for one task is also the best fit for the next one for as long as it fits, since
+    // placing a task reduces the unused capacity there.
     if (candidate == nullptr || job.spec.spread ||
         !job.spec.resources.fits_in(candidates_.available_to(job, *candidate))) {
       candidates_.clear_blocked_by_reservation();
-      candidate = failed_searches_.rule_out(cluster_, job) ? nullptr
-                                                           : find_best_fit(candidates_, job, zones);
+      candidate = failed_searches_.rules_out(cluster_, job)
+                      ? nullptr
+                      : find_best_fit(candidates_, job, zones);
     }
     if (candidate == nullptr) {
       failed_searches_.record(candidates_, job);
@@ -151,12 +153,12 @@
       return;
     }
     zones.add(candidate->kind.zone);
-    start_on(*candidate, job, task, job.last_attempt + 1);
+    place_task(*candidate, job, task, job.last_attempt + 1);
   }
 }
 
-void PlacementPass::start_on(Candidate& candidate, Job& job, std::uint32_t task,
-                             std::uint64_t attempt) {
+void PlacementPass::place_task(Candidate& candidate, Job& job, std::uint32_t task,
+                               std::uint64_t attempt) {
   cluster_.add_placement(job, task, attempt, candidate.machine->id, now_);
   candidate.free -= job.spec.resources;
   ++result_.placed;
@@ -172,7 +174,7 @@
 void PlacementPass::estimate_shortfall() {
   ShortfallEstimator estimator(candidates_, refused_until_, now_);
   for (const Job* job : unplaced_) {
-    // What a plan of moves makes room for needs no machine beside it.
+    // A move plan already frees resources for these jobs; they need no additional machines.
     if (!cluster_.reservations().any_for_waiting(job->spec.id)) estimator.add_pending(*job);
   }
   estimator.add_unreachable();
@@ -181,8 +183,8 @@
 
 }  // namespace
 
-PassResult place_waiting(ClusterState& cluster, const std::map<MachineKind, double>& refused_until,
-                         double now) {
+PassResult place_waiting_jobs(ClusterState& cluster,
+                              const std::map<MachineKind, double>& refused_until, double now) {
   return PlacementPass(cluster, refused_until, now).run();
 }
 
--- a/src/sched/placement.hpp
+++ b/src/sched/placement.hpp
@@ -1,4 +1,4 @@
-// The placement pass: which task goes where, what is preempted, and which machines are missing.
+// The placement pass: places tasks, requests preemptions and computes the shortfall of machines.
 #pragma once
 
 #include <cstddef>
@@ -9,21 +9,23 @@
 
 namespace cranklock::sched {
 
-/// What one placement pass has done. The placements and requested stops are in the cluster state.
+/// The result of one placement pass. Placements and requested stops are in the cluster state.
 struct PassResult {
   int placed = 0;     ///< tasks
   int preempted = 0;  ///< tasks whose stop was requested
-  /// It ended before all jobs were served: the shortfall is not known, and another pass is due.
+  /// The pass ended before all jobs were handled: the shortfall is not known, and another pass is
+  /// needed.
   bool incomplete = false;
-  std::size_t candidates_examined = 0;  ///< machines, counted anew in each search
+  std::size_t candidates_examined = 0;  ///< machines; each search counts a machine again
   Shortfall shortfall;
 };
 
-/// Orders the waiting jobs by guarantee, priority and age and places what fits; then preempts for
-/// work that is entitled to it; then adds up what is missing. `refused_until` holds the kinds that
-/// the cloud lately had none of. LeaderTerm calls it, and writes the placements before it sends
-/// starts (invariant 2).
-PassResult place_waiting(ClusterState& cluster, const std::map<MachineKind, double>& refused_until,
-                         double now);
+/// Orders the waiting jobs by guarantee, priority and age and places the tasks that fit; then
+/// preempts for jobs entitled to it; then computes the shortfall. `refused_until` holds, for
+/// machine kinds that the cloud recently had no capacity for, the time until which none are
+/// requested. LeaderTerm calls this, and writes the placements before it sends starts (invariant
+/// 2).
+PassResult place_waiting_jobs(ClusterState& cluster,
+                              const std::map<MachineKind, double>& refused_until, double now);
 
 }  // namespace cranklock::sched
--- a/src/sched/pool_reading.cpp
+++ b/src/sched/pool_reading.cpp
@@ -8,7 +8,8 @@
 namespace cranklock::sched {
 namespace {
 
-/// The larger share that an amount takes of CPUs and GPUs. Memory does not count for scaling.
+/// The larger of the CPU and GPU fractions that `part` takes of `whole`. Memory does not count for
+/// scaling.
 double dominant_compute_share(const wire::Resources& part, const wire::Resources& whole) {
   double share = 0;
   if (whole.cpus > 0) share = std::max(share, part.cpus / whole.cpus);
@@ -20,21 +21,21 @@
 struct PoolUsage {
   double allocated = 0;  ///< in machines
   int schedulable = 0, starting = 0;
-  wire::Resources requested;  ///< by waiting work, and by what should be on spot machines
+  wire::Resources requested;  ///< by waiting tasks, and by tasks that should be on spot machines
 };
 
-/// Whether an ordinary machine holds nothing but work that spot ones could do, or nothing at all.
-bool could_be_spot(const Machine& machine) {
+/// Whether the machine is an ordinary one and all its tasks, if any, may run on spot machines.
+bool is_replaceable_by_spot(const Machine& machine) {
   if (machine.kind.spot) return false;
   const MachineKind as_spot{machine.kind.type, machine.kind.zone, true};
   return std::all_of(machine.tasks.begin(), machine.tasks.end(),
-                     [&](const PlacementRef& held) { return allows(held.job->spec, as_spot); });
+                     [&](const PlacementRef& ref) { return allows(ref.job->spec, as_spot); });
 }
 
 std::map<PoolId, PoolUsage> measure_usage(ClusterState& cluster, const Shortfall& shortfall) {
   std::map<PoolId, PoolUsage> usage;
   for (const auto& [name, type] : cluster.types()) {
-    usage[{name, false}];  // a pool without machines is read too
+    usage[{name, false}];  // pools without machines are measured too
     usage[{name, true}];
   }
   for (const auto& [id, machine] : cluster.machines()) {
@@ -47,23 +48,24 @@
     } else if (is_starting(cluster, machine)) {
       ++pool.starting;
     }
-    if (could_be_spot(machine)) usage[{machine.kind.type, true}].requested += machine.allocated;
+    if (is_replaceable_by_spot(machine))
+      usage[{machine.kind.type, true}].requested += machine.allocated;
   }
-  for (const auto& [pool, resources] : shortfall.waiting) usage[pool].requested += resources;
+  for (const auto& [pool, resources] : shortfall.requested) usage[pool].requested += resources;
   return usage;
 }
 
 PoolReading make_reading(const PoolUsage& usage, const wire::MachineType& type, int wanted,
                          double high) {
-  constexpr double kSlack = 1e-9;  // machines, for the rounding of sums
+  constexpr double kTolerance = 1e-9;  // in machines; rounding of sums
   const double requested = dominant_compute_share(usage.requested, type.resources);
   PoolReading reading;
   reading.wanted = wanted;
   reading.machines = usage.schedulable + usage.starting;
   if (usage.schedulable > 0) reading.score = usage.allocated / usage.schedulable;
   if (reading.machines > 0) reading.score += requested / reading.machines;
-  const double needed = std::ceil((usage.allocated + requested) / high - kSlack);
-  reading.missing = static_cast<int>(needed) - reading.machines;
+  const double needed = std::ceil((usage.allocated + requested) / high - kTolerance);
+  reading.deficit = static_cast<int>(needed) - reading.machines;
   if (usage.schedulable == 0 && requested > 0) reading.score = std::max(reading.score, high + 1);
   return reading;
 }
--- a/src/sched/pool_reading.hpp
+++ b/src/sched/pool_reading.hpp
@@ -1,4 +1,4 @@
-// How full the pools are and what they lack, measured from the cluster state for the scaler.
+// Measures the load of each pool, and the machines it lacks, from the cluster state for the scaler.
 #pragma once
 
 #include <map>
@@ -10,17 +10,18 @@
 
 /// One measurement of a pool.
 struct PoolReading {
-  /// Allocated over total resources, as the mean of the schedulable machines, plus requested ones
-  /// over those of schedulable and starting machines. Above 1 where work waits for more than that.
+  /// The mean allocated share of the schedulable machines, plus the requested resources as a share
+  /// of the schedulable and starting machines. May exceed 1 while tasks are waiting.
   double score = 0;
   int machines = 0;  ///< schedulable and starting
-  int wanted = 0;    ///< new machines that waiting work would fill
-  int missing = 0;   ///< machines until all of them bring the score down to High; may be below 0
+  int wanted = 0;    ///< new machines needed by waiting tasks
+  int deficit = 0;   ///< machines to add until the score falls to High; may be negative
 };
 
-/// Measures all pools of the known machine types. A pool with nothing schedulable and work waiting
-/// is above High. What is on an ordinary machine that holds nothing but work for spot machines is
-/// requested of the spot pool too, so that the ordinary machine empties.
+/// Measures all pools of the known machine types. A pool without schedulable machines but with
+/// waiting tasks is above High. If all tasks on an ordinary machine may run on spot machines, their
+/// resources also count as requested from the spot pool, so that the ordinary machine can be
+/// drained.
 std::map<PoolId, PoolReading> read_pools(ClusterState& cluster, const Shortfall& shortfall,
                                          double high);
 
--- a/src/sched/preemption.cpp
+++ b/src/sched/preemption.cpp
@@ -13,9 +13,9 @@
   ZoneCount zones = count_zones(candidates_.cluster(), job);
   FailedSearches& failed = failed_searches_[{job.spec.team, job.urgency.priority, job.guaranteed}];
   candidates_.clear_blocked_by_reservation();
-  if (failed.rule_out(candidates_.cluster(), job)) return;
+  if (failed.rules_out(candidates_.cluster(), job)) return;
   wire::Resources planned;
-  for (auto missing = job.pending_count(); missing > 0; --missing) {
+  for (auto remaining = job.pending_count(); remaining > 0; --remaining) {
     if (candidates_.examined() >= max_examined_) return;
     planned += job.spec.resources;
     if (!within_quota_limit(candidates_.cluster(), job.spec.team, planned)) return;
@@ -26,28 +26,29 @@
   }
 }
 
-// All of the gang or nothing: in the zone where least is lost by preempting for every task.
+// Preempts for all tasks of the gang or for none, in the zone with the lowest total cost.
 void Preemptor::preempt_for_gang(const Job& job) {
-  std::vector<Choice> best;
-  double best_loss = std::numeric_limits<double>::infinity();
+  std::vector<PreemptionChoice> best;
+  double best_cost_s = std::numeric_limits<double>::infinity();
   for (const auto& zone : gang_zones(candidates_, job.spec)) {
     if (candidates_.examined() >= max_examined_) break;
     auto choices = choose_for_gang(job, zone);
     if (choices.size() < job.spec.tasks) continue;
-    double loss = 0;
-    for (const auto& choice : choices) loss += choice.loss;
-    if (loss >= best_loss) continue;
+    double cost_s = 0;
+    for (const auto& choice : choices) cost_s += choice.cost_s;
+    if (cost_s >= best_cost_s) continue;
     best = std::move(choices);
-    best_loss = loss;
+    best_cost_s = cost_s;
   }
   for (const auto& choice : best) preempt_victims(job, choice);
 }
 
-/// A choice for each task of the gang, or for as many as there is one for. Takes nothing.
-std::vector<Preemptor::Choice> Preemptor::choose_for_gang(const Job& job,
-                                                          const std::string& only_zone) {
-  std::vector<Choice> choices;
-  std::set<Candidate*> preempted_on;  // each machine's victims are chosen for one task only
+/// One choice for each task of the gang, fewer if there is none for some task. Leaves the free
+/// resources of the candidates unchanged.
+std::vector<Preemptor::PreemptionChoice> Preemptor::choose_for_gang(const Job& job,
+                                                                    const std::string& only_zone) {
+  std::vector<PreemptionChoice> choices;
+  std::set<Candidate*> preempted_on;  // a machine's victims are chosen for one task only
   ZoneCount zones;
   while (choices.size() < job.spec.tasks) {
     auto choice = choose_preemption(job, zones, only_zone, preempted_on);
@@ -61,12 +62,12 @@
   return choices;
 }
 
-/// The machine on which room for one task of the job loses least. The first on which what is being
-/// released suffices is taken at once.
-std::optional<Preemptor::Choice> Preemptor::choose_preemption(
+/// The machine on which freeing resources for one task of the job costs least. Returns at once if a
+/// machine needs no victims because the resources being released suffice.
+std::optional<Preemptor::PreemptionChoice> Preemptor::choose_preemption(
     const Job& job, const ZoneCount& zones, const std::string& only_zone,
     const std::set<Candidate*>& excluded) {
-  std::optional<Choice> best;
+  std::optional<PreemptionChoice> best;
   const bool may_have_victims = placed_.any_preemptible_by(job);
   candidates_.record_search();
   for (auto& candidate : candidates_.schedulable()) {
@@ -79,38 +80,39 @@
     if (!zone_rules_allow(job.spec, zones, candidate.kind.zone)) continue;
     if (!only_zone.empty() && candidate.kind.zone != only_zone) continue;
     if (excluded.contains(&candidate)) continue;
-    if (fits) return Choice{&candidate, {}, 0};
+    if (fits) return PreemptionChoice{&candidate, {}, 0};
     auto choice = choose_victims(job, candidate, available);
-    if (choice && (!best || choice->loss < best->loss)) best = std::move(choice);
+    if (choice && (!best || choice->cost_s < best->cost_s)) best = std::move(choice);
   }
   return best;
 }
 
-/// The victims on one machine that free enough for a task, beyond what is available; none if all of
-/// them would not do.
-std::optional<Preemptor::Choice> Preemptor::choose_victims(const Job& job, Candidate& candidate,
-                                                           wire::Resources available) const {
-  Choice choice{&candidate, {}, 0};
+/// The victims on one machine that, in addition to the available resources, free enough for a task;
+/// none if all possible victims together do not suffice.
+std::optional<Preemptor::PreemptionChoice> Preemptor::choose_victims(
+    const Job& job, Candidate& candidate, wire::Resources available) const {
+  PreemptionChoice choice{&candidate, {}, 0};
   for (const auto& victim : victims_on(job, candidate)) {
     if (job.spec.resources.fits_in(available)) break;
     available += victim.job->spec.resources;
-    choice.loss += 1 + victim.lost_work_s;
+    choice.cost_s += 1 + victim.lost_work_s;
     choice.victims.push_back(victim);
   }
   if (!job.spec.resources.fits_in(available)) return std::nullopt;
   return choice;
 }
 
-/// What may be stopped on a machine for a job: the lowest priority and least lost work first. A
-/// gang of several tasks is not preempted, and a start that is not durable is not stopped.
+/// The tasks on a machine that may be preempted for a job, ordered by lowest priority, then least
+/// lost work. Gangs of several tasks are not preempted, nor are placements that are not yet
+/// durable.
 std::vector<Preemptor::Victim> Preemptor::victims_on(const Job& job,
                                                      const Candidate& candidate) const {
   std::vector<Victim> victims;
-  for (const auto& held : candidate.machine->tasks) {
-    Job* victim = held.job;
+  for (const auto& task : candidate.machine->tasks) {
+    Job* victim = task.job;
     if (victim->cancelled() || !may_preempt(job, *victim)) continue;
     if (victim->spec.kind == wire::JobKind::gang && victim->spec.tasks > 1) continue;
-    Placement& placement = held.placement();
+    Placement& placement = task.placement();
     if (placement.stop || !placement.durable()) continue;
     victims.push_back({lost_work_s(*victim, placement), victim, &placement});
   }
@@ -121,8 +123,8 @@
   return victims;
 }
 
-/// Seconds of work that a stop costs: a replica's absence, which is noticed at once, and otherwise
-/// what was not saved.
+/// The work lost by a stop, in seconds: the work that is not saved, or cancel_s for a service
+/// replica, whose absence takes effect at once.
 double Preemptor::lost_work_s(const Job& victim, const Placement& placement) const {
   if (victim.spec.kind == wire::JobKind::service) return candidates_.cluster().settings().cancel_s;
   const double ran = placement.running_since > 0 ? now_ - placement.running_since : 0;
@@ -130,9 +132,9 @@
   return checkpoints ? std::min(ran, victim.spec.checkpoint_save_s) : ran;
 }
 
-/// Requests the stops of a choice, with time to save for what checkpoints, and counts the room as
-/// the job's.
-void Preemptor::preempt_victims(const Job& job, const Choice& choice) {
+/// Requests the stops of a choice, with a grace period for tasks that checkpoint, and allocates the
+/// resources to the job for the rest of the pass.
+void Preemptor::preempt_victims(const Job& job, const PreemptionChoice& choice) {
   choice.candidate->free -= job.spec.resources;
   for (const auto& victim : choice.victims) {
     const wire::JobSpec& spec = victim.job->spec;
--- a/src/sched/preemption.hpp
+++ b/src/sched/preemption.hpp
@@ -1,4 +1,4 @@
-// Preemption: which tasks to stop for waiting work that is entitled to their resources.
+// Preemption: selects tasks to stop in favor of waiting jobs that are entitled to their resources.
 #pragma once
 
 #include <map>
@@ -14,36 +14,36 @@
 
 namespace cranklock::sched {
 
-/// Preempts for the jobs of one pass that found no machine. Stops are only requested: the tasks
-/// keep their resources until they are proven gone (invariant 4), and a later pass places the job.
+/// Preempts tasks for the jobs that one pass could not place. Stops are only requested: the tasks
+/// hold their resources until they are proven gone (invariant 4), and a later pass places the job.
 class Preemptor {
  public:
-  /// `max_examined` bounds CandidateSet::examined(): no search begins beyond it.
+  /// No search begins once CandidateSet::examined() has reached `max_examined`.
   Preemptor(CandidateSet& candidates, const PlacedPriorities& placed, std::size_t max_examined,
             double now)
       : candidates_(candidates), placed_(placed), max_examined_(max_examined), now_(now) {}
 
-  /// Requests the stops that will free resources for the job's pending tasks: for as many of them
-  /// as possible, or, for a gang, for all or none.
+  /// Requests stops that free resources for as many of the job's pending tasks as possible or, for
+  /// a gang, for all of them or none.
   void preempt_for(const Job& job);
-  /// Tasks whose stop was requested.
+  /// The number of tasks whose stop was requested.
   int preempted() const { return preempted_; }
 
  private:
-  /// A task that may be stopped.
+  /// A task that may be preempted.
   struct Victim {
     double lost_work_s;
     Job* job;
     Placement* placement;
   };
-  /// A machine for a task, and what has to be stopped there for it: nothing where what is being
-  /// released will do.
-  struct Choice {
+  /// A machine for a task, and the tasks to stop there. There are no victims if the resources being
+  /// released suffice.
+  struct PreemptionChoice {
     Candidate* candidate = nullptr;
     std::vector<Victim> victims;
-    double loss = 0;  ///< seconds of work, and one more for each victim
+    double cost_s = 0;  ///< lost work, plus 1 s per victim
   };
-  /// Jobs for which the same work is preemptible.
+  /// Jobs of one class may preempt the same tasks.
   struct PreemptorClass {
     std::string team;
     wire::Priority priority;
@@ -52,15 +52,15 @@
   };
 
   void preempt_for_gang(const Job& job);
-  std::vector<Choice> choose_for_gang(const Job& job, const std::string& only_zone);
-  std::optional<Choice> choose_preemption(const Job& job, const ZoneCount& zones,
-                                          const std::string& only_zone,
-                                          const std::set<Candidate*>& excluded);
-  std::optional<Choice> choose_victims(const Job& job, Candidate& candidate,
-                                       wire::Resources available) const;
+  std::vector<PreemptionChoice> choose_for_gang(const Job& job, const std::string& only_zone);
+  std::optional<PreemptionChoice> choose_preemption(const Job& job, const ZoneCount& zones,
+                                                    const std::string& only_zone,
+                                                    const std::set<Candidate*>& excluded);
+  std::optional<PreemptionChoice> choose_victims(const Job& job, Candidate& candidate,
+                                                 wire::Resources available) const;
   std::vector<Victim> victims_on(const Job& job, const Candidate& candidate) const;
   double lost_work_s(const Job& victim, const Placement& placement) const;
-  void preempt_victims(const Job& job, const Choice& choice);
+  void preempt_victims(const Job& job, const PreemptionChoice& choice);
 
   CandidateSet& candidates_;
   const PlacedPriorities& placed_;
--- a/src/sched/priority_inheritance.cpp
+++ b/src/sched/priority_inheritance.cpp
@@ -22,8 +22,8 @@
   return own;
 }
 
-/// Raises the urgency of a job to what one of its dependents requires.
-void raise(Job& dependency, const Urgency& dependent) {
+/// Raises the urgency of a job to that required by one of its dependents.
+void raise_urgency(Job& dependency, const Urgency& dependent) {
   Urgency& urgency = dependency.urgency;
   urgency.priority = std::min(urgency.priority, dependent.priority);
   if (dependent.start_by_ms == kNoDeadline) return;
@@ -37,15 +37,15 @@
   for (auto& [id, job] : cluster.jobs()) job.urgency = own_urgency(job);
   const Dependencies& dependencies = cluster.dependencies();
   if (dependencies.empty()) return;
-  // In topological order, dependents first: a job has its turn after all its dependents. Clients
-  // can name only accepted jobs, so there is no cycle; jobs of a stored cycle would have no turn
-  // and keep their own urgency.
-  std::map<std::string, std::size_t> waiting_for;  // number of dependents without a turn so far
+  // Topological order, dependents first: a job is visited after all its dependents. Clients can
+  // name only accepted jobs as dependencies, so there are no cycles; the jobs of a stored cycle
+  // would not be visited and would keep their own urgency.
+  std::map<std::string, std::size_t> unvisited_dependents;  // number of dependents not visited yet
   std::deque<std::string> ready;
   for (const auto& [id, job] : cluster.jobs()) {
     const auto dependents = dependencies.dependents(id).size();
     if (dependents > 0) {
-      waiting_for[id] = dependents;
+      unvisited_dependents[id] = dependents;
     } else if (!job.spec.dependencies.empty()) {
       ready.push_back(id);
     }
@@ -55,9 +55,9 @@
     ready.pop_front();
     const Job& dependent = *cluster.job(id);
     for (const auto& dependency : dependencies.dependencies_of(id)) {
-      const auto entry = waiting_for.find(dependency);
-      if (entry == waiting_for.end()) continue;  // not live any more
-      if (!dependent.cancelled()) raise(*cluster.job(dependency), dependent.urgency);
+      const auto entry = unvisited_dependents.find(dependency);
+      if (entry == unvisited_dependents.end()) continue;  // no longer live
+      if (!dependent.cancelled()) raise_urgency(*cluster.job(dependency), dependent.urgency);
       if (--entry->second == 0) ready.push_back(dependency);
     }
   }
--- a/src/sched/priority_inheritance.hpp
+++ b/src/sched/priority_inheritance.hpp
@@ -1,13 +1,13 @@
-// What a job inherits from its dependents.
+// Inheritance of priority and deadline from dependent jobs.
 #pragma once
 
 #include "sched/cluster_state.hpp"
 
 namespace cranklock::sched {
 
-/// Sets the urgency of every live job to its own or to that of the most urgent job that needs it,
-/// directly or through others. Called at the beginning of each placement pass. Its cost is linear
-/// in jobs and dependencies.
+/// Sets the urgency of every live job to the maximum of its own and that of its direct and
+/// transitive dependents. Called at the start of each placement pass. Its cost is linear in the
+/// number of jobs and dependencies.
 void inherit_urgency(ClusterState& cluster);
 
 }  // namespace cranklock::sched
--- a/src/sched/quota_usage.hpp
+++ b/src/sched/quota_usage.hpp
@@ -1,4 +1,4 @@
-// What teams use of their quota, and how much of it they may use in this region.
+// Quota usage of teams, and their guarantees and limits in this region.
 #pragma once
 
 #include <map>
@@ -10,16 +10,16 @@
 
 namespace cranklock::sched {
 
-/// Adds up the resources of all placements that are not proven gone, by team (invariant 9), and
-/// answers what a team is guaranteed and limited to.
+/// Sums, by team, the resources of all placements that are not proven gone (invariant 9), and
+/// provides the guarantee and limit of each team.
 class QuotaUsage {
  public:
   void add(const std::string& team, const wire::Resources& resources);
   void release(const std::string& team, const wire::Resources& resources);
   const wire::Resources& allocated(const std::string& team) const;
 
-  /// What teams may use here when regions share their quota (invariant 16); nullptr: all that the
-  /// settings say. Must live as long as this object.
+  /// Sets the region's share of the quotas when regions share them (invariant 16); nullptr: the
+  /// full quotas of the settings apply. `shares` must outlive this object.
   void set_shares(const TeamShares* shares) { shares_ = shares; }
   wire::Resources guarantee(const base::Team& team) const;
   wire::Resources limit(const base::Team& team) const;
--- a/src/sched/reservations.hpp
+++ b/src/sched/reservations.hpp
@@ -1,4 +1,4 @@
-// Room that a move plan holds on machines.
+// Resources that a move plan reserves on machines.
 #pragma once
 
 #include <algorithm>
@@ -14,21 +14,21 @@
 
 namespace cranklock::sched {
 
-/// Room on one machine, held for one job.
+/// Resources on one machine, reserved for one job.
 struct Reservation {
   std::string machine;
   std::string job;
-  /// The task that is to move to the machine; none: the room is for any task of the job.
+  /// The task to be moved to the machine; none: the resources are for any task of the job.
   std::optional<std::uint32_t> task;
   wire::Resources resources;
-  /// Another job that may take the room all the same; empty: none.
-  std::string yields_to;
+  /// The id of another job that may also use the resources; empty: none.
+  std::string also_usable_by;
   bool operator==(const Reservation&) const = default;
 };
 
-/// Whether the reservation for this job still holds room: nothing of what it is for is on the
-/// machine yet, or done.
-inline bool holds_room(const Reservation& reservation, const Job& job) {
+/// Whether the reservation for this job still holds resources: the job is not cancelled, and what
+/// the reservation is for is neither on the machine yet nor done.
+inline bool holds_capacity(const Reservation& reservation, const Job& job) {
   if (job.cancelled()) return false;
   if (reservation.task && job.done.contains(*reservation.task)) return false;
   return std::none_of(job.placements.begin(), job.placements.end(),
@@ -38,7 +38,7 @@
                       });
 }
 
-/// All reservations of the leader. Empty unless a stored move plan is under way (invariant 19).
+/// All reservations of the leader. Empty unless a stored move plan is in progress (invariant 19).
 class Reservations {
  public:
   Reservations() = default;
@@ -49,7 +49,7 @@
   bool empty() const { return all_.empty(); }
   const std::vector<Reservation>& all() const { return all_; }
   bool any_on(const std::string& machine) const { return machines_.contains(machine); }
-  /// Whether room is held for tasks of the job that wait, as opposed to tasks that move.
+  /// Whether resources are reserved for pending tasks of the job, as opposed to tasks being moved.
   bool any_for_waiting(const std::string& job) const {
     return std::any_of(all_.begin(), all_.end(), [&](const Reservation& reservation) {
       return reservation.job == job && !reservation.task;
--- a/src/sched/scaler.cpp
+++ b/src/sched/scaler.cpp
@@ -5,16 +5,16 @@
 
 namespace cranklock::sched {
 
-void ScoreHistory::forget_before(double time) {
-  while (!entries_.empty() && entries_.front().at < time) entries_.pop_front();
+void ScoreHistory::discard_before(double time) {
+  while (!entries_.empty() && entries_.front().time < time) entries_.pop_front();
 }
 
 template <class Condition>
 bool ScoreHistory::holds_throughout(double window_s, double now, Condition condition) const {
-  constexpr double kSlack = 1e-6;  // seconds, for the rounding of times
+  constexpr double kTolerance = 1e-6;  // in seconds; rounding of times
   for (auto entry = entries_.rbegin(); entry != entries_.rend(); ++entry) {
     if (!condition(entry->score)) return false;
-    if (entry->at <= now - window_s + kSlack) return true;
+    if (entry->time <= now - window_s + kTolerance) return true;
   }
   return false;
 }
@@ -27,14 +27,14 @@
   return holds_throughout(window_s, now, [&](double score) { return score < threshold; });
 }
 
-int Pool::decide(const PoolReading& reading, bool settled, std::int64_t wall_ms, double now) {
+int Pool::decide(const PoolReading& reading, bool state_rebuilt, std::int64_t wall_ms, double now) {
   record(reading, now);
-  if (!settled) return 0;
-  const double since_scaled_s = static_cast<double>(wall_ms - state.scaled_ms) / 1000.0;
-  const bool lacking = lacks_machines(now);
-  if (reading.score > settings_.high || lacking) {
+  if (!state_rebuilt) return 0;
+  const double since_scaled_s = static_cast<double>(wall_ms - state.last_scaled_ms) / 1000.0;
+  const bool unmet_demand = has_unmet_demand(now);
+  if (reading.score > settings_.high || unmet_demand) {
     const bool window_high =
-        lacking || scores_.stayed_above(settings_.high, settings_.up_window_s, now);
+        unmet_demand || scores_.stayed_above(settings_.high, settings_.up_window_s, now);
     const bool cooled_down = since_scaled_s > settings_.up_cooldown_s;
     return window_high && cooled_down ? scale_out_step(reading) : 0;
   }
@@ -49,7 +49,7 @@
 void Pool::record(const PoolReading& reading, double now) {
   const double longest_window_s = std::max(settings_.up_window_s, settings_.down_window_s);
   scores_.add(reading.score, now);
-  scores_.forget_before(now - longest_window_s - settings_.every_s);
+  scores_.discard_before(now - longest_window_s - settings_.every_s);
   if (reading.wanted == 0) {
     wanted_since_.reset();
   } else if (!wanted_since_) {
@@ -57,23 +57,23 @@
   }
 }
 
-/// Guards against work that the pool's free resources are no use to, bound to another zone, say,
-/// while they keep the score below High for ever: what wants machines for a whole down window
-/// counts as above High, as it would if nothing were ready.
-bool Pool::lacks_machines(double now) const {
+/// Whether tasks have needed new machines for a whole down window. This counts as a score above
+/// High: free resources that the waiting tasks cannot use, e.g. in another zone, would otherwise
+/// keep the score below High forever.
+bool Pool::has_unmet_demand(double now) const {
   return wanted_since_ && now - *wanted_since_ >= settings_.down_window_s;
 }
 
-/// What waiting work and the distance to High lack, up to the cap of a step and of the pool. What
-/// boots already is not counted again.
+/// The machines needed by waiting tasks or to bring the score down to High, whichever is more,
+/// capped by the step and pool limits. Machines that are booting already are not requested again.
 int Pool::scale_out_step(const PoolReading& reading) const {
   const int share_of_pool = static_cast<int>(settings_.max_step_share * reading.machines);
   const int max_step = std::max(settings_.max_step, share_of_pool);
-  const int max_more = std::min(max_step, settings_.max_machines - reading.machines);
-  return std::clamp(std::max(reading.wanted, reading.missing), 0, std::max(max_more, 0));
+  const int max_added = std::min(max_step, settings_.max_machines - reading.machines);
+  return std::clamp(std::max(reading.wanted, reading.deficit), 0, std::max(max_added, 0));
 }
 
-/// A fixed number or a share of the pool, whichever is larger, down to the pool's minimum.
+/// A fixed number or a share of the pool, whichever is larger; never below the pool's minimum.
 int Pool::scale_in_step(const PoolReading& reading) const {
   const int above_minimum = reading.machines - settings_.min_machines;
   const int share_of_pool = static_cast<int>(std::ceil(settings_.step_share * reading.machines));
@@ -81,9 +81,9 @@
                     std::max(above_minimum, 0));
 }
 
-void Pool::record_scaling(int count, std::int64_t wall_ms) {
-  state.count = count;
-  state.scaled_ms = wall_ms;
+void Pool::record_scaling(int target_machines, std::int64_t wall_ms) {
+  state.target_machines = target_machines;
+  state.last_scaled_ms = wall_ms;
 }
 
 }  // namespace cranklock::sched
--- a/src/sched/scaler.hpp
+++ b/src/sched/scaler.hpp
@@ -1,5 +1,5 @@
-// The scaler's decision for one pool: windowed thresholds, separate cooldowns and capped steps
-// (docs/design.md). Pure: no I/O, time passed in.
+// The scaling decision for one pool: windowed thresholds, separate cooldowns and capped steps
+// (docs/design.md). Pure: no I/O; the time is passed in.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,27 @@
 
 namespace cranklock::sched {
 
-/// What the key-value store holds of a pool. It is written only when it changes.
+/// The state of a pool in the key-value store; written only when it changes.
 struct PoolState {
-  int count = 0;               ///< machines wanted, as last decided
-  std::int64_t scaled_ms = 0;  ///< time of day of the last scaling, refused ones included
+  int target_machines = 0;          ///< as last decided
+  std::int64_t last_scaled_ms = 0;  ///< wall-clock time of the last scaling, including refused ones
   bool operator==(const PoolState&) const = default;
 };
 
-/// The scores of a pool, back to the beginning of its longest window.
+/// The scores of a pool over its longest window.
 class ScoreHistory {
  public:
   void add(double score, double now) { entries_.push_back({now, score}); }
-  /// Drops the scores from before that time, which no window reaches back to.
-  void forget_before(double time);
-  /// Whether every score of the window that ends now was above (below) the threshold. False until
-  /// the history reaches back over all of the window: the start of a term proves nothing about the
-  /// time before.
+  /// Discards the scores from before `time`, which no window covers any more.
+  void discard_before(double time);
+  /// Whether every score in the window ending now was above (below) the threshold. False until the
+  /// history covers the whole window, since nothing is known of the time before the leader's term.
   bool stayed_above(double threshold, double window_s, double now) const;
   bool stayed_below(double threshold, double window_s, double now) const;
 
  private:
   struct Entry {
-    double at, score;
+    double time, score;
   };
   template <class Condition>
   bool holds_throughout(double window_s, double now, Condition condition) const;
@@ -47,22 +46,23 @@
 
   PoolState state;
 
-  /// Takes a reading in; returns how many machines to add (above 0) or to give back (below 0).
-  /// `settled` is false while a new leader still rebuilds its cluster state: it scales nothing.
-  int decide(const PoolReading& reading, bool settled, std::int64_t wall_ms, double now);
-  /// Records a scaling to this many machines, from which the cooldowns count. The caller records it
-  /// also when the cloud refused, so that every retry waits a cooldown.
-  void record_scaling(int count, std::int64_t wall_ms);
+  /// Records a reading; returns the number of machines to add (positive) or to remove (negative).
+  /// `state_rebuilt` is false while a new leader is still rebuilding its cluster state; nothing is
+  /// scaled until then.
+  int decide(const PoolReading& reading, bool state_rebuilt, std::int64_t wall_ms, double now);
+  /// Records a scaling to `target_machines` and starts the cooldowns. Also called when the cloud
+  /// refused the request, so that every retry waits for a cooldown.
+  void record_scaling(int target_machines, std::int64_t wall_ms);
 
  private:
   void record(const PoolReading& reading, double now);
-  bool lacks_machines(double now) const;
+  bool has_unmet_demand(double now) const;
   int scale_out_step(const PoolReading& reading) const;
   int scale_in_step(const PoolReading& reading) const;
 
   const base::ScalerSettings& settings_;
   ScoreHistory scores_;
-  /// Since when every reading has wanted machines; none if the last one did not.
+  /// The time since which every reading has wanted machines; none if the last one did not.
   std::optional<double> wanted_since_;
 };
 
--- a/src/sched/shortfall.hpp
+++ b/src/sched/shortfall.hpp
@@ -1,4 +1,4 @@
-// The machines that waiting work lacks, as the scaler is told of them.
+// The shortfall of machines for waiting tasks, as reported to the scaler.
 #pragma once
 
 #include <map>
@@ -8,13 +8,13 @@
 
 namespace cranklock::sched {
 
-/// What is scaled by itself: the ordinary machines of a type, or its spot ones. They are rented for
-/// different work at different prices, so room on the one says little about need of the other.
+/// The unit of scaling: the ordinary machines of a type, or its spot machines. They serve different
+/// jobs at different prices, so free resources of the one say little about demand for the other.
 struct PoolId {
   std::string type;
   bool spot = false;
   auto operator<=>(const PoolId&) const = default;  // NOLINT(modernize-use-nullptr)
-  /// As in the key of its record and in log lines.
+  /// The name used in record keys and log lines.
   std::string name() const { return spot ? type + "/spot" : type; }
 };
 /// The pool that machines of the kind belong to.
@@ -22,12 +22,12 @@
   return {kind.type, kind.spot};
 }
 
-/// Work that found no machine though its team may run it, as machines to be added.
+/// Demand of tasks that could not be placed although the quota of their team allows them.
 struct Shortfall {
-  /// New machines by kind, beyond those that are booting.
+  /// New machines needed, by kind, in addition to those that are booting.
   std::map<MachineKind, int> wanted;
-  /// Resources requested by waiting tasks, by the pool that would take them.
-  std::map<PoolId, wire::Resources> waiting;
+  /// Resources requested by waiting tasks, by the pool that would run them.
+  std::map<PoolId, wire::Resources> requested;
 };
 
 }  // namespace cranklock::sched
--- a/src/sched/shortfall_estimator.cpp
+++ b/src/sched/shortfall_estimator.cpp
@@ -9,7 +9,7 @@
 namespace cranklock::sched {
 
 void ShortfallEstimator::add_pending(const Job& job) {
-  add({job, count_zones(candidates_.cluster(), job)}, job.pending_count(), Need::pending);
+  add({job, count_zones(candidates_.cluster(), job)}, job.pending_count(), DemandKind::pending);
 }
 
 void ShortfallEstimator::add_unreachable() {
@@ -28,48 +28,50 @@
         reachable.add(machine->kind.zone);
       }
     }
-    if (unreachable > 0) add({job, std::move(reachable)}, unreachable, Need::replacement);
+    if (unreachable > 0) add({job, std::move(reachable)}, unreachable, DemandKind::replacement);
   }
 }
 
-void ShortfallEstimator::add(Search search, std::uint32_t missing, Need need) {
+void ShortfallEstimator::add(Search search, std::uint32_t missing, DemandKind demand) {
   const Job& job = search.job;
   if (job.retry.failed_rounds > 0) return;
   for (; missing > 0; --missing) {
-    if (need == Need::pending && !within_limit(job)) return;
-    Candidate* candidate = find_candidate(search, need);
+    if (demand == DemandKind::pending && !within_limit(job)) return;
+    Candidate* candidate = find_candidate(search, demand);
     if (candidate == nullptr) candidate = add_machine(search);
     if (candidate == nullptr) return;
-    shortfall_.waiting[pool_of(candidate->kind)] += job.spec.resources;
+    shortfall_.requested[pool_of(candidate->kind)] += job.spec.resources;
     candidate->free -= job.spec.resources;
     search.zones.add(candidate->kind.zone);
   }
 }
 
-/// Counts one more task of the team, unless that would exceed its limit.
+/// Counts one more task of the team, unless that would exceed the team's quota limit.
 bool ShortfallEstimator::within_limit(const Job& job) {
-  wire::Resources& planned = by_team_[job.spec.team];
+  wire::Resources& planned = planned_by_team_[job.spec.team];
   const wire::Resources more = planned + job.spec.resources;
   if (!within_quota_limit(candidates_.cluster(), job.spec.team, more)) return false;
   planned += job.spec.resources;
   return true;
 }
 
-/// A machine that is there, starts, or is to be added already; null if none has room.
-Candidate* ShortfallEstimator::find_candidate(Search& search, Need need) {
-  // Part of a gang, or of what will be lost, may find room; only the rest is missing.
-  if (need == Need::replacement || search.job.spec.kind == wire::JobKind::gang) {
-    auto* ready = advance(candidates_.schedulable(), search.schedulable, search);
+/// A schedulable, starting or newly added machine with enough free resources; null if there is
+/// none.
+Candidate* ShortfallEstimator::find_candidate(Search& search, DemandKind demand) {
+  // Some tasks of a gang, or some replacements, may fit on schedulable machines; only the others
+  // need new machines.
+  if (demand == DemandKind::replacement || search.job.spec.kind == wire::JobKind::gang) {
+    auto* ready = next_fitting(candidates_.schedulable(), search.schedulable, search);
     if (ready != nullptr) return ready;
   }
-  auto* starting = advance(candidates_.starting(), search.starting, search);
+  auto* starting = next_fitting(candidates_.starting(), search.starting, search);
   if (starting != nullptr) return starting;
-  return advance(added_, search.added, search);
+  return next_fitting(new_machines_, search.added, search);
 }
 
-/// The first candidate from the position on that has room for a task; leaves the position there.
-Candidate* ShortfallEstimator::advance(std::vector<Candidate>& list, std::size_t& position,
-                                       const Search& search) {
+/// The first candidate at or after `position` on which a task fits; moves `position` to it.
+Candidate* ShortfallEstimator::next_fitting(std::vector<Candidate>& list, std::size_t& position,
+                                            const Search& search) {
   const wire::JobSpec& spec = search.job.spec;
   for (; position < list.size(); ++position) {
     Candidate& candidate = list[position];
@@ -81,17 +83,17 @@
   return nullptr;
 }
 
-/// A new machine for a task of the job; null if no kind will do now. Valid until the next call.
+/// A new machine for a task of the job; null if no kind is available. Valid until the next call.
 Candidate* ShortfallEstimator::add_machine(const Search& search) {
   const auto kind = cheapest_kind(search);
   if (!kind) return nullptr;
   ++shortfall_.wanted[*kind];
   const auto* type = candidates_.cluster().type(kind->type);
-  added_.push_back({*kind, type->resources, nullptr, {}, nullptr, type});
-  return &added_.back();
+  new_machines_.push_back({*kind, type->resources, nullptr, {}, nullptr, type});
+  return &new_machines_.back();
 }
 
-/// Whether a machine of this kind may be requested now, for a task of the job.
+/// Whether a machine of this kind may be requested now for a task of the job.
 bool ShortfallEstimator::may_scale_out(const Search& search, const MachineKind& kind) const {
   const wire::JobSpec& spec = search.job.spec;
   if (!allows(spec, kind) || !zone_rules_allow(spec, search.zones, kind.zone)) return false;
@@ -99,34 +101,34 @@
   return refused == refused_until_.end() || refused->second <= now_;
 }
 
-/// The price of the share of such a machine that one task takes, weighted by what speaks against
-/// the zone. Small weights spread equal choices over zones and kinds.
-double ShortfallEstimator::price_of(const Search& search, const MachineKind& kind,
-                                    const wire::MachineType& type) const {
-  constexpr double kSameZoneWeight = 0.01;   // for each task of the job there
-  constexpr double kSameKindWeight = 0.001;  // for each machine of the kind wanted already
+/// The price of the share of such a machine that one task takes, with penalties for the zone. Small
+/// additional penalties distribute otherwise equal choices over zones and kinds.
+double ShortfallEstimator::weighted_price(const Search& search, const MachineKind& kind,
+                                          const wire::MachineType& type) const {
+  constexpr double kSameZoneWeight = 0.01;   // per task of the job in the zone
+  constexpr double kSameKindWeight = 0.001;  // per machine of the kind already wanted
   const ClusterState& cluster = candidates_.cluster();
   const Job& job = search.job;
   double price = (kind.spot ? type.spot_price : type.price) *
                  dominant_share(job.spec.resources, type.resources);
-  if (is_exposed(cluster, job, kind.zone)) price *= 1 + kExposureWeight;
-  // Where boots are late the task waits for longer, and more is paid for machines that never come.
+  if (lacks_local_controller(cluster, job, kind.zone)) price *= 1 + kNoLocalControllerWeight;
+  // Late boots mean longer waits, and more spent on machines that never become ready.
   price *= cluster.boot_penalty(type, kind.zone, now_);
-  price *= 1 + kSameZoneWeight * search.zones.in(kind.zone);
+  price *= 1 + kSameZoneWeight * search.zones.tasks_in(kind.zone);
   const auto wanted = shortfall_.wanted.find(kind);
   if (wanted != shortfall_.wanted.end()) price *= 1 + kSameKindWeight * wanted->second;
   return price;
 }
 
-/// The kind that costs least for the share of it that one task takes; spot before ordinary, and the
-/// first of equals.
+/// The kind with the lowest weighted price for one task; on a tie spot before ordinary, then the
+/// first kind found.
 std::optional<MachineKind> ShortfallEstimator::cheapest_kind(const Search& search) const {
   const ClusterState& cluster = candidates_.cluster();
   std::optional<MachineKind> best;
   double best_price = std::numeric_limits<double>::infinity();
   const auto consider = [&](const MachineKind& kind, const wire::MachineType& type) {
     if (!may_scale_out(search, kind)) return;
-    const double price = price_of(search, kind, type);
+    const double price = weighted_price(search, kind, type);
     if (price < best_price) {
       best = kind;
       best_price = price;
--- a/src/sched/shortfall_estimator.hpp
+++ b/src/sched/shortfall_estimator.hpp
@@ -1,4 +1,4 @@
-// Adds up, at the end of a placement pass, the machines that are missing.
+// Estimates the shortfall of machines at the end of a placement pass.
 #pragma once
 
 #include <map>
@@ -12,20 +12,21 @@
 
 namespace cranklock::sched {
 
-/// Packs the tasks that found no machine onto machines that start, and then onto as few new ones of
-/// the cheapest kinds as will do. What it packs counts as used on the candidates of the pass.
+/// Packs unplaced tasks onto starting machines, and the rest onto as few new machines of the
+/// cheapest kinds as possible. The resources of packed tasks are subtracted from the candidates of
+/// the pass.
 class ShortfallEstimator {
  public:
-  /// `refused_until` holds the kinds that the cloud lately had none of.
+  /// `refused_until`: until when the cloud is not asked for a kind that it had no capacity for.
   ShortfallEstimator(CandidateSet& candidates, const std::map<MachineKind, double>& refused_until,
                      double now)
       : candidates_(candidates), refused_until_(refused_until), now_(now) {}
 
-  /// Adds what the job's pending tasks lack, as far as its team's limit allows. A job whose tasks
-  /// lately failed lacks no machines.
+  /// Adds the demand of the job's pending tasks, up to its team's quota limit. A job whose tasks
+  /// recently failed adds none.
   void add_pending(const Job& job);
-  /// Adds what will be missing once the tasks in unreachable zones are known to be gone: machines
-  /// take their time to boot.
+  /// Adds replacements for the tasks in unreachable zones before those are known to be gone, since
+  /// machines take time to boot.
   void add_unreachable();
 
   const Shortfall& shortfall() const { return shortfall_; }
@@ -33,9 +34,9 @@
 
  private:
   /// Why a task needs a machine.
-  enum class Need {
-    pending,     ///< it waits, and no machine of this pass took it
-    replacement  ///< its machine may be lost; it is counted in its team's use already
+  enum class DemandKind {
+    pending,     ///< it could not be placed in this pass
+    replacement  ///< its machine may be lost; the task already counts as quota usage
   };
   /// The search for one job's tasks. What did not fit one of them does not fit the next, so each
   /// list of candidates is gone through once.
@@ -45,21 +46,22 @@
     std::size_t schedulable = 0, starting = 0, added = 0;  ///< positions in the lists
   };
 
-  void add(Search search, std::uint32_t missing, Need need);
+  void add(Search search, std::uint32_t missing, DemandKind demand);
   bool within_limit(const Job& job);
-  Candidate* find_candidate(Search& search, Need need);
-  Candidate* advance(std::vector<Candidate>& list, std::size_t& position, const Search& search);
+  Candidate* find_candidate(Search& search, DemandKind demand);
+  Candidate* next_fitting(std::vector<Candidate>& list, std::size_t& position,
+                          const Search& search);
   Candidate* add_machine(const Search& search);
   bool may_scale_out(const Search& search, const MachineKind& kind) const;
-  double price_of(const Search& search, const MachineKind& kind,
-                  const wire::MachineType& type) const;
+  double weighted_price(const Search& search, const MachineKind& kind,
+                        const wire::MachineType& type) const;
   std::optional<MachineKind> cheapest_kind(const Search& search) const;
 
   CandidateSet& candidates_;
   const std::map<MachineKind, double>& refused_until_;
   double now_;
-  std::vector<Candidate> added_;                    ///< new machines
-  std::map<std::string, wire::Resources> by_team_;  ///< of pending tasks already counted
+  std::vector<Candidate> new_machines_;                     ///< new machines
+  std::map<std::string, wire::Resources> planned_by_team_;  ///< of pending tasks already counted
   Shortfall shortfall_;
 };
 
--- a/src/sched/team_shares.hpp
+++ b/src/sched/team_shares.hpp
@@ -1,4 +1,4 @@
-// How much of the quota of teams may be used in this region.
+// The share of team quotas that may be used in this region.
 #pragma once
 
 #include "base/settings.hpp"
@@ -6,9 +6,9 @@
 
 namespace cranklock::sched {
 
-/// What this region holds of the guarantees and limits of teams that several regions share
-/// (invariant 16). Asked for every task that is placed, so answers must come from memory. A
-/// resource without a limit, or guarantee, in the settings has none here either.
+/// This region's share of team guarantees and limits that several regions share (invariant 16).
+/// Called for every task that is placed, so implementations must answer from memory. A resource
+/// without a limit or guarantee in the settings has none here either.
 class TeamShares {
  public:
   TeamShares() = default;
@@ -20,11 +20,11 @@
   virtual wire::Resources limit(const base::Team& team) const = 0;
 };
 
-/// The whole guarantee of the team, as the settings have it.
+/// The full guarantee of the team, as set in the settings.
 inline wire::Resources full_guarantee(const base::Team& team) {
   return {team.cpus, team.gpus, 0};
 }
-/// The whole limit of the team, as the settings have it; 0: no limit.
+/// The full limit of the team, as set in the settings; 0: no limit.
 inline wire::Resources full_limit(const base::Team& team) {
   return {team.cpus_max, team.gpus_max, 0};
 }
--- a/src/sched/waiting_queue.cpp
+++ b/src/sched/waiting_queue.cpp
@@ -10,7 +10,7 @@
 namespace cranklock::sched {
 namespace {
 
-/// Whether so much of the team's work, its oldest first, is within its guarantee here.
+/// Whether the cumulative resources of the team's jobs are within its guarantee in this region.
 bool within_guarantee(const ClusterState& cluster, const base::Team& team,
                       const wire::Resources& sum) {
   const wire::Resources guarantee = cluster.guarantee_for(team);
@@ -18,8 +18,8 @@
          (team.cpus <= 0 || sum.cpus <= guarantee.cpus);
 }
 
-/// The unfinished jobs that may run, the oldest first. A job that waits for others is none of them:
-/// it holds no part of its team's guarantee.
+/// The unfinished jobs that may run, oldest first. Excludes jobs with unmet dependencies, so that
+/// they use no part of their team's guarantee.
 std::vector<Job*> runnable_jobs_by_age(ClusterState& cluster) {
   std::vector<Job*> runnable;
   for (auto& [id, job] : cluster.jobs()) {
@@ -31,9 +31,9 @@
   return runnable;
 }
 
-/// Gives the team's guarantee to its oldest jobs, as far as it goes.
+/// Assigns each team's guarantee to its oldest jobs, up to the guaranteed amount.
 void assign_guarantees(const ClusterState& cluster, const std::vector<Job*>& jobs_by_age) {
-  std::map<std::string, wire::Resources> requested;  // by team, of its jobs up to this one
+  std::map<std::string, wire::Resources> requested;  // by team; cumulative, in order of age
   for (Job* job : jobs_by_age) {
     wire::Resources& sum = requested[job->spec.team];
     sum += job->spec.resources * job->spec.tasks;
@@ -42,8 +42,9 @@
   }
 }
 
-/// The time of day from which a job's place in the queue counts: what is late by its deadline goes
-/// before the rest, the latest first.
+/// The wall-clock time that determines a job's position in the queue: when it became ready or its
+/// latest start time, whichever is earlier. Jobs that are late by their deadline thus move ahead,
+/// the latest furthest.
 std::int64_t queued_since_ms(const Job& job) {
   return std::min(job.ready_ms, job.urgency.start_by_ms);
 }
--- a/src/sched/waiting_queue.hpp
+++ b/src/sched/waiting_queue.hpp
@@ -1,4 +1,4 @@
-// The order in which a placement pass serves the waiting jobs.
+// The order in which a placement pass handles the waiting jobs.
 #pragma once
 
 #include <vector>
@@ -8,15 +8,15 @@
 
 namespace cranklock::sched {
 
-/// What a pass has to place, and what is placed already.
+/// The jobs that a pass has to place, and the priorities of the jobs already placed.
 struct WaitingQueue {
-  std::vector<Job*> jobs;   ///< the most entitled first
-  PlacedPriorities placed;  ///< of all jobs, as of the beginning of the pass
+  std::vector<Job*> jobs;   ///< most entitled first
+  PlacedPriorities placed;  ///< of all jobs, at the start of the pass
 };
 
-/// Brings the jobs' urgency and `Job::guaranteed` up to date, and lists those that have tasks to
-/// place now: what is within its team's guarantee first, then by priority, then by age, where a job
-/// that is late by its deadline counts as old as its lateness.
+/// Updates `Job::urgency` and `Job::guaranteed`, and returns the jobs that have tasks to place now,
+/// ordered by guarantee (jobs within their team's guarantee first), priority and age. A job's age
+/// counts from its latest start time if that is before it became ready.
 WaitingQueue queue_waiting_jobs(ClusterState& cluster, double now);
 
 }  // namespace cranklock::sched
--- a/src/sched/zone_count.cpp
+++ b/src/sched/zone_count.cpp
@@ -9,7 +9,7 @@
     if (placement.ended) continue;
     const Machine* machine = cluster.machine(placement.machine);
     if (machine == nullptr) {
-      zones.add_unknown();
+      zones.add_in_unknown_zone();
     } else {
       zones.add(machine->kind.zone);
     }
@@ -19,10 +19,10 @@
 
 bool zone_rules_allow(const wire::JobSpec& spec, const ZoneCount& zones, const std::string& zone) {
   if (!spec.one_zone && !spec.spread) return true;
-  const std::uint32_t here = zones.in(zone);
-  if (spec.one_zone && here != zones.total()) return false;
-  const std::uint32_t most_in_a_zone = (spec.tasks + 1) / 2;
-  return !spec.spread || here + zones.unknown() + 1 <= most_in_a_zone;
+  const std::uint32_t tasks_in_zone = zones.tasks_in(zone);
+  if (spec.one_zone && tasks_in_zone != zones.total()) return false;
+  const std::uint32_t max_tasks_per_zone = (spec.tasks + 1) / 2;
+  return !spec.spread || tasks_in_zone + zones.in_unknown_zone() + 1 <= max_tasks_per_zone;
 }
 
 }  // namespace cranklock::sched
--- a/src/sched/zone_count.hpp
+++ b/src/sched/zone_count.hpp
@@ -1,4 +1,4 @@
-// The zones that hold tasks of one job, and what the job's zone rules make of them.
+// Counts the tasks of a job by zone and applies the job's zone rules.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace cranklock::sched {
 
-/// How many tasks of one job each zone holds. Everything that is not proven free counts
+/// The number of tasks of one job in each zone, including all that are not proven gone
 /// (invariant 9).
 class ZoneCount {
  public:
@@ -17,29 +17,29 @@
     ++by_zone_[zone];
     ++total_;
   }
-  /// Adds a task on a machine that neither the list nor a heartbeat has shown yet: it could be in
-  /// any zone.
-  void add_unknown() {
-    ++unknown_;
+  /// Adds a task on a machine that neither the cloud's machine list nor a heartbeat has named yet,
+  /// and that may therefore be in any zone.
+  void add_in_unknown_zone() {
+    ++in_unknown_zone_;
     ++total_;
   }
-  std::uint32_t in(const std::string& zone) const {
+  std::uint32_t tasks_in(const std::string& zone) const {
     const auto entry = by_zone_.find(zone);
     return entry == by_zone_.end() ? 0 : entry->second;
   }
-  std::uint32_t unknown() const { return unknown_; }
+  std::uint32_t in_unknown_zone() const { return in_unknown_zone_; }
   std::uint32_t total() const { return total_; }
 
  private:
   std::map<std::string, std::uint32_t> by_zone_;
-  std::uint32_t unknown_ = 0, total_ = 0;
+  std::uint32_t in_unknown_zone_ = 0, total_ = 0;
 };
 
-/// Counts the job's placements. Empty for a job without zone rules, which needs no count.
+/// Counts the job's placements by zone. Empty for a job without zone rules.
 ZoneCount count_zones(ClusterState& cluster, const Job& job);
 
-/// Whether the job's zone rules (all tasks in one zone; at most half of them, rounded up, in any)
-/// allow one more task in the zone.
+/// Whether the job's zone rules (one_zone: all tasks in one zone; spread: at most half of them,
+/// rounded up, in any zone) allow one more task in the zone.
 bool zone_rules_allow(const wire::JobSpec& spec, const ZoneCount& zones, const std::string& zone);
 
 }  // namespace cranklock::sched
--- a/tests/best_fit_test.cpp
+++ b/tests/best_fit_test.cpp
@@ -1,4 +1,4 @@
-// Choosing machines: bin packing, gangs, failed searches and nominations.
+// Machine selection: bin packing, gangs, failed searches and nominations.
 #include "sched/best_fit.hpp"
 
 #include <gtest/gtest.h>
@@ -22,10 +22,10 @@
 
 TEST(BestFit, TheDominantShareIsTheLargestOfAllResources) {
   EXPECT_DOUBLE_EQ(dominant_share({1, 0, 6}, {4, 0, 8}), 0.75);
-  EXPECT_DOUBLE_EQ(dominant_share({1, 2, 0}, {4, 0, 8}), 0.25);  // none of the whole: not counted
+  EXPECT_DOUBLE_EQ(dominant_share({1, 2, 0}, {4, 0, 8}), 0.25);  // not in the whole: ignored
 }
 
-TEST(BestFit, TheFullerMachineIsTaken) {
+TEST(BestFit, TheFullerMachineIsChosen) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
   Job& running = fleet.add(make_job("j-000001", JobKind::job_array, 1, 4));
   fleet.cluster.add_placement(running, 0, 1, "n-2", 0);
@@ -37,7 +37,7 @@
   EXPECT_EQ(candidates.examined(), 2U);
 }
 
-TEST(BestFit, AMachineNominatedForAnotherJobIsPassedOver) {
+TEST(BestFit, AMachineNominatedForAnotherJobIsSkipped) {
   Fleet fleet({{"n-1", "a"}});
   Job& holder = fleet.add(make_job("j-000001", JobKind::job_array, 1, 4));
   Job& job = fleet.add(make_job("j-000002", JobKind::job_array, 1, 4));
@@ -57,21 +57,21 @@
   EXPECT_NE(find_best_fit(candidates, job, {}), nullptr);
 }
 
-TEST(FailedSearches, WhatAsksForNoLessIsRuledOut) {
+TEST(FailedSearches, JobsWithEqualOrHigherRequirementsAreRuledOut) {
   Fleet fleet;
   const CandidateSet candidates(fleet.cluster);
   const Job failed = make_job("j-000001", JobKind::job_array, 1, 4);
   FailedSearches searches;
-  EXPECT_FALSE(searches.rule_out(fleet.cluster, failed));
+  EXPECT_FALSE(searches.rules_out(fleet.cluster, failed));
   searches.record(candidates, failed);
-  EXPECT_TRUE(searches.rule_out(fleet.cluster, make_job("j-000002", JobKind::service, 1, 4)));
-  EXPECT_FALSE(searches.rule_out(fleet.cluster, make_job("j-000003", JobKind::service, 1, 3)));
+  EXPECT_TRUE(searches.rules_out(fleet.cluster, make_job("j-000002", JobKind::service, 1, 4)));
+  EXPECT_FALSE(searches.rules_out(fleet.cluster, make_job("j-000003", JobKind::service, 1, 3)));
   Job spot = make_job("j-000004", JobKind::job_array, 1, 4);
-  spot.spec.spot = true;  // it may go to more machines
-  EXPECT_FALSE(searches.rule_out(fleet.cluster, spot));
+  spot.spec.spot = true;  // more machines are suitable
+  EXPECT_FALSE(searches.rules_out(fleet.cluster, spot));
 }
 
-TEST(FailedSearches, AFailureForAReasonOfTheJobsOwnIsNotRecorded) {
+TEST(FailedSearches, AFailureWithAJobSpecificCauseIsNotRecorded) {
   Fleet fleet;
   const CandidateSet candidates(fleet.cluster);
   Job spread = make_job("j-000001", JobKind::service, 1, 4);
@@ -82,10 +82,10 @@
   failed_once.retry.failed_machines = {"n-1"};
   FailedSearches searches;
   for (const Job* job : {&spread, &one_zone, &failed_once}) searches.record(candidates, *job);
-  EXPECT_FALSE(searches.rule_out(fleet.cluster, make_job("j-000004", JobKind::service, 1, 4)));
+  EXPECT_FALSE(searches.rules_out(fleet.cluster, make_job("j-000004", JobKind::service, 1, 4)));
 }
 
-TEST(FailedSearches, AFailureForAReservationIsNotRecorded) {
+TEST(FailedSearches, AFailureDueToAReservationIsNotRecorded) {
   Fleet fleet;
   Job& holder = fleet.add(make_job("j-000001", JobKind::job_array, 1, 6));
   fleet.cluster.set_reservations(Reservations(
@@ -95,7 +95,7 @@
   ASSERT_EQ(find_best_fit(candidates, job, {}), nullptr);
   FailedSearches searches;
   searches.record(candidates, job);
-  EXPECT_FALSE(searches.rule_out(fleet.cluster, job));
+  EXPECT_FALSE(searches.rules_out(fleet.cluster, job));
 }
 
 TEST(GangPlacement, ATrialLeavesTheCandidatesExactlyAsTheyWere) {
@@ -112,7 +112,7 @@
   EXPECT_EQ(candidates.schedulable()[1].free, before);
 }
 
-TEST(GangPlacement, TheFirstZoneThatHoldsAllOfItIsTaken) {
+TEST(GangPlacement, TheFirstZoneThatFitsTheWholeGangIsChosen) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "b"}, {"n-3", "b"}});
   Job gang = make_job("j-000001", JobKind::gang, 2, 8);
   gang.spec.one_zone = true;
@@ -123,7 +123,7 @@
   EXPECT_NE(chosen[0], chosen[1]);
 }
 
-TEST(Nomination, AMachineThatReleasesEnoughIsKeptAtOnce) {
+TEST(Nomination, AMachineThatReleasesEnoughIsNominatedAtOnce) {
   Fleet fleet;
   Job& running = fleet.add(make_job("j-000001", JobKind::job_array, 1, 8));
   ASSERT_EQ(fleet.pass().placed, 1);
@@ -137,7 +137,7 @@
   EXPECT_EQ(after.schedulable()[0].nominated_for, &small);
 }
 
-TEST(Nomination, ALargeTaskGetsAMachineOnceItHasWaitedAsLongAsABoot) {
+TEST(Nomination, ALargeTaskGetsAMachineAfterWaitingForABootTime) {
   Fleet fleet;
   const Job& large = fleet.add(make_job("j-000001", JobKind::job_array, 1, 4));
   const Job& small = fleet.add(make_job("j-000002", JobKind::job_array, 1, 3));
--- a/tests/candidates_test.cpp
+++ b/tests/candidates_test.cpp
@@ -1,4 +1,4 @@
-// What a placement pass may use: zone rules, entitlement, the order of jobs, and candidates.
+// Inputs of a placement pass: zone rules, entitlement, the waiting queue and candidates.
 #include "sched/candidates.hpp"
 
 #include <gtest/gtest.h>
@@ -38,18 +38,18 @@
   EXPECT_TRUE(zone_rules_allow(job.spec, zones, "b"));
 }
 
-TEST(ZoneRules, AMachineThatIsNotKnownCouldBeInAnyZone) {
+TEST(ZoneRules, AnUnknownMachineMayBeInAnyZone) {
   Fleet fleet({{"n-1", "a"}});
   Job spread = make_job("j-000001", JobKind::service, 3, 1);
   spread.spec.spread = true;
   Job& job = fleet.add(std::move(spread));
   fleet.cluster.add_placement(job, 0, 1, "n-1", kNow);
   ZoneCount zones = count_zones(fleet.cluster, job);
-  EXPECT_EQ(zones.in("a"), 1U);
+  EXPECT_EQ(zones.tasks_in("a"), 1U);
   EXPECT_TRUE(zone_rules_allow(job.spec, zones, "a"));  // two of three
   fleet.cluster.add_placement(job, 1, 2, "n-9", kNow);
   zones = count_zones(fleet.cluster, job);
-  EXPECT_EQ(zones.unknown(), 1U);
+  EXPECT_EQ(zones.in_unknown_zone(), 1U);
   EXPECT_EQ(zones.total(), 2U);
   EXPECT_FALSE(zone_rules_allow(job.spec, zones, "a"));
   EXPECT_TRUE(zone_rules_allow(job.spec, zones, "b"));
@@ -63,11 +63,11 @@
   zones.add("a");
   EXPECT_TRUE(zone_rules_allow(spec, zones, "a"));
   EXPECT_FALSE(zone_rules_allow(spec, zones, "b"));
-  zones.add_unknown();
+  zones.add_in_unknown_zone();
   EXPECT_FALSE(zone_rules_allow(spec, zones, "a"));
 }
 
-TEST(Entitlement, AHigherPriorityPreemptsALowerOneButNotWhatIsGuaranteed) {
+TEST(Entitlement, AHigherPriorityPreemptsALowerOneUnlessItIsGuaranteed) {
   const Job high = prioritized("j-000001", Priority::high, false);
   const Job high_guaranteed = prioritized("j-000002", Priority::high, true);
   const Job low = prioritized("j-000003", Priority::best_effort, false);
@@ -78,7 +78,7 @@
   EXPECT_FALSE(may_preempt(low, high));
 }
 
-TEST(Entitlement, GuaranteedWorkPreemptsWhatAnotherTeamRunsBeyondItsGuarantee) {
+TEST(Entitlement, AGuaranteedJobPreemptsAnotherTeamsJobBeyondItsGuarantee) {
   const Job guaranteed = prioritized("j-000001", Priority::best_effort, true);
   const Job others = prioritized("j-000002", Priority::production, false, "blue");
   const Job own = prioritized("j-000003", Priority::production, false);
@@ -86,7 +86,7 @@
   EXPECT_FALSE(may_preempt(guaranteed, own));
 }
 
-TEST(Entitlement, PlacedPrioritiesRuleOutNoJobThatHasAVictim) {
+TEST(Entitlement, PlacedPrioritiesMatchMayPreempt) {
   for (const auto victim_priority : {Priority::production, Priority::best_effort}) {
     for (const bool victim_guaranteed : {false, true}) {
       const Job victim = prioritized("j-000001", victim_priority, victim_guaranteed, "blue");
@@ -104,7 +104,7 @@
       PlacedPriorities().any_preemptible_by(prioritized("j-000002", Priority::production, true)));
 }
 
-TEST(WaitingQueue, WhatIsLateByItsDeadlineGoesBeforeWhatIsOlder) {
+TEST(WaitingQueue, AJobLateByItsDeadlineGoesBeforeOlderJobs) {
   Fleet fleet;
   const auto add = [&](const std::string& id, std::int64_t ready_ms) {
     Job& job = fleet.add(make_job(id, JobKind::job_array, 1, 1));
@@ -123,9 +123,9 @@
   EXPECT_EQ(queue.jobs[2]->spec.id, "j-000002");
 }
 
-TEST(WaitingQueue, AJobThatBacksOffWaitsButHoldsItsPartOfTheGuarantee) {
+TEST(WaitingQueue, AJobInBackoffKeepsItsPartOfTheGuarantee) {
   Fleet fleet;
-  Job& first = fleet.add(make_job("j-000001", JobKind::job_array, 1, 8));  // all that is guaranteed
+  Job& first = fleet.add(make_job("j-000001", JobKind::job_array, 1, 8));  // the whole guarantee
   first.retry.backoff_until = kNow + 1;
   Job& second = fleet.add(make_job("j-000002", JobKind::job_array, 1, 1));
   const WaitingQueue queue = queue_waiting_jobs(fleet.cluster, kNow);
@@ -135,7 +135,7 @@
   EXPECT_FALSE(second.guaranteed);
 }
 
-TEST(Candidates, MachinesThatBootTakeNoTasks) {
+TEST(Candidates, BootingMachinesAreNotSchedulable) {
   Fleet fleet({{"n-1", "a"}});
   fleet.cluster.upsert_machine("n-2", {"g8", "b", false}, kNow);
   fleet.cluster.upsert_machine("n-3", {"unknown", "b", false}, kNow);
@@ -148,7 +148,7 @@
   EXPECT_EQ(candidates.find("n-2"), nullptr);
 }
 
-TEST(Candidates, WhatIsBeingStoppedIsNotFreeYet) {
+TEST(Candidates, ResourcesOfStoppingTasksAreNotFreeYet) {
   Fleet fleet;
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 2, 3));
   ASSERT_EQ(fleet.pass().placed, 2);
@@ -158,7 +158,7 @@
   EXPECT_DOUBLE_EQ(candidates.schedulable()[0].releasing.gpus, 3);
 }
 
-TEST(Candidates, WhatIsReservedIsAvailableOnlyToItsHolderAndToEntitledWork) {
+TEST(Candidates, ReservedResourcesAreAvailableOnlyToTheHolderAndToEntitledJobs) {
   Fleet fleet;
   Job& holder = fleet.add(make_job("j-000001", JobKind::job_array, 1, 6));
   fleet.cluster.set_reservations(Reservations(
@@ -176,7 +176,7 @@
   EXPECT_FALSE(candidates.blocked_by_reservation());
 }
 
-TEST(Candidates, AGangIsTriedInEachZoneOnlyIfItHasToBeInOne) {
+TEST(Candidates, AGangIsTriedZoneByZoneOnlyIfItMustBeInOne) {
   Fleet fleet({{"n-1", "b"}, {"n-2", "a"}, {"n-3", "b"}});
   const CandidateSet candidates(fleet.cluster);
   wire::JobSpec spec;
--- a/tests/fixtures.hpp
+++ b/tests/fixtures.hpp
@@ -90,7 +90,9 @@
     }
   }
   sched::Job& add(sched::Job job) { return cluster.upsert_job(std::move(job), 0); }
-  sched::PassResult pass(double now = 1) { return sched::place_waiting(cluster, refused, now); }
+  sched::PassResult pass(double now = 1) {
+    return sched::place_waiting_jobs(cluster, refused, now);
+  }
   /// What a successful write would do.
   void written(sched::Job& job) {
     std::vector<sched::PlacementKey> ended;
--- a/tests/heartbeat_handler_test.cpp
+++ b/tests/heartbeat_handler_test.cpp
@@ -92,7 +92,7 @@
 TEST_F(HeartbeatHandlerTest, DelegatesNothingWhileATaskIsBeingStopped) {
   ASSERT_EQ(forward("n1", 1).status, kOk);
   auto& job = cluster.upsert_job(make_job("j-000001", wire::JobKind::service, 1, 4), kTermStart);
-  sched::place_waiting(cluster, {}, reactor.now());
+  sched::place_waiting_jobs(cluster, {}, reactor.now());
   ASSERT_EQ(job.placements.size(), 1u);
   auto& placement = job.placements[0];
   const auto running = task("j-000001", 0, placement.attempt, wire::TaskState::running);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// Whole placement passes: order, zones, quota, gangs, preemption, and what a burst may cost.
+// Complete placement passes: order, zones, quota, gangs, preemption, and the cost of a burst.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,10 +19,10 @@
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}});
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 24, 1));
   EXPECT_EQ(fleet.pass().placed, 16);
-  // What is not proven free still counts.
+  // Resources that are not proven free still count.
   job.placements[0].request_stop(0, 1);
   EXPECT_EQ(fleet.pass().placed, 0);
-  // Nor is room beyond the limit asked of the cloud.
+  // No machines are requested for demand beyond the limit either.
   EXPECT_TRUE(fleet.pass().shortfall.wanted.empty());
 }
 
@@ -46,7 +46,7 @@
   EXPECT_EQ(result.shortfall.wanted.begin()->first.zone, "b");
 }
 
-TEST(Placement, KindZoneAndTypeAreTheJobsToAllow) {
+TEST(Placement, SpotZoneAndTypeMustBeAllowedByTheJob) {
   wire::JobSpec spec;
   EXPECT_FALSE(allows(spec, {"g8", "a", true}));
   spec.spot = true;
@@ -57,9 +57,10 @@
   EXPECT_FALSE(allows(spec, {"g8", "b", true}));
 }
 
-// Guards against replicas where nobody would keep them through a cut, when there is room elsewhere.
-TEST(Placement, ReplicasPreferZonesWhereAControllerStands) {
-  Fleet fleet({{"n-1", "b"}, {"n-2", "a"}});  // the only controller stands in a
+// Guards against placing replicas in zones where no controller keeps them running during a network
+// partition while other zones have free resources.
+TEST(Placement, ReplicasPreferZonesWithAController) {
+  Fleet fleet({{"n-1", "b"}, {"n-2", "a"}});  // the only controller is in a
   Job& service = fleet.add(make_job("j-000001", JobKind::service, 2, 4));
   Job& batch = fleet.add(make_job("j-000002", JobKind::job_array, 2, 4));
   EXPECT_EQ(fleet.pass().placed, 4);
@@ -67,8 +68,8 @@
   for (const auto& placement : batch.placements) EXPECT_EQ(placement.machine, "n-1");
 }
 
-// An index is only as good as its upkeep.
-TEST(Placement, WhatMachinesHoldIsWhatTheJobsPlacementsSay) {
+// Guards against an index of tasks by machine that drifts from the placements of the jobs.
+TEST(Placement, TasksOfMachinesMatchThePlacementsOfJobs) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "b"}});
   fleet.add(make_job("j-000001", JobKind::job_array, 12, 1));
   auto stored = make_job("j-000002", JobKind::job_array, 2, 1);
@@ -97,7 +98,7 @@
   };
   fleet.pass();
   recount();
-  fleet.cluster.upsert_machine("n-9", {"g8", "a", false}, 1);  // a record named it before
+  fleet.cluster.upsert_machine("n-9", {"g8", "a", false}, 1);  // a job record has already named it
   recount();
   EXPECT_EQ(fleet.cluster.machine("n-9")->tasks.size(), 2u);
   stored.placements.pop_back();
@@ -110,8 +111,8 @@
   recount();
 }
 
-// Guards against a fleet searched once for each of thousands of equal tasks, and against a pass
-// that holds up everything else: counted in machines looked at.
+// Guards against one search of the fleet for each of thousands of equal tasks, and against a pass
+// that delays all other work. The cost is measured in machines examined.
 TEST(Placement, ABurstInALargeFleetCostsFewSearches) {
   Fleet fleet;
   fleet.settings.teams = {{"red", 0, 0, 100'000, 100'000}, {"blue", 0, 0, 0, 100'000}};
@@ -134,7 +135,7 @@
     result = fleet.pass();
     examined += result.candidates_examined;
   }
-  EXPECT_GT(passes, 10);  // 10,400 tasks find a placement
+  EXPECT_GT(passes, 10);  // 10,400 tasks are placed
   EXPECT_LT(examined, 3000 * kMachines);
   for (auto& [id, job] : fleet.cluster.jobs()) fleet.written(job);
   add(2000, 400, 18, wire::Priority::best_effort, "blue");
@@ -175,7 +176,7 @@
   EXPECT_EQ(fleet.cluster.job("j-000002")->placements.size(), 1u);
 }
 
-TEST(Placement, LowerPriorityMakesRoomAndEqualPriorityDoesNot) {
+TEST(Placement, LowerPriorityIsPreemptedAndEqualPriorityIsNot) {
   Fleet fleet({{"n-1", "a"}});
   fleet.settings.teams = {{"red", 0, 0, 0, 16}, {"blue", 0, 0, 0, 16}};
   auto low = make_job("j-000001", JobKind::job_array, 8, 1);
@@ -188,11 +189,11 @@
   high.spec.priority = wire::Priority::high;
   fleet.add(std::move(high));
   EXPECT_EQ(fleet.pass().preempted, 2);
-  // The room is on its way; nothing more is stopped for the same job.
+  // The resources are already being released; nothing more is stopped for the same job.
   EXPECT_EQ(fleet.pass().preempted, 0);
 }
 
-TEST(Placement, GuaranteedWorkIsNotStoppedForPriorityAlone) {
+TEST(Placement, AGuaranteedJobIsNotPreemptedForPriorityAlone) {
   Fleet fleet({{"n-1", "a"}});
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 8, 1));
   fleet.pass();
@@ -214,11 +215,11 @@
   auto later = make_job("j-000003", JobKind::job_array, 4, 1);
   later.created_ms = 5000;
   fleet.add(std::move(later));
-  // Once it has waited as long as a machine takes to boot, the room that frees is kept for it.
+  // Once it has waited as long as a machine takes to boot, released resources are kept for it.
   EXPECT_EQ(fleet.pass(60).placed, 0);
 }
 
-TEST(Placement, MachinesUnderNoticeOrFaultyTakeNothingNew) {
+TEST(Placement, MachinesUnderNoticeOrFaultyGetNoNewTasks) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}});
   fleet.cluster.machine("n-1")->cloud.reclaim_at = 30;
   fleet.cluster.machine("n-2")->faults.quarantine = Quarantine::suspected;
@@ -231,8 +232,8 @@
 struct SpotFleet {
   Fleet fleet{std::initializer_list<Fleet::Where>{}};
 
-  void hear(const std::string& machine, std::uint64_t sequence, double now,
-            std::optional<double> preemption_notice_s = std::nullopt) {
+  void receive_heartbeat(const std::string& machine, std::uint64_t sequence, double now,
+                         std::optional<double> preemption_notice_s = std::nullopt) {
     auto message = heartbeat(machine, 1, sequence);
     message.spot = true;
     message.preemption_notice_s = preemption_notice_s;
@@ -240,33 +241,34 @@
   }
   bool is_first_reclaimed(double now) {
     return is_reclaimed(fleet.cluster, *fleet.cluster.machine("n-1"),
-                        count_workers(fleet.cluster, now), now);
+                        count_agents_by_zone(fleet.cluster, now), now);
   }
 };
 
-// Guards against work of a spot machine taken without notice waiting for a lease that may be as
-// long as the work itself; and against giving back a whole zone that is only cut off.
-TEST(Placement, ASpotMachineThatAloneGoesQuietIsReclaimed) {
+// Guards against tasks of a spot machine that was reclaimed without notice having to wait for its
+// lease to expire, which may take as long as the tasks themselves, and against deleting all
+// machines of a zone that is only partitioned.
+TEST(Placement, ASilentSpotMachineInAResponsiveZoneIsReclaimed) {
   SpotFleet spot;
-  for (const char* id : {"n-1", "n-2", "n-3"}) spot.hear(id, 1, 0);
-  EXPECT_FALSE(spot.is_first_reclaimed(5));  // the others are quiet too
-  for (const char* id : {"n-2", "n-3"}) spot.hear(id, 2, 4);
+  for (const char* id : {"n-1", "n-2", "n-3"}) spot.receive_heartbeat(id, 1, 0);
+  EXPECT_FALSE(spot.is_first_reclaimed(5));  // the others are silent too
+  for (const char* id : {"n-2", "n-3"}) spot.receive_heartbeat(id, 2, 4);
   EXPECT_TRUE(spot.is_first_reclaimed(5));
-  EXPECT_FALSE(spot.is_first_reclaimed(2.9));  // a heartbeat or two may be lost
+  EXPECT_FALSE(spot.is_first_reclaimed(2.9));  // one or two heartbeats may be lost
   spot.fleet.cluster.machine("n-1")->kind.spot = false;
-  EXPECT_FALSE(spot.is_first_reclaimed(5));  // an ordinary one may only hang
+  EXPECT_FALSE(spot.is_first_reclaimed(5));  // an ordinary machine may only hang
 }
 
-TEST(Placement, ASpotMachineQuietAfterItsNoticeIsReclaimed) {
+TEST(Placement, ASpotMachineSilentAfterItsNoticeIsReclaimed) {
   SpotFleet spot;
-  spot.hear("n-1", 1, 0, 10);
-  spot.hear("n-1", 2, 9, 1);
+  spot.receive_heartbeat("n-1", 1, 0, 10);
+  spot.receive_heartbeat("n-1", 2, 9, 1);
   EXPECT_FALSE(spot.is_first_reclaimed(10.1));
   EXPECT_TRUE(spot.is_first_reclaimed(10.6));
 }
 
-/// Machines full of durable tasks of low priority, half a machine each, and a gang of two whole
-/// machines in one zone that may preempt them.
+/// Machines that are full of durable low-priority tasks of half a machine each, and a gang that
+/// needs two whole machines in one zone and may preempt them.
 struct GangBehindBatch {
   Fleet fleet;
   Job& batch;
@@ -294,17 +296,17 @@
   }
 };
 
-// Guards against a gang that waits while lower work holds its machines: room is made for all of it
-// at once, in one zone, and kept for it until the last has left.
-TEST(Placement, RoomIsMadeForAWholeGangInOneZone) {
+// Guards against a gang that waits while lower-priority tasks occupy its machines. Resources are
+// freed for the whole gang at once, in one zone, and kept for it until the last victim has ended.
+TEST(Placement, PreemptionFreesResourcesForAWholeGangInOneZone) {
   GangBehindBatch scenario({{"n-1", "a"}, {"n-2", "b"}, {"n-3", "b"}});
   Fleet& fleet = scenario.fleet;
   EXPECT_EQ(fleet.pass().preempted, 4);
   for (const auto& placement : scenario.batch.placements) {
     EXPECT_EQ(placement.stop, placement.machine != "n-1");
   }
-  EXPECT_EQ(fleet.pass().preempted, 0);  // what leaves will do
-  // The first machine is free: what waits behind the gang does not get it.
+  EXPECT_EQ(fleet.pass().preempted, 0);  // the resources being released suffice
+  // The first machine is free: jobs behind the gang in the queue do not get it.
   scenario.end_batch_on("n-2", 2);
   EXPECT_EQ(fleet.pass(2).placed, 0);
   scenario.end_batch_on("n-3", 3);
@@ -312,7 +314,7 @@
   EXPECT_EQ(scenario.gang->live(), 2u);
 }
 
-TEST(Placement, NothingIsStoppedForAGangThatWouldNotBeWhole) {
+TEST(Placement, NothingIsPreemptedForAGangThatWouldNotFitWhole) {
   GangBehindBatch scenario({{"n-1", "a"}, {"n-2", "b"}});
   EXPECT_EQ(scenario.fleet.pass().preempted, 0);
 }
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -1,4 +1,4 @@
-// What a placement pass does for work that found no machine: preemption and the shortfall.
+// Handling of tasks that a placement pass could not place: preemption and the shortfall estimate.
 #include "sched/preemption.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 
 constexpr double kNow = 1;
 
-/// A full machine with two tasks of low priority, the first of which has run for longer.
+/// A full machine with two low-priority tasks, the first of which has been running for longer.
 struct FullMachine {
   Fleet fleet;
   Job& victim = add_victim();
@@ -48,15 +48,15 @@
   }
 };
 
-TEST(Preemption, TheLeastLostWorkIsStoppedAndNoMoreThanNeeded) {
+TEST(Preemption, TheTaskWithLeastLostWorkIsPreemptedAndNoMoreThanNeeded) {
   FullMachine full;
   EXPECT_EQ(full.preempt(), 1);
   EXPECT_FALSE(full.victim.placements[0].stop);
   EXPECT_TRUE(full.victim.placements[1].stop);
-  EXPECT_EQ(full.preempt(), 0);  // what is being released will do
+  EXPECT_EQ(full.preempt(), 0);  // the resources being released suffice
 }
 
-TEST(Preemption, WhatCheckpointsGetsTimeToSave) {
+TEST(Preemption, ATaskThatCheckpointsGetsAGracePeriod) {
   FullMachine full;
   full.victim.spec.checkpoint_interval_s = 60;
   full.victim.spec.checkpoint_save_s = 7;
@@ -66,7 +66,7 @@
   EXPECT_DOUBLE_EQ(stopped.grace_s, 7);
 }
 
-TEST(Preemption, WhatIsNotDurableIsNotStopped) {
+TEST(Preemption, APlacementThatIsNotDurableIsNotPreempted) {
   FullMachine full;
   for (auto& placement : full.victim.placements) placement.write = PlacementWrite::pending;
   EXPECT_EQ(full.preempt(), 0);
@@ -83,7 +83,7 @@
   EXPECT_EQ(full.preempt(), 0);
 }
 
-/// What a job lacks when nothing is placed in the fleet.
+/// The shortfall of a job if none of its tasks can be placed.
 Shortfall shortfall_of(Fleet& fleet, const Job& job) {
   CandidateSet candidates(fleet.cluster);
   ShortfallEstimator estimator(candidates, fleet.refused, kNow);
@@ -97,12 +97,12 @@
   return machines;
 }
 
-TEST(ShortfallEstimator, TasksArePackedIntoAsFewMachinesAsWillDo) {
+TEST(ShortfallEstimator, TasksArePackedOntoAsFewMachinesAsPossible) {
   Fleet fleet(std::initializer_list<Fleet::Where>{});
   const Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 4, 3));
   const Shortfall shortfall = shortfall_of(fleet, job);
   EXPECT_EQ(machines_in(shortfall), 2);
-  EXPECT_DOUBLE_EQ(shortfall.waiting.at({"g8", false}).gpus, 12);
+  EXPECT_DOUBLE_EQ(shortfall.requested.at({"g8", false}).gpus, 12);
 }
 
 TEST(ShortfallEstimator, NothingIsWantedBeyondTheTeamsLimit) {
@@ -111,7 +111,7 @@
   EXPECT_EQ(machines_in(shortfall_of(fleet, job)), 2);  // 16 GPUs
 }
 
-TEST(ShortfallEstimator, WhatStartsIsUsedFirst) {
+TEST(ShortfallEstimator, StartingMachinesAreUsedFirst) {
   Fleet fleet(std::initializer_list<Fleet::Where>{});
   fleet.cluster.upsert_machine("n-1", {"g8", "a", false}, 0);
   const Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 2, 8));
@@ -129,11 +129,11 @@
   EXPECT_EQ(kind(), (MachineKind{"g8", "b", true}));
   fleet.refused[{"g8", "b", true}] = kNow + 1;
   EXPECT_EQ(kind(), (MachineKind{"g8", "a", false}));
-  fleet.refused[{"g8", "a", true}] = kNow;  // the time is over
+  fleet.refused[{"g8", "a", true}] = kNow;  // the backoff has ended
   EXPECT_EQ(kind(), (MachineKind{"g8", "a", true}));
 }
 
-TEST(ShortfallEstimator, AJobWhoseTasksFailLacksNoMachines) {
+TEST(ShortfallEstimator, AJobWhoseTasksFailAddsNoDemand) {
   Fleet fleet(std::initializer_list<Fleet::Where>{});
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 1, 8));
   job.retry.failed_rounds = 1;
--- a/tests/quota_usage_test.cpp
+++ b/tests/quota_usage_test.cpp
@@ -1,4 +1,4 @@
-// What teams use of their quota, and how much of it they may use.
+// Quota usage of teams, and their guarantees and limits.
 #include "sched/quota_usage.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   wire::Resources limit(const base::Team& team) const override { return full_limit(team) * 0.5; }
 };
 
-TEST(QuotaUsage, AddsUpWhatIsNotReleasedByTeam) {
+TEST(QuotaUsage, SumsUnreleasedResourcesByTeam) {
   QuotaUsage quota;
   EXPECT_EQ(quota.allocated("red"), wire::Resources());
   quota.add("red", {1, 2, 3});
@@ -27,7 +27,7 @@
   EXPECT_EQ(quota.allocated("blue"), (wire::Resources{9, 9, 9}));
 }
 
-TEST(QuotaUsage, TheSettingsCountInFullUnlessRegionsShareThem) {
+TEST(QuotaUsage, TheFullQuotaAppliesUnlessRegionsShareIt) {
   QuotaUsage quota;
   EXPECT_EQ(quota.guarantee(kTeam), full_guarantee(kTeam));
   EXPECT_EQ(quota.limit(kTeam), full_limit(kTeam));
