--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -5,8 +5,7 @@
 namespace cranklock::sched {
 
 std::size_t max_live_tasks(const base::Settings& settings) {
-  constexpr double kBytesPerTask =
-      44;  // task number, attempt, machine and a range of completed tasks
+  constexpr double kBytesPerTask = 44;  // number, attempt and machine, and a range of done tasks
   constexpr double kValueOverheadBytes = 80;  // fixed part of each value, outside the lists
   constexpr double kMaxTransactionBytes = 60.0 * 1024;
   const double list_bytes_per_value = settings.value_kb * 1024 - kValueOverheadBytes;
@@ -53,7 +52,7 @@
 namespace {
 
 /// Whether the agent is expected to send heartbeats.
-bool expects_heartbeats(const Machine& machine) {
+bool should_send_heartbeats(const Machine& machine) {
   return machine.agent.heartbeat_received && !machine.lease.expired && !machine.cloud.terminating &&
          !machine.cloud.reclaim_at;
 }
@@ -64,7 +63,7 @@
   constexpr double kResponsiveWithinIntervals = 2;
   std::map<std::string, ZoneAgents> zones;
   for (const auto& [id, machine] : cluster.machines()) {
-    if (!expects_heartbeats(machine)) continue;
+    if (!should_send_heartbeats(machine)) continue;
     ZoneAgents& zone = zones[machine.kind.zone];
     ++zone.agents;
     const double since_heartbeat_s = now - machine.agent.last_heartbeat;
@@ -89,7 +88,7 @@
   if (since_heartbeat_s < kSilentIntervals * interval_s) return false;
   const auto zone = zones.find(machine.kind.zone);
   if (zone == zones.end()) return false;
-  const int others = zone->second.agents - (expects_heartbeats(machine) ? 1 : 0);
+  const int others = zone->second.agents - (should_send_heartbeats(machine) ? 1 : 0);
   return others > 0 && zone->second.responsive >= kMinResponsiveShare * others;
 }
 
--- a/src/sched/failed_searches.cpp
+++ b/src/sched/failed_searches.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 bool FailedSearches::rules_out(const ClusterState& cluster, const Job& job) const {
-  if (cluster.reservations().any_for_waiting(job.spec.id)) return false;
+  if (cluster.reservations().any_for_pending_tasks(job.spec.id)) return false;
   return std::any_of(failed_.begin(), failed_.end(),
                      [&](const Job* failed) { return requires_at_least(job.spec, failed->spec); });
 }
--- a/src/sched/nomination.cpp
+++ b/src/sched/nomination.cpp
@@ -49,7 +49,7 @@
 // Prevents starvation of large tasks: without a nomination, small tasks could take every resource
 // that is released.
 void nominate_machine(CandidateSet& candidates, const Job& job, double now) {
-  if (candidates.cluster().reservations().any_for_waiting(job.spec.id)) return;
+  if (candidates.cluster().reservations().any_for_pending_tasks(job.spec.id)) return;
   Candidate* best = nullptr;
   for (auto& candidate : candidates.schedulable()) {
     if (candidate.nominated_for != nullptr) continue;
@@ -70,7 +70,7 @@
 // Machines are nominated as soon as the tasks fit after release, or once the gang has waited as
 // long as a boot takes.
 void nominate_gang_machines(CandidateSet& candidates, const Job& job, double now) {
-  if (candidates.cluster().reservations().any_for_waiting(job.spec.id)) return;
+  if (candidates.cluster().reservations().any_for_pending_tasks(job.spec.id)) return;
   GangMachines best;
   for (const auto& zone : gang_zones(candidates, job.spec)) {
     GangMachines found = machines_for_gang(candidates, job, zone, now);
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -175,7 +175,7 @@
   ShortfallEstimator estimator(candidates_, refused_until_, now_);
   for (const Job* job : unplaced_) {
     // A move plan already frees resources for these jobs; they need no additional machines.
-    if (!cluster_.reservations().any_for_waiting(job->spec.id)) estimator.add_pending(*job);
+    if (!cluster_.reservations().any_for_pending_tasks(job->spec.id)) estimator.add_pending(*job);
   }
   estimator.add_unreachable();
   result_.shortfall = estimator.take();
--- a/src/sched/preemption.hpp
+++ b/src/sched/preemption.hpp
@@ -1,4 +1,4 @@
-// Preemption: selects tasks to stop in favor of waiting jobs that are entitled to their resources.
+// Preemption: selects the tasks to stop for waiting jobs that are entitled to their resources.
 #pragma once
 
 #include <map>
--- a/src/sched/reservations.hpp
+++ b/src/sched/reservations.hpp
@@ -50,7 +50,7 @@
   const std::vector<Reservation>& all() const { return all_; }
   bool any_on(const std::string& machine) const { return machines_.contains(machine); }
   /// Whether resources are reserved for pending tasks of the job, as opposed to tasks being moved.
-  bool any_for_waiting(const std::string& job) const {
+  bool any_for_pending_tasks(const std::string& job) const {
     return std::any_of(all_.begin(), all_.end(), [&](const Reservation& reservation) {
       return reservation.job == job && !reservation.task;
     });
--- a/src/sched/shortfall_estimator.hpp
+++ b/src/sched/shortfall_estimator.hpp
@@ -17,7 +17,8 @@
 /// the pass.
 class ShortfallEstimator {
  public:
-  /// `refused_until`: until when the cloud is not asked for a kind that it had no capacity for.
+  /// `refused_until` holds, for machine kinds that the cloud recently had no capacity for, the time
+  /// until which none are requested.
   ShortfallEstimator(CandidateSet& candidates, const std::map<MachineKind, double>& refused_until,
                      double now)
       : candidates_(candidates), refused_until_(refused_until), now_(now) {}
@@ -38,8 +39,8 @@
     pending,     ///< it could not be placed in this pass
     replacement  ///< its machine may be lost; the task already counts as quota usage
   };
-  /// The search for one job's tasks. What did not fit one of them does not fit the next, so each
-  /// list of candidates is gone through once.
+  /// The search for one job's tasks. A candidate on which one task does not fit
+  /// does not fit the next one either, so each list of candidates is traversed only once.
   struct Search {
     const Job& job;
     ZoneCount zones;
@@ -60,7 +61,7 @@
   CandidateSet& candidates_;
   const std::map<MachineKind, double>& refused_until_;
   double now_;
-  std::vector<Candidate> new_machines_;                     ///< new machines
+  std::vector<Candidate> new_machines_;
   std::map<std::string, wire::Resources> planned_by_team_;  ///< of pending tasks already counted
   Shortfall shortfall_;
 };
