--- a/src/control/decision_loop.cpp
+++ b/src/control/decision_loop.cpp
@@ -55,8 +55,8 @@
 void DecisionLoop::run_pass() {
   last_pass_at_ = context_.now();
   const bool expedited = std::exchange(pass_expedited_, false);
-  auto result =
-      sched::place_waiting(context_.cluster, components_.scaler.unavailable_until(), last_pass_at_);
+  auto result = sched::place_waiting_jobs(context_.cluster, components_.scaler.unavailable_until(),
+                                          last_pass_at_);
   if (result.incomplete) context_.cluster.mark_changed();
   if (components_.quota_shares != nullptr && expedited) components_.quota_shares->on_new_work();
   log_shortfall(result.shortfall);
