--- a/src/control/decision_loop.cpp
+++ b/src/control/decision_loop.cpp
@@ -85,8 +85,8 @@
 
 void DecisionLoop::log_advice() {
   if (!advisor_ || context_.cluster.types().empty()) return;
-  const auto advice = advisor_->look(context_.now());
-  if (advice) spdlog::info("{}", defrag::to_string(*advice));
+  const auto advice = advisor_->find_advice(context_.now());
+  if (advice) spdlog::info("{}", defrag::to_log_line(*advice));
 }
 
 // Writes records until none is left that may be written now, or a pass is expedited.
--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -53,16 +53,16 @@
   }
 }
 
-// Guards heartbeats, users and the renewal of the leader lease against a search of a large fleet on
-// a small processor: searches take no more than a fiftieth of the time.
+// Limits searches to about a fiftieth of the time, so that searching a large fleet on a small
+// processor does not delay heartbeats, client requests and the renewal of the leader lease.
 void MoveService::search_for_plan() {
-  constexpr double kPausePerSearch = 50;  ///< times what the last search took
+  constexpr double kPausePerSearchTime = 50;  ///< multiple of the duration of the last search
   if (now() < next_search_at_ || executor_.has_plan() || context_.cluster.types().empty()) return;
-  const double began = now();
-  executor_.search(context_.services.store.max_value_bytes(), wall_ms(), began);
-  const double took_s = now() - began;
-  next_search_at_ =
-      now() + std::max(context_.services.settings.heartbeat_interval_s, kPausePerSearch * took_s);
+  const double started_at = now();
+  executor_.search(context_.services.store.max_value_bytes(), wall_ms(), started_at);
+  const double took_s = now() - started_at;
+  next_search_at_ = now() + std::max(context_.services.settings.heartbeat_interval_s,
+                                     kPausePerSearchTime * took_s);
 }
 
 void MoveService::log_events() {
@@ -73,8 +73,9 @@
   if (now() < next_write_at_) co_return;
   const auto pending = executor_.pending_write();
   if (!pending && !is_indeterminate_) co_return;
-  // After a write without an answer, what is wanted now is written, so that one of the two wins.
-  const defrag::MoveRecord record = pending ? *pending : executor_.wanted();
+  // After an indeterminate write, the currently desired record is written, so that one of the two
+  // writes takes effect.
+  const defrag::MoveRecord record = pending ? *pending : executor_.desired();
   std::vector<wire::Compare> compares{{kLeaderKey, context_.lease.fencing_token()},
                                       {kMovesKey, revision_}};
   if (record.plan) compares.push_back({kMovesOffKey, 0});
@@ -112,8 +113,8 @@
   co_await reading;
 }
 
-// Nobody but this leader writes the record: what has changed it is a write of ours without an
-// answer, so what is wanted still decides.
+// Only this leader writes the record, so a changed revision comes from one of its own indeterminate
+// writes, and the desired record remains authoritative.
 Task<void> MoveService::read_revision() {
   auto reading = context_.services.store.read(kMovesKey, kStoreTimeout);
   const auto found = co_await reading;
@@ -126,10 +127,10 @@
 }
 
 Task<void> MoveService::request_drain(DrainRequest request) {
-  const double sent = now();
-  // A leader that may have been replaced takes no replica out of service.
-  if (!context_.lease.valid(sent)) {
-    executor_.record_drain_answer(request, std::nullopt, sent, sent);
+  const double sent_at = now();
+  // A leader that may have been replaced must not take a replica out of service.
+  if (!context_.lease.valid(sent_at)) {
+    executor_.record_drain_answer(request, std::nullopt, sent_at, sent_at);
     co_return;
   }
   const auto& endpoint = context_.services.settings.operators.defrag.drain;
@@ -139,8 +140,8 @@
   const auto reply = co_await calling;
   std::optional<DrainAnswer> answer;
   if (reply.status() == 200) answer = defrag::read_drain_answer(reply.response.body);
-  if (request.lease_s <= 0) co_return;  // taken back; its lease ends it in any case
-  executor_.record_drain_answer(request, answer, sent, now());
+  if (request.lease_s <= 0) co_return;  // the drain is cancelled; its lease expires in any case
+  executor_.record_drain_answer(request, answer, sent_at, now());
   wake_.set();
 }
 
--- a/src/control/move_service.hpp
+++ b/src/control/move_service.hpp
@@ -1,4 +1,5 @@
-// The leader's plan of moves: its record in the key-value store, and the drains of replicas.
+// Runs the leader's plan of moves: stores its record in the key-value store, and sends the drain
+// requests for replicas.
 #pragma once
 
 #include <cstdint>
@@ -17,31 +18,32 @@
 /// operator writes and removes it.
 inline constexpr const char* kMovesOffKey = "moves/off";
 
-/// Runs the executor, writes what it wants stored, and sends its drain requests to the router.
+/// Runs the executor, writes its records, and sends its drain requests to the router.
 ///
 /// Every write is conditional on the leader's key, on the record's revision and, if the record
-/// holds a plan, on `moves/off` not existing. One without an answer is indeterminate: the record is
-/// written again under the same conditions until one of the two writes is through (invariant 1).
+/// contains a plan, on `moves/off` not existing. A write without an answer is indeterminate: the
+/// record is written again under the same conditions until one of the two writes has succeeded
+/// (invariant 1).
 class MoveService {
  public:
-  /// Made when a leader term begins. The context outlives it.
+  /// Constructed when a leader term begins. The context outlives the service.
   explicit MoveService(const LeaderContext& context);
 
-  /// Reads the record; false when the key-value store did not answer with it.
+  /// Reads the record; returns false if the read from the key-value store failed.
   net::Task<bool> load();
-  /// Makes plans, carries them out and stores them, until the leadership is lost.
+  /// Searches for plans, carries them out and stores them, until leadership is lost.
   net::Task<void> run();
-  /// Something has happened that a move may wait for. Called after each placement pass.
+  /// Called after each placement pass, since moves may depend on its result.
   void wake() { wake_.set(); }
 
  private:
-  /// Searches for a plan if none is under way, at intervals that leave the processor free.
+  /// Searches for a plan if there is none, at intervals that limit CPU use.
   void search_for_plan();
-  /// Writes the record if it has to be written.
+  /// Writes the record if a write is pending or indeterminate.
   net::Task<void> write_record();
   net::Task<void> handle_conflict(std::vector<std::string> failed_keys);
   net::Task<void> read_revision();
-  /// Sends a drain request to the router and passes on its answer.
+  /// Sends a drain request to the router and passes its answer to the executor.
   net::Task<void> request_drain(defrag::DrainRequest request);
   void log_events();
   double now() const { return context_.now(); }
@@ -50,11 +52,11 @@
   const LeaderContext& context_;
   defrag::MoveExecutor executor_;
   net::Signal wake_;
-  std::uint64_t revision_ = 0;     ///< of the record as last known; 0: there is none
+  std::uint64_t revision_ = 0;     ///< of the last known record; 0: no record
   bool is_indeterminate_ = false;  ///< a write was not answered
-  double next_write_at_ = 0;       ///< no write before, since the key-value store did not take one
+  double next_write_at_ = 0;       ///< earliest time of the next write, after a failed one
   double next_search_at_ = 0;
-  net::Scope scope_;  ///< last, so that its coroutines end before what they use
+  net::Scope scope_;  ///< declared last, so that its coroutines end before the members they use
 };
 
 }  // namespace cranklock::control
--- a/src/control/plan_log.hpp
+++ b/src/control/plan_log.hpp
@@ -1,4 +1,4 @@
-// How the leader logs what becomes of a plan of moves.
+// Log lines for events of a plan of moves.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace cranklock::control {
 
-/// The log line of an event; docs/oncall.md explains it.
+/// Formats the log line of an event; docs/oncall.md explains these lines.
 std::string to_log_line(const defrag::PlanEvent& event);
 
 }  // namespace cranklock::control
--- a/src/defrag/advisor.hpp
+++ b/src/defrag/advisor.hpp
@@ -1,4 +1,4 @@
-// Tells operators which moves would make room for work that waits. Moves nothing.
+// Advises operators of moves that would free capacity for a waiting job. Moves nothing.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace cranklock::defrag {
 
-/// A plan for one waiting job, in names.
+/// A plan for one waiting job, with task and machine names.
 struct Advice {
   struct NamedMove {
     wire::TaskName task;
@@ -21,23 +21,24 @@
   double cost_s = 0;
 };
 
-/// Looks from time to time whether moves would make room for the most entitled job that waits for
-/// room alone (`find_plan`). An advice is a line in the log and changes nothing.
+/// Searches at intervals for moves that would free capacity for the first waiting job that lacks
+/// only capacity (`find_plan`). Advice is only logged and changes nothing.
 class Advisor {
  public:
-  /// `every_s` is the time between two looks; all that is referred to outlives the advisor.
-  Advisor(sched::ClusterState& cluster, double every_s) : cluster_(cluster), every_s_(every_s) {}
+  /// `interval_s` is the time between two searches. `cluster` must outlive the advisor.
+  Advisor(sched::ClusterState& cluster, double interval_s)
+      : cluster_(cluster), interval_s_(interval_s) {}
 
-  /// An advice, when a look is due and there is one.
-  std::optional<Advice> look(double now);
+  /// Returns advice if a search is due and finds a plan.
+  std::optional<Advice> find_advice(double now);
 
  private:
   sched::ClusterState& cluster_;
-  double every_s_;
-  double next_look_ = 0;
+  double interval_s_;
+  double next_search_at_ = 0;
 };
 
-/// How an advice reads in the log.
-std::string to_string(const Advice& advice);
+/// Formats the log line of an advice.
+std::string to_log_line(const Advice& advice);
 
 }  // namespace cranklock::defrag
--- a/src/defrag/drain.hpp
+++ b/src/defrag/drain.hpp
@@ -1,4 +1,4 @@
-// The drain interface: what a leader asks of the router in front of replicas
+// The drain protocol: requests of the leader to the router in front of replicas, and its answers
 // (docs/defragmentation.md).
 #pragma once
 
@@ -10,24 +10,25 @@
 
 namespace cranklock::defrag {
 
-/// Asks that a replica gets no new requests, and that those it has are answered or carried over.
-/// Repeating it is harmless and prolongs the drain's lease.
+/// Requests that a replica gets no new requests, and that its open requests are completed or
+/// carried over to other replicas. Requests are idempotent; each one renews the lease of the drain.
 struct DrainRequest {
   wire::TaskName task;
   std::uint64_t attempt = 0;
   std::string machine, address;
-  /// The drain ends by itself so long after the request came; 0 ends it at once.
+  /// The drain expires this long after the router received the request; 0 ends it at once.
   double lease_s = 0;
-  /// So long from now on conversations may go on; then they are to be carried over.
+  /// Conversations may continue on the replica for this long from now; the router then carries them
+  /// over to other replicas.
   double within_s = 0;
 };
 std::string write_drain_request(const DrainRequest& request);
 std::optional<DrainRequest> read_drain_request(const std::string& text);
 
 enum class DrainState {
-  draining,  ///< requests of it are still open
-  drained,   ///< it has none, and gets none within the lease
-  refused,   ///< the others can't carry its load now, or the attempt is not known
+  draining,  ///< the replica still has open requests
+  drained,   ///< no open requests, and no new ones within the lease
+  refused,   ///< other replicas cannot take its load now, or the attempt is unknown
 };
 
 struct DrainAnswer {
--- a/src/defrag/fleet_view.cpp
+++ b/src/defrag/fleet_view.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-/// In doubt, being stopped or cancelled: nobody may count on where it is.
+/// Whether it is certain where the placement runs, and that it is not ending: confirmed, and
+/// neither being stopped nor cancelled.
 bool is_settled(const sched::Job& job, const sched::Placement& placement) {
-  const bool in_doubt =
+  const bool is_uncertain =
       !placement.durable() || !placement.seen || placement.unconfirmed_start_epoch != 0;
-  const bool leaving = placement.ended || placement.stop || job.cancelled();
-  return !in_doubt && !leaving;
+  const bool is_ending = placement.ended || placement.stop || job.cancelled();
+  return !is_uncertain && !is_ending;
 }
 
 }  // namespace
@@ -22,14 +23,14 @@
                                 const sched::Placement& placement, const MoveRules& rules,
                                 double now) {
   constexpr double kHeartbeatsUntilRestart = 2;
-  if (rules.allowance && rules.allowance(job) == 0) return std::nullopt;
+  if (rules.remaining_moves && rules.remaining_moves(job) == 0) return std::nullopt;
   if (!is_settled(job, placement) || placement.state != wire::TaskState::running) {
     return std::nullopt;
   }
   const double restart_s = kHeartbeatsUntilRestart * cluster.settings().heartbeat_interval_s;
   if (job.spec.kind == wire::JobKind::service) {
-    // A single replica has no other to serve in its place.
-    if (!rules.services || job.live() < 2) return std::nullopt;
+    // A single replica has no other replica to serve in its place.
+    if (!rules.allow_replica_moves || job.live() < 2) return std::nullopt;
     return cluster.settings().lease_s / 2 + restart_s;
   }
   if (job.spec.kind != wire::JobKind::job_array) return std::nullopt;
@@ -47,14 +48,14 @@
   host.free = type.resources - machine.allocated;
   host.fetch_gb_per_s = type.fetch_gb_per_s;
   for (const auto& [image, size_gb] : machine.images) host.images.insert(image);
-  for (const auto& held : machine.tasks) {
-    const sched::Job& job = *held.job;
-    Resident resident;
-    resident.task = {job.spec.id, held.task};
-    resident.spec = &job.spec;
-    resident.move_cost_s = move_cost(cluster, job, held.placement(), rules, now);
-    resident.zone_bound = job.spec.one_zone || job.spec.spread;
-    host.residents.push_back(std::move(resident));
+  for (const auto& allocation : machine.tasks) {
+    const sched::Job& job = *allocation.job;
+    HostedTask hosted_task;
+    hosted_task.task = {job.spec.id, allocation.task};
+    hosted_task.spec = &job.spec;
+    hosted_task.move_cost_s = move_cost(cluster, job, allocation.placement(), rules, now);
+    hosted_task.zone_bound = job.spec.one_zone || job.spec.spread;
+    host.hosted_tasks.push_back(std::move(hosted_task));
   }
   return host;
 }
--- a/src/defrag/fleet_view.hpp
+++ b/src/defrag/fleet_view.hpp
@@ -1,4 +1,4 @@
-// The leader's cluster state as plans of moves see it. Pure: no I/O, time passed in.
+// A view of the cluster state for planning moves. Pure: no I/O, time passed in.
 #pragma once
 
 #include <cstddef>
@@ -11,27 +11,28 @@
 
 namespace cranklock::defrag {
 
-/// What plans may move.
+/// Which tasks a plan may move.
 struct MoveRules {
-  /// A router drains replicas, so that they may move without a request unanswered.
-  bool services = false;
-  /// How many tasks of a job may still move; unset: any number.
-  std::function<std::size_t(const sched::Job&)> allowance;
+  /// Set if a router drains replicas, so that they can move without failed requests.
+  bool allow_replica_moves = false;
+  /// How many more tasks of a job may move; unset: no limit.
+  std::function<std::size_t(const sched::Job&)> remaining_moves;
 };
 
-/// Seconds of work that are lost when the placement is stopped and started elsewhere; none: it
-/// stays.
+/// Seconds of work that are lost if the placement is stopped and started elsewhere; none if it must
+/// not move.
 ///
-/// On the protocol a task that moves is stopped first, so only what may pause moves: running tasks
-/// of arrays. One that saves loses the time to save and about two heartbeats until it is started
-/// again, one that does not loses all it has done. A replica moves where a router drains it and
-/// others can serve meanwhile; it costs the drain and the restart. What is not durable, in doubt,
-/// being stopped or cancelled stays.
+/// The protocol stops a task before it restarts it elsewhere, so only tasks that tolerate an
+/// interruption may move: running tasks of job arrays, and replicas. A task with checkpoints loses
+/// the time to save one and about two heartbeats until it is restarted; a task without them loses
+/// all work done so far. A replica may move if a router drains it and other replicas can serve
+/// meanwhile; it costs the drain and the restart. A placement that is not yet durable or confirmed,
+/// or that is being stopped or cancelled, does not move.
 std::optional<double> move_cost(const sched::ClusterState& cluster, const sched::Job& job,
                                 const sched::Placement& placement, const MoveRules& rules,
                                 double now);
 
-/// The machines that may take new work, with what runs on them.
+/// The schedulable machines with the tasks that run on them.
 std::vector<Host> view_fleet(sched::ClusterState& cluster, const MoveRules& rules, double now);
 
 }  // namespace cranklock::defrag
--- a/src/defrag/move_budget.cpp
+++ b/src/defrag/move_budget.cpp
@@ -4,62 +4,68 @@
 #include <iterator>
 
 namespace cranklock::defrag {
-std::size_t MoveBudget::max_at_once(std::size_t tasks) const {
-  const auto share = static_cast<std::size_t>(settings_.share_at_once * static_cast<double>(tasks));
+std::size_t MoveBudget::max_concurrent_moves_of_job(std::size_t tasks) const {
+  const auto share =
+      static_cast<std::size_t>(settings_.max_concurrent_share * static_cast<double>(tasks));
   return std::max<std::size_t>(share, 1);
 }
 
-std::size_t MoveBudget::left(const std::string& job, std::size_t tasks, double now) const {
-  const std::size_t most = std::max(settings_.moves_per_job_and_hour, max_at_once(tasks));
-  const auto known = jobs_.find(job);
-  if (known == jobs_.end()) return most;
-  const auto& begun = known->second.begun;
-  const auto lately = static_cast<std::size_t>(std::count_if(
-      begun.begin(), begun.end(), [&](double time) { return time > now - kBudgetSpan; }));
-  return most - std::min(lately, most);
+std::size_t MoveBudget::remaining_moves(const std::string& job, std::size_t tasks,
+                                        double now) const {
+  const std::size_t max_moves =
+      std::max(settings_.max_moves_per_job_per_hour, max_concurrent_moves_of_job(tasks));
+  const auto entry = jobs_.find(job);
+  if (entry == jobs_.end()) return max_moves;
+  const auto& begin_times = entry->second.begin_times;
+  const auto recent = static_cast<std::size_t>(
+      std::count_if(begin_times.begin(), begin_times.end(),
+                    [&](double time) { return time > now - kBudgetWindowS; }));
+  return max_moves - std::min(recent, max_moves);
 }
 
 bool MoveBudget::may_begin(const std::string& job, std::size_t tasks, double now) const {
-  if (under_way_ >= at_once_) return false;
-  const auto known = jobs_.find(job);
-  if (known != jobs_.end() && known->second.under_way >= max_at_once(tasks)) return false;
-  return left(job, tasks, now) > 0;
+  if (active_moves_ >= concurrency_limit_) return false;
+  const auto entry = jobs_.find(job);
+  if (entry != jobs_.end() && entry->second.active_moves >= max_concurrent_moves_of_job(tasks))
+    return false;
+  return remaining_moves(job, tasks, now) > 0;
 }
 
-void MoveBudget::began(const std::string& job, double now) {
-  forget_before(now - kBudgetSpan);
+void MoveBudget::record_begin(const std::string& job, double now) {
+  erase_before(now - kBudgetWindowS);
   JobMoves& moves = jobs_[job];
-  moves.begun.push_back(now);
-  ++moves.under_way;
-  ++under_way_;
+  moves.begin_times.push_back(now);
+  ++moves.active_moves;
+  ++active_moves_;
 }
 
-void MoveBudget::restore(const std::string& job, double begun) {
-  auto& times = jobs_[job].begun;
-  times.insert(std::upper_bound(times.begin(), times.end(), begun), begun);
+void MoveBudget::restore_past_move(const std::string& job, double begun_at) {
+  auto& times = jobs_[job].begin_times;
+  times.insert(std::upper_bound(times.begin(), times.end(), begun_at), begun_at);
 }
 
-void MoveBudget::resume(const std::string& job) {
-  ++jobs_[job].under_way;
-  ++under_way_;
+void MoveBudget::restore_active_move(const std::string& job) {
+  ++jobs_[job].active_moves;
+  ++active_moves_;
 }
 
-void MoveBudget::ended(const std::string& job, double took_s) {
-  const auto known = jobs_.find(job);
-  if (known == jobs_.end() || known->second.under_way == 0) return;
-  --known->second.under_way;
-  --under_way_;
-  const bool slow = took_s > settings_.slow_s;
-  at_once_ =
-      slow ? std::max<std::size_t>(at_once_ / 2, 1) : std::min(at_once_ + 1, settings_.max_at_once);
+void MoveBudget::record_end(const std::string& job, double took_s) {
+  const auto entry = jobs_.find(job);
+  if (entry == jobs_.end() || entry->second.active_moves == 0) return;
+  --entry->second.active_moves;
+  --active_moves_;
+  const bool slow = took_s > settings_.slow_move_s;
+  concurrency_limit_ = slow ? std::max<std::size_t>(concurrency_limit_ / 2, 1)
+                            : std::min(concurrency_limit_ + 1, settings_.max_concurrent_moves);
 }
 
-void MoveBudget::forget_before(double time) {
+void MoveBudget::erase_before(double time) {
   for (auto entry = jobs_.begin(); entry != jobs_.end();) {
     auto& moves = entry->second;
-    while (!moves.begun.empty() && moves.begun.front() <= time) moves.begun.pop_front();
-    const bool over = moves.begun.empty() && moves.under_way == 0;
-    entry = over ? jobs_.erase(entry) : std::next(entry);
+    while (!moves.begin_times.empty() && moves.begin_times.front() <= time)
+      moves.begin_times.pop_front();
+    const bool is_unused = moves.begin_times.empty() && moves.active_moves == 0;
+    entry = is_unused ? jobs_.erase(entry) : std::next(entry);
   }
 }
 
--- a/src/defrag/move_budget.hpp
+++ b/src/defrag/move_budget.hpp
@@ -1,4 +1,4 @@
-// How many moves there may be: of one job in an hour and at once, and of all jobs at once.
+// Limits on moves: per job and hour, concurrently per job, and concurrently over all jobs.
 #pragma once
 
 #include <cstddef>
@@ -8,54 +8,55 @@
 
 namespace cranklock::defrag {
 
-/// A disruption budget.
+/// Disruption budget.
 struct MoveBudgetSettings {
-  /// Of a job of few tasks; a larger one may move `share_at_once` of its tasks in an hour.
-  std::size_t moves_per_job_and_hour = 4;
-  /// Of a job's tasks, at most this share moves at once; a job of few tasks moves one.
-  double share_at_once = 0.25;
-  std::size_t max_at_once = 32;
-  /// A move that takes longer speaks for fewer at once.
-  double slow_s = 30;
+  /// For small jobs. A larger job may move `max_concurrent_share` of its tasks in an hour.
+  std::size_t max_moves_per_job_per_hour = 4;
+  /// The share of a job's tasks that may move concurrently, but at least one task.
+  double max_concurrent_share = 0.25;
+  std::size_t max_concurrent_moves = 32;
+  /// A move that takes longer reduces the number of concurrent moves.
+  double slow_move_s = 30;
 };
 
-inline constexpr double kBudgetSpan = 3600;  ///< seconds for which a move counts
+inline constexpr double kBudgetWindowS = 3600;  ///< how long a move counts against its job's budget
 
-/// Keeps moves from chasing one another, and from filling the fleet with copies when they are slow.
+/// Prevents tasks from being moved repeatedly, and slow moves from occupying capacity on many
+/// source and target machines at once.
 ///
-/// A move counts for its job from its beginning, for an hour, whether it ended well or not. The
-/// number of moves at once grows by one with each that ended in time, and halves with each that was
-/// slow.
+/// A move counts against the budget of its job for an hour from its start, whether it succeeded or
+/// not. The concurrency limit grows by one with each move that ends in time and halves with each
+/// slow one.
 class MoveBudget {
  public:
   explicit MoveBudget(const MoveBudgetSettings& settings) : settings_(settings) {}
 
-  /// Whether one more task of a job of so many may begin to move at this time.
+  /// Whether a task of a job with `tasks` tasks may begin to move now.
   bool may_begin(const std::string& job, std::size_t tasks, double now) const;
-  /// How many more tasks of a job of so many may move within this hour.
-  std::size_t left(const std::string& job, std::size_t tasks, double now) const;
-  void began(const std::string& job, double now);
-  void ended(const std::string& job, double took_s);
-  /// A move that a former leader has begun, which counts for its hour.
-  void restore(const std::string& job, double begun);
-  /// One of those that has not ended yet.
-  void resume(const std::string& job);
-
-  std::size_t at_once() const { return at_once_; }
-  std::size_t under_way() const { return under_way_; }
+  /// How many more tasks of a job with `tasks` tasks may move within this hour.
+  std::size_t remaining_moves(const std::string& job, std::size_t tasks, double now) const;
+  void record_begin(const std::string& job, double now);
+  void record_end(const std::string& job, double took_s);
+  /// Restores a move that an earlier leader began, which counts for the rest of its hour.
+  void restore_past_move(const std::string& job, double begun_at);
+  /// Restores a move of an earlier leader that is still in progress.
+  void restore_active_move(const std::string& job);
+
+  std::size_t concurrency_limit() const { return concurrency_limit_; }
+  std::size_t active_moves() const { return active_moves_; }
 
  private:
   struct JobMoves {
-    std::deque<double> begun;  ///< within the last hour, oldest first
-    std::size_t under_way = 0;
+    std::deque<double> begin_times;  ///< within the last hour, oldest first
+    std::size_t active_moves = 0;
   };
-  void forget_before(double time);
-  std::size_t max_at_once(std::size_t tasks) const;
+  void erase_before(double time);
+  std::size_t max_concurrent_moves_of_job(std::size_t tasks) const;
 
   MoveBudgetSettings settings_;
   std::map<std::string, JobMoves> jobs_;
-  std::size_t under_way_ = 0;
-  std::size_t at_once_ = 1;
+  std::size_t active_moves_ = 0;
+  std::size_t concurrency_limit_ = 1;
 };
 
 }  // namespace cranklock::defrag
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Seconds for which a router is asked to keep a replica drained.
+/// The lease, in seconds, requested for the drain of a replica.
 double drain_lease_s(const base::Settings& settings) {
   return settings.lease_s;
 }
 
-/// The size of the record when all moves have begun, which it has to hold too.
+/// The size of the record once all moves have begun, which must also fit into one value.
 std::size_t max_record_bytes(MoveRecord record, std::int64_t wall_ms) {
   for (auto& move : record.plan->moves) {
     move.step = MoveStep::restarting;
@@ -31,29 +31,31 @@
 
 void MoveExecutor::load(const MoveRecord& stored, std::int64_t wall_ms, double now) {
   journal_.load(stored);
-  // Where a former leader's clock was ahead, its times count as now.
+  // If the clock of an earlier leader was ahead, times in the future are treated as now.
   const auto to_steady = [&](std::int64_t at_ms) {
     return now - std::max(static_cast<double>(wall_ms - at_ms) / 1000, 0.0);
   };
-  for (const auto& move : stored.past) budget_.restore(move.job, to_steady(move.begun_ms));
+  for (const auto& move : stored.past)
+    budget_.restore_past_move(move.job, to_steady(move.begun_ms));
   if (!journal_.has_plan()) return;
-  plan_known_since_ = now;
+  plan_adopted_at_ = now;
   auto& moves = plan().moves;
   progress_.assign(moves.size(), {});
   for (std::size_t i = 0; i < moves.size(); ++i) {
     PlannedMove& move = moves[i];
-    if (move.step == MoveStep::draining) move.step = MoveStep::reserved;  // nothing was stopped
+    if (move.step == MoveStep::draining)
+      move.step = MoveStep::reserved;  // no stop was requested yet
     if (!is_interrupted(move.step)) continue;
-    progress_[i].begun = now;
-    budget_.resume(move.task.job);
+    progress_[i].begun_at = now;
+    budget_.restore_active_move(move.task.job);
   }
   events_.emplace_back(PlanTakenOver{plan().id, plan().job, moves.size()});
   update_reservations();  // before the first placement pass
 }
 
-bool MoveExecutor::knows_fleet(double now) const {
-  constexpr double kHeartbeats = 3;
-  return now - term_started_at_ > kHeartbeats * cluster_.settings().heartbeat_interval_s;
+bool MoveExecutor::have_machines_reported(double now) const {
+  constexpr double kReportHeartbeats = 3;
+  return now - term_started_at_ > kReportHeartbeats * cluster_.settings().heartbeat_interval_s;
 }
 
 void MoveExecutor::record_stored(const MoveRecord& record) {
@@ -61,55 +63,55 @@
   update_reservations();
 }
 
-// ---- a new plan ----
+// ---- creating a plan ----
 
 MoveRules MoveExecutor::rules(double now) const {
-  return {moves_services_, [this, now](const sched::Job& job) {
-            return budget_.left(job.spec.id, job.spec.tasks, now);
+  return {allow_replica_moves_, [this, now](const sched::Job& job) {
+            return budget_.remaining_moves(job.spec.id, job.spec.tasks, now);
           }};
 }
 
 void MoveExecutor::search(std::size_t max_bytes, std::int64_t wall_ms, double now) {
-  // What is stored of a plan that is over has to go first: one plan at a time.
-  if (journal_.has_plan() || journal_.has_stored_plan() || !knows_fleet(now)) return;
+  // An ended plan must be removed from the store first: there is one plan at a time.
+  if (journal_.has_plan() || journal_.has_stored_plan() || !have_machines_reported(now)) return;
   const auto found = find_eligible_plan(now);
   if (!found) return;
-  journal_.forget_past(wall_ms, cluster_.settings().clock_error_s);
-  const std::string id = std::to_string(fencing_token_) + "-" + std::to_string(++plans_made_);
-  MoveRecord record = journal_.wanted();
+  journal_.prune_past_moves(wall_ms, cluster_.settings().clock_error_s);
+  const std::string id = std::to_string(fencing_token_) + "-" + std::to_string(++plans_created_);
+  MoveRecord record = journal_.desired();
   record.plan = make_move_plan(*found, id, wall_ms, cluster_);
   if (max_record_bytes(record, wall_ms) > max_bytes) return;
   begin_plan(std::move(record), now);
 }
 
 std::optional<FoundPlan> MoveExecutor::find_eligible_plan(double now) {
-  std::erase_if(next_plan_at_, [&](const auto& entry) { return entry.second <= now; });
+  std::erase_if(next_plan_allowed_at_, [&](const auto& entry) { return entry.second <= now; });
   const auto is_eligible = [this](const sched::Job& job) {
-    return !next_plan_at_.contains(job.spec.id) && !room_is_coming(cluster_, job);
+    return !next_plan_allowed_at_.contains(job.spec.id) && !has_booting_capacity(cluster_, job);
   };
   return find_plan(cluster_, rules(now), is_eligible, now);
 }
 
 void MoveExecutor::begin_plan(MoveRecord record, double now) {
-  journal_.wanted() = std::move(record);
-  plan_known_since_ = now;
-  placed_ = false;
+  journal_.desired() = std::move(record);
+  plan_adopted_at_ = now;
+  waiting_job_placed_ = false;
   progress_.assign(plan().moves.size(), {});
   events_.emplace_back(PlanBegun{plan()});
 }
 
-// ---- steps ----
+// ---- advancing the moves ----
 
 void MoveExecutor::advance(std::int64_t wall_ms, double now) {
   if (!journal_.has_plan()) return;
   update_steps(now);
   if (is_done()) {
-    return end_plan(PlanDone{plan().id, plan().job, now - plan_known_since_}, now);
+    return end_plan(PlanDone{plan().id, plan().job, now - plan_adopted_at_}, now);
   }
   if (const auto reason = drop_reason(wall_ms, now)) return drop(*reason, now);
-  if (journal_.is_durable() && knows_fleet(now)) {
+  if (journal_.is_durable() && have_machines_reported(now)) {
     begin_moves(wall_ms, now);
-    stop_drained(now);
+    begin_stopping_drained(now);
     request_stops(now);
   }
   update_reservations();
@@ -124,27 +126,30 @@
     if (is_over(step)) end_move(i, now);
   }
   const sched::Job* waiting = cluster_.job(plan().job);
-  placed_ = placed_ || (waiting != nullptr && is_placed(*waiting, plan()));
+  waiting_job_placed_ =
+      waiting_job_placed_ || (waiting != nullptr && is_waiting_job_placed(*waiting, plan()));
 }
 
-// The waiting job has its room, and no move is under way; those that have not begun are not needed.
+// The plan is done when the waiting job is placed and no move is in progress; moves that have not
+// begun are not needed.
 bool MoveExecutor::is_done() const {
   const auto& moves = plan().moves;
-  return placed_ && std::none_of(moves.begin(), moves.end(),
-                                 [](const PlannedMove& move) { return is_interrupted(move.step); });
+  return waiting_job_placed_ &&
+         std::none_of(moves.begin(), moves.end(),
+                      [](const PlannedMove& move) { return is_interrupted(move.step); });
 }
 
 std::optional<DropReason> MoveExecutor::drop_reason(std::int64_t wall_ms, double now) {
-  auto reason = drop_reason_by_records(cluster_, plan(), placed_, wall_ms, now);
-  if (!reason && knows_fleet(now)) {
-    reason = drop_reason_by_fleet(cluster_, plan(), placed_, rules(now), now);
+  auto reason = drop_reason_by_records(cluster_, plan(), waiting_job_placed_, wall_ms, now);
+  if (!reason && have_machines_reported(now)) {
+    reason = drop_reason_by_fleet(cluster_, plan(), waiting_job_placed_, rules(now), now);
   }
-  if (!reason && is_drain_refused_for_good(now)) reason = DropReason::drain_refused;
+  if (!reason && is_drain_refusal_final(now)) reason = DropReason::drain_refused;
   return reason;
 }
 
 void MoveExecutor::begin_moves(std::int64_t wall_ms, double now) {
-  if (placed_) return;
+  if (waiting_job_placed_) return;
   const auto& moves = plan().moves;
   for (std::size_t i = 0; i < moves.size(); ++i) {
     if (moves[i].step != MoveStep::reserved) continue;
@@ -158,20 +163,20 @@
 
 void MoveExecutor::begin_move(std::size_t index, std::int64_t wall_ms, double now) {
   PlannedMove& move = plan().moves[index];
-  const bool is_replica = moves_replica(cluster_, move);
+  const bool is_replica = is_replica_move(cluster_, move);
   move.step = is_replica ? MoveStep::draining : MoveStep::stopping;
-  progress_[index].begun = now;
+  progress_[index].begun_at = now;
   if (is_replica) progress_[index].drain.begin(now);
-  budget_.began(move.task.job, now);
-  journal_.wanted().past.push_back({move.task.job, wall_ms});
+  budget_.record_begin(move.task.job, now);
+  journal_.desired().past.push_back({move.task.job, wall_ms});
 }
 
-// A replica whose drain holds is to be stopped; the stop is written down first.
-void MoveExecutor::stop_drained(double now) {
+// A replica whose drain is in force is to be stopped; the stop is stored before it is requested.
+void MoveExecutor::begin_stopping_drained(double now) {
   auto& moves = plan().moves;
   for (std::size_t i = 0; i < moves.size(); ++i) {
     if (moves[i].step != MoveStep::draining) continue;
-    if (progress_[i].drain.holds(now)) moves[i].step = MoveStep::stopping;
+    if (progress_[i].drain.is_in_force(now)) moves[i].step = MoveStep::stopping;
   }
 }
 
@@ -187,10 +192,10 @@
 void MoveExecutor::request_stop(std::size_t index, sched::Placement& placement, double now) {
   const bool was_stopping = placement.stop;
   const PlannedMove& move = plan().moves[index];
-  if (moves_replica(cluster_, move)) {
-    // A new leader has to hear of the drain itself.
+  if (is_replica_move(cluster_, move)) {
+    // A new leader has to obtain the drain confirmation itself.
     const ReplicaDrain& drain = progress_[index].drain;
-    if (drain.holds(now)) {
+    if (drain.is_in_force(now)) {
       placement.request_drained_stop(drain.drained_until(), now);
     }
   } else {
@@ -204,45 +209,45 @@
 void MoveExecutor::end_move(std::size_t index, double now) {
   const PlannedMove& move = plan().moves[index];
   Progress& progress = progress_[index];
-  if (progress.begun == 0 || std::exchange(progress.ended, true)) return;
-  const double took_s = now - progress.begun;
-  budget_.ended(move.task.job, took_s);
+  if (progress.begun_at == 0 || std::exchange(progress.ended, true)) return;
+  const double took_s = now - progress.begun_at;
+  budget_.record_end(move.task.job, took_s);
   if (is_over(move.step)) events_.emplace_back(MoveEnded{move, took_s});
 }
 
-// ---- the end of a plan ----
+// ---- ending a plan ----
 
 void MoveExecutor::drop(DropReason reason, double now) {
   if (!journal_.has_plan()) return;
-  // Guards against a plan for the same job that is dropped for the same reason at once.
+  // Prevents a new plan for the same job from being dropped immediately for the same reason.
   if (const auto* job = cluster_.job(plan().job)) {
-    next_plan_at_[plan().job] = now + shortest_boot_s(cluster_, *job);
+    next_plan_allowed_at_[plan().job] = now + shortest_boot_s(cluster_, *job);
   }
   const auto& moves = plan().moves;
-  const auto undone = std::count_if(moves.begin(), moves.end(), [](const PlannedMove& move) {
+  const auto unfinished = std::count_if(moves.begin(), moves.end(), [](const PlannedMove& move) {
     return move.step != MoveStep::done;
   });
-  end_plan(PlanDropped{plan().id, plan().job, now - plan_known_since_,
-                       static_cast<std::size_t>(undone), reason},
+  end_plan(PlanDropped{plan().id, plan().job, now - plan_adopted_at_,
+                       static_cast<std::size_t>(unfinished), reason},
            now);
 }
 
 void MoveExecutor::end_plan(PlanEvent event, double now) {
   for (std::size_t i = 0; i < plan().moves.size(); ++i) {
-    take_back_drain(i);
+    cancel_drain(i);
     end_move(i, now);
   }
   events_.push_back(std::move(event));
-  journal_.wanted().plan.reset();
+  journal_.desired().plan.reset();
   progress_.clear();
-  placed_ = false;
+  waiting_job_placed_ = false;
   update_reservations();
 }
 
-// Only the stored plan holds resources.
+// Only a stored plan holds reservations.
 void MoveExecutor::update_reservations() {
   std::vector<sched::Reservation> reservations;
-  if (journal_.is_durable()) reservations = reservations_for(cluster_, plan(), placed_);
+  if (journal_.is_durable()) reservations = reservations_for(cluster_, plan(), waiting_job_placed_);
   if (reservations == cluster_.reservations().all()) return;
   cluster_.set_reservations(sched::Reservations(std::move(reservations)));
   changed_ = true;
@@ -251,13 +256,13 @@
 // ---- drains ----
 
 bool MoveExecutor::needs_drain(const PlannedMove& move) {
-  const bool before_stop = move.step == MoveStep::draining || move.step == MoveStep::stopping;
-  return before_stop && moves_replica(cluster_, move) && is_on_source(cluster_, move);
+  const bool is_before_stop = move.step == MoveStep::draining || move.step == MoveStep::stopping;
+  return is_before_stop && is_replica_move(cluster_, move) && is_on_source(cluster_, move);
 }
 
 std::vector<DrainRequest> MoveExecutor::take_due_drains(double now) {
-  std::vector<DrainRequest> due = std::exchange(drains_to_take_back_, {});
-  if (!journal_.has_plan() || !knows_fleet(now)) return due;
+  std::vector<DrainRequest> due = std::exchange(drains_to_cancel_, {});
+  if (!journal_.has_plan() || !have_machines_reported(now)) return due;
   const auto& settings = cluster_.settings();
   const auto& moves = plan().moves;
   for (std::size_t i = 0; i < moves.size(); ++i) {
@@ -282,16 +287,16 @@
 }
 
 void MoveExecutor::record_drain_answer(const DrainRequest& request,
-                                       const std::optional<DrainAnswer>& answer, double sent,
+                                       const std::optional<DrainAnswer>& answer, double sent_at,
                                        double now) {
   if (!journal_.has_plan()) return;
   const auto index = find_move(request);
   if (!index) return;
   const double lease_s = cluster_.settings().lease_s;
-  switch (progress_[*index].drain.record_answer(request, answer, sent, now, lease_s)) {
+  switch (progress_[*index].drain.record_answer(request, answer, sent_at, now, lease_s)) {
     case ReplicaDrain::Result::refused:
       return handle_drain_refused(*index, now);
-    case ReplicaDrain::Result::late:
+    case ReplicaDrain::Result::timed_out:
       return drop(DropReason::drain_late, now);
     case ReplicaDrain::Result::pending:
     case ReplicaDrain::Result::drained:
@@ -299,8 +304,9 @@
   }
 }
 
-// A replica whose stop was sent may be gone, and unknown to the router, before this leader hears of
-// it: its next heartbeat tells. Until then it counts as in service, and its stop is taken back.
+// If the stop of a replica was already sent, the replica may have ended, and the router may have
+// removed it, before this leader receives the heartbeat that shows it. Until the next heartbeat the
+// replica counts as in service, and its stop is revoked.
 void MoveExecutor::handle_drain_refused(std::size_t index, double now) {
   const PlannedMove& move = plan().moves[index];
   if (move.step != MoveStep::stopping) return drop(DropReason::drain_refused, now);
@@ -310,24 +316,24 @@
   }
 }
 
-bool MoveExecutor::is_drain_refused_for_good(double now) const {
+bool MoveExecutor::is_drain_refusal_final(double now) const {
   const double interval_s = cluster_.settings().heartbeat_interval_s;
   for (std::size_t i = 0; i < progress_.size(); ++i) {
     if (plan().moves[i].step != MoveStep::stopping) continue;
-    if (progress_[i].drain.is_revoked_for_good(now, interval_s)) return true;
+    if (progress_[i].drain.is_revocation_final(now, interval_s)) return true;
   }
   return false;
 }
 
-void MoveExecutor::take_back_drain(std::size_t index) {
+void MoveExecutor::cancel_drain(std::size_t index) {
   const PlannedMove& move = plan().moves[index];
   auto* placement = source_placement(cluster_, move);
-  const bool is_drained = moves_replica(cluster_, move) && progress_[index].drain.was_requested();
+  const bool is_drained = is_replica_move(cluster_, move) && progress_[index].drain.was_requested();
   if (!is_drained || placement == nullptr) return;
   placement->revoke_drained_stop();
   const auto* machine = cluster_.machine(move.source);
   const std::string address = machine != nullptr ? machine->address : "";
-  drains_to_take_back_.push_back({move.task, move.attempt, move.source, address, 0, 0});
+  drains_to_cancel_.push_back({move.task, move.attempt, move.source, address, 0, 0});
 }
 
 }  // namespace cranklock::defrag
--- a/src/defrag/move_plan.cpp
+++ b/src/defrag/move_plan.cpp
@@ -58,7 +58,7 @@
   return PlannedMove{*task, *attempt, *source, *target, *step};
 }
 
-/// The elements of a list; nothing if it is none, or one of them is malformed.
+/// The elements of a JSON array; no value if it is not an array or an element is malformed.
 template <typename Element>
 std::optional<std::vector<Element>> read_list(const Json& object, const char* name,
                                               std::optional<Element> (*read)(const Json&)) {
--- a/src/defrag/move_plan.hpp
+++ b/src/defrag/move_plan.hpp
@@ -1,5 +1,5 @@
-// A plan of moves as it stands in the state service: for whom room is made, what moves whither, and
-// how far each move is. Pure data and its JSON.
+// A plan of moves as stored in the state service: the waiting job, the moves, and the step of each
+// move. Pure data and its JSON encoding.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +11,29 @@
 
 namespace cranklock::defrag {
 
-/// How far one task's move is. What a record says of it is for people and for budgets; what is true
-/// is derived from placements and reports (invariant 19).
+/// The step of one task's move. The recorded step serves operators and budgets; the actual step is
+/// derived from placements and heartbeats (invariant 19).
 enum class MoveStep {
-  reserved,    ///< its target's room is held; nothing has been asked of anybody
-  draining,    ///< a replica: the router has been asked to keep new requests from it
-  stopping,    ///< its stop is written down and may be sent at any time
-  freed,       ///< its source is proven free, and it waits for its target
-  restarting,  ///< it is placed on its target
-  done,        ///< it runs there, or was completed meanwhile
-  diverted,    ///< it left its source by itself, or went elsewhere: nothing more to do
+  reserved,    ///< resources on the target are reserved; no request has been sent
+  draining,    ///< a replica: the router has been requested to send it no new requests
+  stopping,    ///< the stop is recorded and may be sent at any time
+  freed,       ///< the source is confirmed free; not placed on the target yet
+  restarting,  ///< placed on the target
+  done,        ///< running on the target, or completed meanwhile
+  diverted,    ///< left the source on its own, or was placed elsewhere; the move ends
 };
-/// Nothing more is to be done for the move.
+/// The move needs no further action.
 constexpr bool is_over(MoveStep step) {
   return step == MoveStep::done || step == MoveStep::diverted;
 }
-/// Its source may have been told to stop it, and it does not run again yet.
+/// The source may have been instructed to stop the task, and the task does not run again yet.
 constexpr bool is_interrupted(MoveStep step) {
   return step == MoveStep::stopping || step == MoveStep::freed || step == MoveStep::restarting;
 }
 const char* to_string(MoveStep step);
 std::optional<MoveStep> parse_move_step(const std::string& name);
 
-/// One task's way to another machine. The attempt tells this placement from all others of the task.
+/// The move of one task to another machine. The attempt identifies the placement that moves.
 struct PlannedMove {
   wire::TaskName task;
   std::uint64_t attempt = 0;
@@ -42,7 +42,7 @@
   bool operator==(const PlannedMove&) const = default;
 };
 
-/// Tasks of the waiting job that are meant for one machine.
+/// Number of tasks of the waiting job planned for one machine.
 struct PlannedPlace {
   std::string machine;
   std::uint32_t tasks = 1;
@@ -50,24 +50,24 @@
 };
 
 struct MovePlan {
-  std::string id;   ///< of the plan, unique in the region: fencing token and number
-  std::string job;  ///< that waits
+  std::string id;   ///< unique in the region: fencing token and number
+  std::string job;  ///< the waiting job
   std::int64_t begun_ms = 0;
-  double cost_s = 0;  ///< seconds of work, when it was begun
-  double boot_s = 0;  ///< what waiting for machines would cost instead, for all tasks together
+  double cost_s = 0;  ///< seconds of work lost, as estimated when the plan was begun
+  double boot_s = 0;  ///< cost of waiting for new machines instead, summed over all tasks
   std::vector<PlannedPlace> places;
   std::vector<PlannedMove> moves;
   bool operator==(const MovePlan&) const = default;
 };
 
-/// A move that a job has made, for its budget.
+/// A past move of a job, counted against its budget.
 struct PastMove {
   std::string job;
   std::int64_t begun_ms = 0;
   bool operator==(const PastMove&) const = default;
 };
 
-/// All that is stored of moves in a region, under one key: at most one plan, and the moves of the
+/// The stored state of moves in a region, under one key: at most one plan, and the moves of the
 /// last hour.
 struct MoveRecord {
   std::optional<MovePlan> plan;
@@ -76,7 +76,7 @@
 };
 
 std::string write_move_record(const MoveRecord& record);
-/// Nothing if it is malformed.
+/// Returns no value if the text is malformed.
 std::optional<MoveRecord> read_move_record(const std::string& text);
 
 }  // namespace cranklock::defrag
--- a/src/defrag/move_progress.cpp
+++ b/src/defrag/move_progress.cpp
@@ -16,7 +16,7 @@
   return source_placement(cluster, move) != nullptr;
 }
 
-bool moves_replica(ClusterState& cluster, const PlannedMove& move) {
+bool is_replica_move(ClusterState& cluster, const PlannedMove& move) {
   const sched::Job* job = cluster.job(move.task.job);
   return job != nullptr && job->spec.kind == wire::JobKind::service;
 }
--- a/src/defrag/move_progress.hpp
+++ b/src/defrag/move_progress.hpp
@@ -1,4 +1,4 @@
-// How far a move is, by where its task is. Pure: no I/O.
+// Determines the step of a move from where its task is placed. Pure: no I/O.
 #pragma once
 
 #include "defrag/move_plan.hpp"
@@ -6,16 +6,16 @@
 
 namespace cranklock::defrag {
 
-/// Whether the source's resources are still held by the placement that is to move.
+/// Whether the placement to be moved still holds resources on the source.
 bool is_on_source(sched::ClusterState& cluster, const PlannedMove& move);
-/// That placement; nullptr if it is proven gone.
+/// The placement to be moved; nullptr once it is confirmed to have ended.
 sched::Placement* source_placement(sched::ClusterState& cluster, const PlannedMove& move);
 /// Whether the task is a replica of a service.
-bool moves_replica(sched::ClusterState& cluster, const PlannedMove& move);
+bool is_replica_move(sched::ClusterState& cluster, const PlannedMove& move);
 
-/// The step at which the move is now. It follows from placements, so that a successor that reads
-/// the same record comes to the same step; the recorded step decides only whether the task left its
-/// source on our request.
+/// The current step of the move. It follows from placements, so a successor that reads the same
+/// record derives the same step; the recorded step only decides whether the task left its source
+/// because of the plan.
 MoveStep current_step(sched::ClusterState& cluster, const PlannedMove& move);
 
 }  // namespace cranklock::defrag
--- a/src/defrag/plan_check.cpp
+++ b/src/defrag/plan_check.cpp
@@ -17,13 +17,13 @@
   return move.step != MoveStep::reserved && !is_over(move.step);
 }
 
-/// Its target's room is still to be taken.
-bool is_due_at_target(const PlannedMove& move) {
+/// Whether the move does not occupy its target yet, and will.
+bool needs_target_capacity(const PlannedMove& move) {
   return move.step != MoveStep::restarting && !is_over(move.step);
 }
 
-/// Whether the machine takes work, and has so much room beside what is on it.
-bool has_room(ClusterState& cluster, const std::string& id, const wire::Resources& resources) {
+/// Whether the machine is schedulable and has these resources free.
+bool has_capacity(ClusterState& cluster, const std::string& id, const wire::Resources& resources) {
   const auto* machine = cluster.machine(id);
   const auto* type = machine != nullptr ? cluster.type(machine->kind.type) : nullptr;
   return type != nullptr && sched::is_schedulable(cluster, *machine) &&
@@ -39,7 +39,7 @@
     if (move.source != place.machine || !is_on_source(cluster, move)) continue;
     wanted -= cluster.job(move.task.job)->spec.resources;
   }
-  return !has_room(cluster, place.machine, wanted);
+  return !has_capacity(cluster, place.machine, wanted);
 }
 
 bool target_allows(ClusterState& cluster, const PlannedMove& move, const sched::Job& job) {
@@ -54,26 +54,26 @@
   std::map<std::string, wire::Resources> wanted;  // by target
   for (const auto& move : plan.moves) {
     const sched::Job* job = cluster.job(move.task.job);
-    if (job == nullptr || !is_due_at_target(move) || (placed && !has_begun(move))) continue;
+    if (job == nullptr || !needs_target_capacity(move) || (placed && !has_begun(move))) continue;
     if (!target_allows(cluster, move, *job)) return true;
     wanted[move.target] += job->spec.resources;
   }
   return std::any_of(wanted.begin(), wanted.end(), [&](const auto& target) {
-    return !has_room(cluster, target.first, target.second);
+    return !has_capacity(cluster, target.first, target.second);
   });
 }
 
-/// What the moves that have not begun would cost now.
+/// The current cost of the moves that have not begun.
 double remaining_cost(ClusterState& cluster, const MovePlan& plan, const MoveRules& rules,
                       double now) {
   double cost = 0;
   for (const auto& move : plan.moves) {
     if (move.step != MoveStep::reserved || !is_on_source(cluster, move)) continue;
     const sched::Job& job = *cluster.job(move.task.job);
-    MoveRules any_number = rules;
-    any_number.allowance = nullptr;  // asked when the move begins
+    MoveRules unlimited = rules;
+    unlimited.remaining_moves = nullptr;  // checked when the move begins
     const auto* placement = job.live_placement(move.task.index);
-    cost += move_cost(cluster, job, *placement, any_number, now).value_or(0);
+    cost += move_cost(cluster, job, *placement, unlimited, now).value_or(0);
   }
   return cost;
 }
@@ -104,11 +104,11 @@
   return "";
 }
 
-double max_plan_s(const base::Settings& settings) {
+double max_plan_duration_s(const base::Settings& settings) {
   return 2 * settings.cancel_s;
 }
 
-bool is_placed(const sched::Job& job, const MovePlan& plan) {
+bool is_waiting_job_placed(const sched::Job& job, const MovePlan& plan) {
   if (job.spec.kind == wire::JobKind::gang) return job.live() > 0;
   if (job.pending_count() == 0) return true;
   return std::any_of(job.placements.begin(), job.placements.end(), [&](const auto& placement) {
@@ -121,13 +121,14 @@
 
 std::optional<DropReason> drop_reason_by_records(ClusterState& cluster, const MovePlan& plan,
                                                  bool placed, std::int64_t wall_ms, double now) {
-  // A clock of the day that is behind the former leader's makes a plan end late by as much.
+  // If this leader's wall clock is behind that of the leader that began the plan, the plan times
+  // out later by the difference.
   const double age_s = static_cast<double>(wall_ms - plan.begun_ms) / 1000;
-  if (age_s > max_plan_s(cluster.settings())) return DropReason::timed_out;
+  if (age_s > max_plan_duration_s(cluster.settings())) return DropReason::timed_out;
   if (placed) return std::nullopt;
   const sched::Job* waiting = cluster.job(plan.job);
   if (waiting == nullptr || waiting->cancelled()) return DropReason::job_ended;
-  if (!waits_for_room(cluster, *waiting, now)) return DropReason::no_gain;
+  if (!waits_only_for_capacity(cluster, *waiting, now)) return DropReason::no_gain;
   return std::nullopt;
 }
 
@@ -136,7 +137,7 @@
   if (is_target_unavailable(cluster, plan, placed)) return DropReason::target_unavailable;
   if (placed) return std::nullopt;
   const sched::Job& waiting = *cluster.job(plan.job);
-  if (room_is_coming(cluster, waiting)) return DropReason::no_gain;
+  if (has_booting_capacity(cluster, waiting)) return DropReason::no_gain;
   const bool any_host_unavailable =
       std::any_of(plan.places.begin(), plan.places.end(), [&](const PlannedPlace& place) {
         return is_host_unavailable(cluster, plan, waiting, place);
--- a/src/defrag/plan_events.hpp
+++ b/src/defrag/plan_events.hpp
@@ -1,4 +1,4 @@
-// What operators are told of the plan that is carried out. The leader writes each as a log line.
+// Events of the plan in progress for operators. The leader logs each one.
 #pragma once
 
 #include <cstddef>
@@ -10,19 +10,19 @@
 
 namespace cranklock::defrag {
 
-/// A new leader goes on with a stored plan.
+/// A new leader continues a stored plan.
 struct PlanTakenOver {
   std::string plan;
   std::string job;
   std::size_t moves = 0;
 };
 
-/// A plan was made; it is carried out once it is stored.
+/// A plan was created; its moves begin once it is stored.
 struct PlanBegun {
   MovePlan plan;
 };
 
-/// The waiting job has its room, and no move is under way.
+/// The waiting job is placed, and no move is in progress.
 struct PlanDone {
   std::string plan;
   std::string job;
@@ -37,7 +37,7 @@
   DropReason reason = DropReason::disabled;
 };
 
-/// A move that was begun is over: its step is `done` or `diverted`.
+/// A move that had begun ended at step `done` or `diverted`.
 struct MoveEnded {
   PlannedMove move;
   double took_s = 0;
--- a/src/defrag/plan_journal.cpp
+++ b/src/defrag/plan_journal.cpp
@@ -7,7 +7,7 @@
 namespace cranklock::defrag {
 
 bool PlanJournal::is_durable() const {
-  return wanted_.plan && stored_.plan && stored_.plan->id == wanted_.plan->id;
+  return desired_.plan && stored_.plan && stored_.plan->id == desired_.plan->id;
 }
 
 bool PlanJournal::is_stop_durable(std::size_t move) const {
@@ -17,21 +17,21 @@
 }
 
 std::optional<MoveRecord> PlanJournal::pending_write() const {
-  if (!wanted_.plan) {
+  if (!desired_.plan) {
     if (!stored_.plan) return std::nullopt;
-    return wanted_;
+    return desired_;
   }
-  if (!is_durable()) return wanted_;
-  for (std::size_t i = 0; i < wanted_.plan->moves.size(); ++i) {
-    if (wanted_.plan->moves[i].step == MoveStep::stopping && !is_stop_durable(i)) return wanted_;
+  if (!is_durable()) return desired_;
+  for (std::size_t i = 0; i < desired_.plan->moves.size(); ++i) {
+    if (desired_.plan->moves[i].step == MoveStep::stopping && !is_stop_durable(i)) return desired_;
   }
   return std::nullopt;
 }
 
-void PlanJournal::forget_past(std::int64_t wall_ms, double clock_error_s) {
-  const double span_s = kBudgetSpan + 2 * clock_error_s;
-  std::erase_if(wanted_.past, [&](const PastMove& move) {
-    return static_cast<double>(wall_ms - move.begun_ms) / 1000 > span_s;
+void PlanJournal::prune_past_moves(std::int64_t wall_ms, double clock_error_s) {
+  const double window_s = kBudgetWindowS + 2 * clock_error_s;
+  std::erase_if(desired_.past, [&](const PastMove& move) {
+    return static_cast<double>(wall_ms - move.begun_ms) / 1000 > window_s;
   });
 }
 
--- a/src/defrag/plan_journal.hpp
+++ b/src/defrag/plan_journal.hpp
@@ -1,4 +1,4 @@
-// What the leader wants stored of its plan of moves, against what is stored. Pure: no I/O.
+// The desired state of the leader's plan of moves versus the stored state. Pure: no I/O.
 #pragma once
 
 #include <cstddef>
@@ -9,33 +9,34 @@
 
 namespace cranklock::defrag {
 
-/// Write ahead for plans: a plan is carried out, and a task stopped for it, only once the record
-/// that says so is stored. So a successor knows of every move whose task may have left its source.
+/// Write-ahead log for plans: a plan is carried out, and a task is stopped for it, only once the
+/// record that allows it is stored. A successor therefore knows every move whose task may have left
+/// its source.
 class PlanJournal {
  public:
-  /// What is stored when a leader term begins.
-  void load(const MoveRecord& stored) { wanted_ = stored_ = stored; }
-
-  /// What should be stored.
-  MoveRecord& wanted() { return wanted_; }
-  const MoveRecord& wanted() const { return wanted_; }
-  bool has_plan() const { return wanted_.plan.has_value(); }
-  /// Whether a plan is stored, be it one that is over.
+  /// Sets the stored state at the start of a leader term.
+  void load(const MoveRecord& stored) { desired_ = stored_ = stored; }
+
+  /// The record that should be stored.
+  MoveRecord& desired() { return desired_; }
+  const MoveRecord& desired() const { return desired_; }
+  bool has_plan() const { return desired_.plan.has_value(); }
+  /// Whether a plan is stored, even one that has ended.
   bool has_stored_plan() const { return stored_.plan.has_value(); }
 
-  /// Whether the present plan is stored.
+  /// Whether the current plan is stored.
   bool is_durable() const;
-  /// Whether it is stored that the task of this move may be stopped.
+  /// Whether the stored record allows to stop the task of this move.
   bool is_stop_durable(std::size_t move) const;
-  /// What has to be written now; none: what is stored will do.
+  /// The record to write now; none if the stored record is sufficient.
   std::optional<MoveRecord> pending_write() const;
   /// A write of this record has succeeded.
   void record_stored(const MoveRecord& record) { stored_ = record; }
-  /// Forgets moves that no longer count for the budget of their job.
-  void forget_past(std::int64_t wall_ms, double clock_error_s);
+  /// Removes moves that no longer count against the budget of their job.
+  void prune_past_moves(std::int64_t wall_ms, double clock_error_s);
 
  private:
-  MoveRecord wanted_;
+  MoveRecord desired_;
   MoveRecord stored_;
 };
 
--- a/src/defrag/plan_reservations.cpp
+++ b/src/defrag/plan_reservations.cpp
@@ -19,10 +19,11 @@
     const sched::Job* job = cluster.job(move.task.job);
     const bool needed = is_interrupted(move.step) || (!placed && !is_over(move.step));
     if (job == nullptr || !needed) continue;
-    // Guards against a job that waits though other work has ended on the target meanwhile.
-    const std::string yields_to = is_interrupted(move.step) ? "" : plan.job;
+    // Until the task is stopped, the waiting job may use the reservation: if other work on the
+    // target ends, the job can be placed there without the move.
+    const std::string also_usable_by = is_interrupted(move.step) ? "" : plan.job;
     reservations.push_back(
-        {move.target, move.task.job, move.task.index, job->spec.resources, yields_to});
+        {move.target, move.task.job, move.task.index, job->spec.resources, also_usable_by});
   }
   return reservations;
 }
--- a/src/defrag/plan_reservations.hpp
+++ b/src/defrag/plan_reservations.hpp
@@ -1,4 +1,4 @@
-// The resources that a stored plan of moves holds. Pure: no I/O.
+// The resources reserved by a stored plan of moves. Pure: no I/O.
 #pragma once
 
 #include <vector>
@@ -9,8 +9,8 @@
 
 namespace cranklock::defrag {
 
-/// What the plan holds on machines: for the waiting job until it is placed, and on the target of
-/// each move that is under way or may still begin.
+/// The reservations of the plan: for the waiting job until it is placed, and on the target of each
+/// move that is in progress or may still begin.
 std::vector<sched::Reservation> reservations_for(sched::ClusterState& cluster, const MovePlan& plan,
                                                  bool placed);
 
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -13,33 +13,35 @@
 namespace cranklock::defrag {
 namespace {
 
-/// The most entitled first, as placement orders waiting jobs.
-auto entitlement(const sched::Job& job) {
+/// Sort key of waiting jobs, as in placement: the first job has the smallest key.
+auto placement_order(const sched::Job& job) {
   return std::tuple(!job.guaranteed, job.urgency.priority, job.ready_ms);
 }
 
-const sched::Job* most_entitled(sched::ClusterState& cluster,
-                                const std::function<bool(const sched::Job&)>& eligible,
-                                double now) {
+const sched::Job* first_eligible_job(sched::ClusterState& cluster,
+                                     const std::function<bool(const sched::Job&)>& eligible,
+                                     double now) {
   const sched::Job* best = nullptr;
   for (const auto& [id, job] : cluster.jobs()) {
-    if (best != nullptr && entitlement(job) >= entitlement(*best)) continue;
+    if (best != nullptr && placement_order(job) >= placement_order(*best)) continue;
     if (now - job.known_since < shortest_boot_s(cluster, job)) continue;
-    if (waits_for_room(cluster, job, now) && eligible(job)) best = &job;
+    if (waits_only_for_capacity(cluster, job, now) && eligible(job)) best = &job;
   }
   return best;
 }
 
 PlanLimits limits_for(const sched::ClusterState& cluster, double boot_s) {
-  // On a whole core a million looks take some tens of milliseconds; a smaller share looks less far.
-  constexpr double kLooksOnACore = 500'000;
+  // Evaluating a million hosts takes some tens of milliseconds on a whole core; a smaller CPU share
+  // gets a smaller search limit.
+  constexpr double kEvaluatedHostsPerCore = 500'000;
   PlanLimits limits;
-  limits.max_candidates = static_cast<std::size_t>(kLooksOnACore * cluster.settings().core_share);
+  limits.max_evaluated_hosts =
+      static_cast<std::size_t>(kEvaluatedHostsPerCore * cluster.settings().core_share);
   limits.max_cost_s = boot_s;
   return limits;
 }
 
-/// How many such tasks fit into so much room.
+/// How many such tasks fit into these resources.
 double tasks_that_fit(const wire::Resources& task, const wire::Resources& resources) {
   double tasks = wire::kMaxTasks;
   if (task.cpus > 0) tasks = std::min(tasks, std::floor(resources.cpus / task.cpus));
@@ -48,46 +50,47 @@
   return std::max(tasks, 0.0);
 }
 
-/// A job of which the plan moves more tasks than may move; nullptr: there is none.
-const sched::Job* beyond_allowance(sched::ClusterState& cluster, const MoveRules& rules,
-                                   const std::vector<Host>& hosts, const Plan& plan) {
-  if (!rules.allowance) return nullptr;
+/// A job of which the plan moves more tasks than may move; nullptr if there is none.
+const sched::Job* job_over_move_limit(sched::ClusterState& cluster, const MoveRules& rules,
+                                      const std::vector<Host>& hosts, const Plan& plan) {
+  if (!rules.remaining_moves) return nullptr;
   std::map<const sched::Job*, std::size_t> moved;
   for (const auto& move : plan.moves) {
-    const sched::Job* job = cluster.job(hosts[move.from].residents[move.resident].task.job);
-    if (++moved[job] > rules.allowance(*job)) return job;
+    const sched::Job* job = cluster.job(hosts[move.from].hosted_tasks[move.hosted_task].task.job);
+    if (++moved[job] > rules.remaining_moves(*job)) return job;
   }
   return nullptr;
 }
 
 }  // namespace
 
-std::size_t tasks_at_once(const sched::Job& job) {
+std::size_t tasks_placed_together(const sched::Job& job) {
   return job.spec.kind == wire::JobKind::gang ? job.spec.tasks : 1;
 }
 
 double shortest_boot_s(const sched::ClusterState& cluster, const sched::Job& job) {
-  double least = 0;
+  double shortest_s = 0;
   for (const auto& [name, type] : cluster.types()) {
     const auto& allowed = job.spec.types;
     const bool fits =
         allowed.empty() || std::find(allowed.begin(), allowed.end(), name) != allowed.end();
-    if (fits && (least <= 0 || type.ready_s < least)) least = type.ready_s;
+    if (fits && (shortest_s <= 0 || type.ready_s < shortest_s)) shortest_s = type.ready_s;
   }
-  return least;
+  return shortest_s;
 }
 
-bool waits_for_room(const sched::ClusterState& cluster, const sched::Job& job, double now) {
+bool waits_only_for_capacity(const sched::ClusterState& cluster, const sched::Job& job,
+                             double now) {
   if (job.cancelled() || job.complete() || !job.dependencies_met || job.retry.backoff_until > now)
     return false;
   if (job.pending_count() == 0) return false;
-  // The old attempt of a gang must be gone entirely before the next begins.
+  // All tasks of a gang's previous attempt must have ended before the next attempt starts.
   if (job.spec.kind == wire::JobKind::gang && job.live() > 0) return false;
-  const auto tasks = static_cast<double>(tasks_at_once(job));
+  const auto tasks = static_cast<double>(tasks_placed_together(job));
   return sched::within_quota_limit(cluster, job.spec.team, job.spec.resources * tasks);
 }
 
-bool room_is_coming(sched::ClusterState& cluster, const sched::Job& job) {
+bool has_booting_capacity(sched::ClusterState& cluster, const sched::Job& job) {
   double tasks = 0;
   for (const auto& [id, machine] : cluster.machines()) {
     const auto* type = cluster.type(machine.kind.type);
@@ -97,34 +100,34 @@
     if (!sched::allows(job.spec, machine.kind)) continue;
     tasks += tasks_that_fit(job.spec.resources, type->resources - machine.allocated);
   }
-  return tasks >= static_cast<double>(tasks_at_once(job));
+  return tasks >= static_cast<double>(tasks_placed_together(job));
 }
 
 std::optional<FoundPlan> find_plan(sched::ClusterState& cluster, const MoveRules& rules,
                                    const std::function<bool(const sched::Job&)>& eligible,
                                    double now) {
-  const sched::Job* job = most_entitled(cluster, eligible, now);
+  const sched::Job* job = first_eligible_job(cluster, eligible, now);
   if (job == nullptr) return std::nullopt;
-  const Demand demand{&job->spec, tasks_at_once(*job)};
+  const Demand demand{&job->spec, tasks_placed_together(*job)};
   const double boot_s = shortest_boot_s(cluster, *job) * static_cast<double>(demand.tasks);
-  // A job that would have to move more than it may stays in the next try.
-  constexpr int kTries = 3;
-  std::set<const sched::Job*> stays;
-  for (int tries = 0; tries < kTries; ++tries) {
+  // A job that the plan moves beyond its limit is excluded from moving in the next search.
+  constexpr int kMaxSearches = 3;
+  std::set<const sched::Job*> excluded_jobs;
+  for (int searches = 0; searches < kMaxSearches; ++searches) {
     MoveRules allowed = rules;
-    if (!stays.empty()) {
-      allowed.allowance = [&](const sched::Job& other) {
-        return stays.contains(&other) ? std::size_t{0} : rules.allowance(other);
+    if (!excluded_jobs.empty()) {
+      allowed.remaining_moves = [&](const sched::Job& other) {
+        return excluded_jobs.contains(&other) ? std::size_t{0} : rules.remaining_moves(other);
       };
     }
     FoundPlan found{job, view_fleet(cluster, allowed, now), {}, boot_s};
-    auto planned = plan_moves(found.hosts, demand, limits_for(cluster, boot_s));
-    // Without a move there is room already: the next placement pass uses it.
-    if (!planned.plan || planned.plan->moves.empty()) return std::nullopt;
-    found.plan = std::move(*planned.plan);
-    const sched::Job* beyond = beyond_allowance(cluster, rules, found.hosts, found.plan);
-    if (beyond == nullptr) return found;
-    stays.insert(beyond);
+    auto result = plan_moves(found.hosts, demand, limits_for(cluster, boot_s));
+    // A plan without moves means that capacity is already free: the next placement pass uses it.
+    if (!result.plan || result.plan->moves.empty()) return std::nullopt;
+    found.plan = std::move(*result.plan);
+    const sched::Job* over_limit = job_over_move_limit(cluster, rules, found.hosts, found.plan);
+    if (over_limit == nullptr) return found;
+    excluded_jobs.insert(over_limit);
   }
   return std::nullopt;
 }
@@ -144,7 +147,7 @@
   }
   for (const auto& move : found.plan.moves) {
     const Host& source = found.hosts[move.from];
-    const auto& task = source.residents[move.resident].task;
+    const auto& task = source.hosted_tasks[move.hosted_task].task;
     const auto* placement = cluster.job(task.job)->live_placement(task.index);
     plan.moves.push_back({task, placement->attempt, source.id, found.hosts[move.to].id});
   }
--- a/src/defrag/plan_search.hpp
+++ b/src/defrag/plan_search.hpp
@@ -1,4 +1,5 @@
-// For whom moves would make room, and which. Pure: no I/O, time passed in.
+// Selects the waiting job to free capacity for, and searches for the moves. Pure: no I/O, time
+// passed in.
 #pragma once
 
 #include <cstddef>
@@ -15,35 +16,36 @@
 
 namespace cranklock::defrag {
 
-/// A plan for one waiting job, in indices of the hosts.
+/// A plan for one waiting job, as indices into `hosts`.
 struct FoundPlan {
   const sched::Job* job = nullptr;
   std::vector<Host> hosts;
   Plan plan;
-  double boot_s = 0;  ///< what waiting for machines would cost instead, for all tasks together
+  double boot_s = 0;  ///< cost of waiting for new machines instead, summed over all tasks
 };
 
-/// Tasks of the job that have to be placed together.
-std::size_t tasks_at_once(const sched::Job& job);
+/// Number of tasks of the job that have to be placed together.
+std::size_t tasks_placed_together(const sched::Job& job);
 
-/// The shortest boot of any machine type that the job may use.
+/// The shortest boot time of the machine types that the job may use.
 double shortest_boot_s(const sched::ClusterState& cluster, const sched::Job& job);
 
-/// Whether the job waits for room alone, however long it has waited: it may start now, and its team
+/// Whether the job lacks only capacity, however long it has waited: it may start now, and its team
 /// is within its limit.
-bool waits_for_room(const sched::ClusterState& cluster, const sched::Job& job, double now);
+bool waits_only_for_capacity(const sched::ClusterState& cluster, const sched::Job& job, double now);
 
-/// Whether machines that boot now will hold all of its tasks: then moves gain nothing.
-bool room_is_coming(sched::ClusterState& cluster, const sched::Job& job);
+/// Whether booting machines will hold the tasks that have to be placed together, so that moves gain
+/// nothing.
+bool has_booting_capacity(sched::ClusterState& cluster, const sched::Job& job);
 
-/// The cheapest plan for the most entitled job that has waited for room for as long as a machine
-/// boots; none where no plan costs less than that boot for each of its tasks. `eligible` says for
-/// which jobs plans are looked for.
+/// The cheapest plan found for the first job in placement order that has lacked only capacity for
+/// as long as a machine boots; none if no plan costs less than that boot time for each of its
+/// tasks. `eligible` filters the jobs to plan for.
 std::optional<FoundPlan> find_plan(sched::ClusterState& cluster, const MoveRules& rules,
                                    const std::function<bool(const sched::Job&)>& eligible,
                                    double now);
 
-/// The found plan in names, with all its moves still to begin. `id` is unique in the region.
+/// Converts the found plan to names, with no move begun. `id` must be unique in the region.
 MovePlan make_move_plan(const FoundPlan& found, const std::string& id, std::int64_t wall_ms,
                         sched::ClusterState& cluster);
 
--- a/src/defrag/planner.hpp
+++ b/src/defrag/planner.hpp
@@ -1,4 +1,5 @@
-// Plans of moves that make room for work which found none. Pure: no I/O, nothing is changed.
+// Plans moves that free capacity for tasks that could not be placed. Pure: no I/O, changes no
+// state.
 #pragma once
 
 #include <cstddef>
@@ -13,76 +14,79 @@
 
 namespace cranklock::defrag {
 
-/// A task on a machine.
-struct Resident {
+/// A task placed on a machine.
+struct HostedTask {
   wire::TaskName task;
   const wire::JobSpec* spec = nullptr;
-  /// Seconds of its work or service that a move costs, without the fetch of its image; none: it
-  /// stays.
+  /// Seconds of work or service that a move costs, without fetching its image on the target; none
+  /// if it must not move.
   std::optional<double> move_cost_s;
-  /// It may only move within its zone: the job's zone rules count both copies while it moves.
+  /// May only move within its zone: the zone rules of its job count both copies during the move.
   bool zone_bound = false;
 };
 
-/// A machine, as far as plans concern it.
+/// A machine, as far as planning needs it.
 struct Host {
   std::string id;
   sched::MachineKind kind;
   wire::Resources free;
-  std::vector<Resident> residents;
+  std::vector<HostedTask> hosted_tasks;
   std::set<std::string> images;
   double fetch_gb_per_s = 1;
-  /// New work may be put on it.
-  bool receives = true;
+  /// Whether new tasks may be placed on it.
+  bool accepts_tasks = true;
 };
 
-/// Tasks of one job that wait, all to be placed at once.
+/// Waiting tasks of one job, to be placed together.
 struct Demand {
   const wire::JobSpec* spec = nullptr;
   std::size_t tasks = 1;
 };
 
-/// What a plan may cost, and how long it may be looked for.
+/// Limits on a plan and on the search for it.
 struct PlanLimits {
   std::size_t max_moves = 64;
-  /// A plan that costs more is not worth it: waiting, for a boot say, would cost less.
+  /// A plan that costs more is not worthwhile: waiting, for example for a machine to boot, costs
+  /// less.
   double max_cost_s = 1e9;
-  /// Machines looked at, all searches together; bounds the planner's time.
-  std::size_t max_candidates = 1'000'000;
+  /// Maximum number of host evaluations over all searches; limits the planning time.
+  std::size_t max_evaluated_hosts = 1'000'000;
 };
 
-/// One resident's way to another machine. The room there is taken before the old room is free.
+/// The move of one hosted task to another machine. Resources on the target are taken before those
+/// on the source are freed.
 struct Move {
-  std::size_t from = 0;      ///< index of the host
-  std::size_t resident = 0;  ///< index on that host
-  std::size_t to = 0;
+  std::size_t from = 0;         ///< index of the source host
+  std::size_t hosted_task = 0;  ///< index on the source host
+  std::size_t to = 0;           ///< index of the target host
   double cost_s = 0;
 };
 
 struct Plan {
-  std::vector<std::size_t> places;  ///< a host for each task of the demand, by index
+  std::vector<std::size_t> places;  ///< for each task of the demand, the index of its host
   std::vector<Move> moves;
   double cost_s = 0;
 };
 
-enum class NoPlan {
-  no_room,      ///< nothing that may be moved makes enough room, as far as was looked
-  too_dear,     ///< there is a plan, above the limits
-  looked_long,  ///< the search ended at its bound
+enum class NoPlanReason {
+  no_capacity,           ///< no permitted moves that the search found free enough capacity
+  too_expensive,         ///< a plan was found, but it exceeds the limits
+  search_limit_reached,  ///< the search ended at `max_evaluated_hosts`
 };
 
-struct Planned {
+struct PlanResult {
   std::optional<Plan> plan;
-  NoPlan why = NoPlan::no_room;  ///< where there is none
+  NoPlanReason no_plan_reason = NoPlanReason::no_capacity;  ///< meaningful only without a plan
 };
 
-/// The cheapest plan that was found. It is an estimate from above: the search is greedy, from
-/// several beginnings (docs/defragmentation.md tells how far from the best it is).
+/// The cheapest plan that was found. Its cost is an upper bound of the optimum: the search is
+/// greedy, with several preferences (docs/defragmentation.md compares it with the optimum).
 ///
-/// A plan keeps this: every place has its room once the moves of its host are done; every move fits
-/// its target beside all that is there and all else the plan puts there, while the old copy still
-/// runs; no machine both gives and takes; types, zones, spot machines, and the demand's zone rules
-/// hold.
-Planned plan_moves(const std::vector<Host>& hosts, const Demand& demand, const PlanLimits& limits);
+/// A plan guarantees: each place has enough resources once the moves from its host are done; each
+/// move fits its target beside everything there and everything else the plan places there, while
+/// the old copy still runs; no machine is both source and target; machine types, zones, spot rules
+/// and the zone rules of the demand are respected.
+PlanResult plan_moves(const std::vector<Host>& hosts, const Demand& demand,
+                      const PlanLimits& limits);
 
 }  // namespace cranklock::defrag
--- a/src/defrag/replica_drain.hpp
+++ b/src/defrag/replica_drain.hpp
@@ -7,44 +7,44 @@
 
 namespace cranklock::defrag {
 
-/// Keeps when the router was asked to take a replica out of service, and until when it has. The
-/// replica may be stopped only while its drain holds; the request is repeated to keep it. All times
-/// are steady seconds; 0: not yet.
+/// Records when the router was requested to take a replica out of service, and until when it has
+/// done so. The replica may be stopped only while its drain is in force; the request is repeated to
+/// renew it. All times are in seconds of the steady clock; 0: not set.
 class ReplicaDrain {
  public:
   enum class Result {
-    pending,  ///< not answered, or requests are still open
+    pending,  ///< no answer yet, or requests are still open
     drained,
-    refused,  ///< or answered for another attempt
-    late,     ///< it was not drained within the time that it may take
+    refused,    ///< refused by the router, or answered for another attempt
+    timed_out,  ///< not drained within the allowed time
   };
 
-  /// The replica is to be drained from now on.
-  void begin(double now) { begun_ = now; }
-  bool was_requested() const { return requested_ > 0; }
-  /// Whether the router is to be asked now, first or again.
+  /// Starts the time within which the replica has to be drained.
+  void begin(double now) { begun_at_ = now; }
+  bool was_requested() const { return requested_at_ > 0; }
+  /// Whether to send a request to the router now, the first or a renewal.
   bool is_request_due(double now, double heartbeat_interval_s) const;
-  /// The router is asked now. Returns the seconds that are left to drain the replica.
+  /// Records that a request is sent now. Returns the seconds that are left to drain the replica.
   double record_request(double now, double lease_s);
-  /// `sent` is when the request left; no answer: it was not answered, or not to the point.
+  /// `sent_at` is when the request was sent; no answer: none was received, or it was malformed.
   Result record_answer(const DrainRequest& request, const std::optional<DrainAnswer>& answer,
-                       double sent, double now, double lease_s);
+                       double sent_at, double now, double lease_s);
 
-  /// Whether the router certainly keeps requests from the replica.
-  bool holds(double now) const { return now < drained_until_; }
+  /// Whether the router is certain to send the replica no requests.
+  bool is_in_force(double now) const { return now < drained_until_; }
   double drained_until() const { return drained_until_; }
-  /// The router knows nothing of the drain any more: the replica counts as in service.
+  /// Records that the router no longer has the drain: the replica counts as in service.
   void revoke(double now);
-  /// Whether the drain was revoked so long ago that the replica, were it gone, would be reported as
-  /// such.
-  bool is_revoked_for_good(double now, double heartbeat_interval_s) const;
+  /// Whether the drain was revoked so long ago that heartbeats would have shown the replica as
+  /// ended if it had.
+  bool is_revocation_final(double now, double heartbeat_interval_s) const;
 
  private:
-  double begun_ = 0;
-  double requested_ = 0;
-  bool awaits_answer_ = false;
+  double begun_at_ = 0;
+  double requested_at_ = 0;
+  bool awaiting_answer_ = false;
   double drained_until_ = 0;
-  double revoked_ = 0;
+  double revoked_at_ = 0;
 };
 
 }  // namespace cranklock::defrag
--- a/tests/advisor_test.cpp
+++ b/tests/advisor_test.cpp
@@ -1,4 +1,4 @@
-// Which moves the leader would advise, by its cluster state.
+// Which moves the advisor finds for a given cluster state, and how they are logged.
 #include "defrag/advisor.hpp"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
 using testing::kFencingToken;
 using testing::make_job;
 
-/// Two machines of eight GPUs, each half full with a running task that saves, and a job of the same
-/// team and priority that wants a whole machine.
+/// Two machines of eight GPUs, each half occupied by a running task with checkpoints, and a waiting
+/// job of the same team and priority that needs a whole machine.
 struct Halves {
   testing::Fleet fleet{{"n-1", "a"}, {"n-2", "a"}};
   sched::Job& array = put("j-000001", wire::JobKind::job_array, 4);
@@ -41,61 +41,62 @@
   }
 };
 
-TEST(Advisor, NamesTheMoveThatMakesRoom) {
+TEST(Advisor, NamesTheMoveThatFreesCapacity) {
   Halves halves;
-  const auto advice = halves.advisor.look(60);
+  const auto advice = halves.advisor.find_advice(60);
   ASSERT_TRUE(advice);
   EXPECT_EQ(advice->job, "j-000003");
   ASSERT_EQ(advice->moves.size(), 1U);
   EXPECT_NE(advice->moves[0].from, advice->moves[0].to);
-  EXPECT_NE(to_string(*advice).find("1 moves would make room for job j-000003"), std::string::npos);
-  // It moves nothing, and looks again only when it is time.
+  EXPECT_EQ(to_log_line(*advice),
+            "moves advised job=j-000003 moves=1 cost_s=7.00 list=\"j-000001/0 from n-1 to n-2\"");
+  // Advice moves nothing, and the next search is due only after the interval.
   EXPECT_FALSE(halves.array.placements[0].stop || halves.second.placements[0].stop);
-  EXPECT_FALSE(halves.advisor.look(89));
-  EXPECT_TRUE(halves.advisor.look(90));
+  EXPECT_FALSE(halves.advisor.find_advice(89));
+  EXPECT_TRUE(halves.advisor.find_advice(90));
 }
 
-TEST(Advisor, NoAdviceForWhatDoesNotWaitForRoomAlone) {
+TEST(Advisor, NoAdviceForJobsThatLackMoreThanCapacity) {
   Halves young;
-  EXPECT_FALSE(young.advisor.look(44));  // a machine boots in 45 s
+  EXPECT_FALSE(young.advisor.find_advice(44));  // a machine boots in 45 s
   Halves limited;
   limited.fleet.settings.teams = {{"red", 0, 0, 64, 12}};
-  EXPECT_FALSE(limited.advisor.look(60));
+  EXPECT_FALSE(limited.advisor.find_advice(60));
   Halves cancelled;
   cancelled.fleet.cluster.cancel(cancelled.large, 1, 1);
-  EXPECT_FALSE(cancelled.advisor.look(60));
+  EXPECT_FALSE(cancelled.advisor.find_advice(60));
 }
 
-TEST(Advisor, WhatMayNotPauseOrCostsMoreThanABootStays) {
-  Halves dear;
-  dear.array.spec.checkpoint_interval_s = dear.second.spec.checkpoint_interval_s = 0;
-  EXPECT_FALSE(dear.advisor.look(60));  // a minute's work each
+TEST(Advisor, TasksThatMustNotPauseOrCostMoreThanABootDoNotMove) {
+  Halves expensive;
+  expensive.array.spec.checkpoint_interval_s = expensive.second.spec.checkpoint_interval_s = 0;
+  EXPECT_FALSE(expensive.advisor.find_advice(60));  // a minute of work each
   Halves services;
   services.array.spec.kind = services.second.spec.kind = wire::JobKind::service;
-  EXPECT_FALSE(services.advisor.look(60));
+  EXPECT_FALSE(services.advisor.find_advice(60));
   Halves leaving;
   for (auto* job : {&leaving.array, &leaving.second}) {
     job->placements[0].request_stop(3, 50);
   }
-  EXPECT_FALSE(leaving.advisor.look(60));
-  Halves in_doubt;
-  for (auto* job : {&in_doubt.array, &in_doubt.second})
+  EXPECT_FALSE(leaving.advisor.find_advice(60));
+  Halves unconfirmed;
+  for (auto* job : {&unconfirmed.array, &unconfirmed.second})
     job->placements[0].write = sched::PlacementWrite::unresolved;
-  EXPECT_FALSE(in_doubt.advisor.look(60));
+  EXPECT_FALSE(unconfirmed.advisor.find_advice(60));
 }
 
-TEST(FleetView, CountsWhatIsUsedAndLeavesOutMachinesThatTakeNothingNew) {
+TEST(FleetView, SubtractsUsedResourcesAndOmitsUnschedulableMachines) {
   Halves halves;
   const auto hosts = view_fleet(halves.fleet.cluster, {}, 60);
   ASSERT_EQ(hosts.size(), 2U);
   EXPECT_DOUBLE_EQ(hosts[0].free.gpus, 4);
-  ASSERT_EQ(hosts[0].residents.size(), 1U);
-  EXPECT_DOUBLE_EQ(*hosts[0].residents[0].move_cost_s,
+  ASSERT_EQ(hosts[0].hosted_tasks.size(), 1U);
+  EXPECT_DOUBLE_EQ(*hosts[0].hosted_tasks[0].move_cost_s,
                    3 + 2 * halves.fleet.settings.heartbeat_interval_s);
-  EXPECT_FALSE(hosts[0].residents[0].zone_bound);
+  EXPECT_FALSE(hosts[0].hosted_tasks[0].zone_bound);
   halves.array.spec.spread = halves.second.spec.one_zone = true;
   for (const auto& host : view_fleet(halves.fleet.cluster, {}, 60)) {
-    EXPECT_TRUE(host.residents.at(0).zone_bound);
+    EXPECT_TRUE(host.hosted_tasks.at(0).zone_bound);
   }
   halves.fleet.cluster.machine("n-1")->faults.quarantine = sched::Quarantine::suspected;
   EXPECT_EQ(view_fleet(halves.fleet.cluster, {}, 60).size(), 1U);
--- a/tests/fragmented_fleet.hpp
+++ b/tests/fragmented_fleet.hpp
@@ -1,4 +1,5 @@
-// Small fleets whose free room is in pieces, and the best plan for them by trying all.
+// Small fleets with fragmented free capacity, and the cost of the optimal plan by exhaustive
+// search.
 #pragma once
 
 #include <list>
@@ -11,14 +12,15 @@
 
 namespace cranklock::testing {
 
-/// Machines of eight GPUs that hold tasks of one to four, and a job that waits for large pieces.
+/// Machines of eight GPUs that hold tasks of one to four, and a waiting job that needs large free
+/// blocks.
 class FragmentedFleet {
  public:
   struct Size {
     int hosts = 4;
-    int max_residents = 3;  ///< on each
+    int max_hosted_tasks = 3;  ///< on each host
     int zones = 2;
-    int min_residents = 0;
+    int min_hosted_tasks = 0;
   };
   FragmentedFleet(const Size& size, unsigned seed);
   FragmentedFleet(const FragmentedFleet&) = delete;
@@ -27,18 +29,18 @@
   std::vector<defrag::Host> hosts;
   defrag::Demand demand;
 
-  /// Why the plan breaks what `plan_moves` promises; empty: it keeps it.
-  std::string fault_of(const defrag::Plan& plan) const;
-  /// The least that any plan costs, machines that both give and take included; none: there is no
-  /// plan.
+  /// How the plan violates the guarantees of `plan_moves`; empty if it does not.
+  std::string find_violation(const defrag::Plan& plan) const;
+  /// The lowest cost of any plan, including plans where a machine is both source and target; none
+  /// if there is no plan.
   std::optional<double> best_cost() const;
 
  private:
-  struct Trial;
-  void try_from(Trial& trial, std::size_t host, std::size_t resident) const;
-  bool demand_fits(const Trial& trial) const;
-  double move_cost(const defrag::Resident& resident, std::size_t to) const;
-  bool may_take(std::size_t from, const defrag::Resident& resident, std::size_t to) const;
+  struct SearchState;
+  void search_from(SearchState& state, std::size_t host, std::size_t hosted_task) const;
+  bool demand_fits(const SearchState& state) const;
+  double move_cost(const defrag::HostedTask& hosted_task, std::size_t to) const;
+  bool may_move_to(std::size_t from, const defrag::HostedTask& hosted_task, std::size_t to) const;
 
   std::list<wire::JobSpec> specs_;
 };
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -1,4 +1,4 @@
-// A small fleet whose free room is in pieces, around controllers that carry out moves.
+// A small fleet with fragmented free capacity, with controllers that carry out moves.
 #pragma once
 
 #include <algorithm>
@@ -13,10 +13,12 @@
 #include "test_cluster.hpp"
 
 namespace cranklock::testing {
-inline constexpr const char* kShort = "j-000001";  ///< array whose tasks end and leave pieces
-inline constexpr const char* kSmall = "j-000002";  ///< array whose tasks stand in the way
-inline constexpr const char* kLarge = "j-000003";  ///< gang of whole machines
-inline constexpr double kBoot = 45;                ///< of fixtures.hpp's machines
+inline constexpr const char* kShortJob =
+    "j-000001";  ///< array whose tasks end and leave fragments free
+inline constexpr const char* kSmallJob =
+    "j-000002";  ///< array whose tasks occupy part of each machine
+inline constexpr const char* kLargeJob = "j-000003";  ///< gang that needs whole machines
+inline constexpr double kBootS = 45;                  ///< boot time of the machines of fixtures.hpp
 
 inline base::Settings settings_with_moves() {
   base::Settings settings = small_settings();
@@ -32,41 +34,41 @@
   return spec;
 }
 
-/// Four machines of eight GPUs, each left with a task of three GPUs that saves; the cloud has no
-/// more, so a gang of two whole machines finds room by moves alone.
+/// Four machines of eight GPUs, each left with a task of three GPUs with checkpoints. The cloud has
+/// no capacity, so a gang of two whole machines can only be placed after moves.
 class Fragments {
  public:
-  TestCluster w;
+  TestCluster cluster;
 
   explicit Fragments(base::Settings settings = settings_with_moves(), int nodes = 3,
                      const wire::JobSpec& small = small_spec())
-      : w(nodes, {}, std::move(settings)) {
-    w.cloud_without_capacity = true;
-    w.run_s = 1e6;
+      : cluster(nodes, {}, std::move(settings)) {
+    cluster.cloud_without_capacity = true;
+    cluster.run_s = 1e6;
     for (int task = 0; task < 4; ++task)
-      w.run_s_of[std::string(kShort) + "/" + std::to_string(task)] = 8;
-    for (int i = 0; i < 4; ++i) w.add_worker();
-    w.run(2);
-    auto passing = array_of(kShort, 4, 5);
-    passing.team = "blue";
-    w.submit(0, passing);
-    w.run(4);
-    w.submit(0, small);
-    w.run(16);
-  }
-  static wire::JobSpec small_spec() { return array_of(kSmall, 4, 3); }
-  static wire::JobSpec large_spec(const std::string& id = kLarge) {
+      cluster.run_s_of[std::string(kShortJob) + "/" + std::to_string(task)] = 8;
+    for (int i = 0; i < 4; ++i) cluster.add_worker();
+    cluster.run(2);
+    auto short_lived = array_of(kShortJob, 4, 5);
+    short_lived.team = "blue";
+    cluster.submit(0, short_lived);
+    cluster.run(4);
+    cluster.submit(0, small);
+    cluster.run(16);
+  }
+  static wire::JobSpec small_spec() { return array_of(kSmallJob, 4, 3); }
+  static wire::JobSpec large_spec(const std::string& id = kLargeJob) {
     return make_job(id, wire::JobKind::gang, 2, 8).spec;
   }
 
-  void ask_for_large() {
-    ASSERT_EQ(w.running(kSmall), 4);
-    ASSERT_EQ(w.live_tasks(kShort), 0);
-    w.submit(1, large_spec());
+  void submit_large_job() {
+    ASSERT_EQ(cluster.running(kSmallJob), 4);
+    ASSERT_EQ(cluster.live_tasks(kShortJob), 0);
+    cluster.submit(1, large_spec());
   }
   std::optional<defrag::MoveRecord> record() const {
-    const auto stored = w.state_service.values.find(control::kMovesKey);
-    if (stored == w.state_service.values.end()) return std::nullopt;
+    const auto stored = cluster.state_service.values.find(control::kMovesKey);
+    if (stored == cluster.state_service.values.end()) return std::nullopt;
     return defrag::read_move_record(stored->second.data);
   }
   bool has_plan() const {
@@ -77,74 +79,79 @@
     const auto stored = record();
     return stored ? static_cast<int>(stored->past.size()) : 0;
   }
-  /// Runs in small steps until it holds.
-  bool until(double timeout_s, const std::function<bool()>& holds) {
-    for (double passed = 0; passed < timeout_s && !holds(); passed += kLook) {
-      w.run(kLook);
-      look();
+  /// Runs in small steps until the condition holds or the timeout expires; returns whether it
+  /// holds.
+  bool until(double timeout_s, const std::function<bool()>& condition) {
+    for (double passed = 0; passed < timeout_s && !condition(); passed += kCheckIntervalS) {
+      cluster.run(kCheckIntervalS);
+      check_invariants();
     }
-    return holds();
+    return condition();
   }
   void run(double seconds) {
     until(seconds, [] { return false; });
   }
   bool reach_plan() {
-    return until(2 * kBoot, [&] { return has_plan(); });
+    return until(2 * kBootS, [&] { return has_plan(); });
   }
-  /// Asks for the large job, and runs for so long since its plan was stored.
-  bool run_into_plan(double seconds) {
-    ask_for_large();
+  /// Submits the large job, and runs for `seconds` after its plan was stored.
+  bool run_after_plan_stored(double seconds) {
+    submit_large_job();
     if (!reach_plan()) return false;
     run(seconds);
     return true;
   }
-  /// Whether the large job and all that was moved run in the end, and nothing is held.
+  /// Whether the large job and all moved tasks run in the end, with no reservations left.
   bool recovers() {
-    return until(longest() + 2 * kBoot, [this] { return large_runs() && is_settled(); });
+    return until(max_plan_time_s() + 2 * kBootS,
+                 [this] { return is_large_job_running() && is_settled(); });
   }
-  bool large_runs(const std::string& id = kLarge) { return w.running(id) == 2; }
-  bool reservations_held() {
+  bool is_large_job_running(const std::string& id = kLargeJob) { return cluster.running(id) == 2; }
+  bool has_reservations() {
     const int node = rightful_leader();
-    return node >= 0 && !w.term(node)->cluster().reservations().empty();
+    return node >= 0 && !cluster.term(node)->cluster().reservations().empty();
   }
-  /// The node whose fencing token stands in the state service, or -1: another may believe that it
-  /// leads.
+  /// The node whose fencing token is in the state service, or -1: another node may still consider
+  /// itself leader.
   int rightful_leader() {
-    const auto key = w.state_service.values.find(control::kLeaderKey);
-    for (int node = 0; node < w.nodes(); ++node) {
-      auto* term = w.term(node);
-      const bool leads = term != nullptr && key != w.state_service.values.end() &&
+    const auto key = cluster.state_service.values.find(control::kLeaderKey);
+    for (int node = 0; node < cluster.nodes(); ++node) {
+      auto* term = cluster.term(node);
+      const bool leads = term != nullptr && key != cluster.state_service.values.end() &&
                          term->cluster().fencing_token() == key->second.revision;
       if (leads) return node;
     }
     return -1;
   }
-  /// Nothing is planned, held or under way any more, and all small tasks run.
-  bool is_settled() { return !has_plan() && !reservations_held() && w.running(kSmall) == 4; }
-  /// The bound on a plan's life, and what nodes need to notice it.
-  double longest() const {
-    return defrag::max_plan_s(w.base_settings) + 2 * w.base_settings.lease_s;
+  /// No plan, no reservations and no move in progress, and all small tasks run.
+  bool is_settled() {
+    return !has_plan() && !has_reservations() && cluster.running(kSmallJob) == 4;
+  }
+  /// The maximum duration of a plan, and the time until all nodes have noticed its end.
+  double max_plan_time_s() const {
+    return defrag::max_plan_duration_s(cluster.base_settings) + 2 * cluster.base_settings.lease_s;
   }
 
  private:
-  static constexpr double kLook = 0.01;
+  static constexpr double kCheckIntervalS = 0.01;
 
-  // What holds at every moment: room is held by a stored plan alone, and what a plan has stopped
-  // was written down before.
-  void look() {
+  // Invariants at any time: only a stored plan has reservations, and the stop of a task for a plan
+  // was stored before the task was stopped.
+  void check_invariants() {
     const auto stored = record();
-    const bool planned = stored && stored->plan;
-    EXPECT_TRUE(planned || !reservations_held()) << "room is held without a plan";
-    if (planned) last_plan_ = *stored->plan;
+    const bool has_stored_plan = stored && stored->plan;
+    EXPECT_TRUE(has_stored_plan || !has_reservations()) << "reservations without a plan";
+    if (has_stored_plan) last_plan_ = *stored->plan;
     if (!last_plan_) return;
     for (const auto& move : last_plan_->moves) {
-      if (move.step != defrag::MoveStep::reserved || !planned) continue;
-      if (w.rules.cancelled_at(move.task.job) >= 0) continue;  // stopped for its user
-      const auto& source = *w.workers.at(move.source);
+      if (move.step != defrag::MoveStep::reserved || !has_stored_plan) continue;
+      if (cluster.rules.cancelled_at(move.task.job) >= 0)
+        continue;  // stopped because it was cancelled
+      const auto& source = *cluster.workers.at(move.source);
       const auto task = source.tasks.find(wire::to_string(move.task));
       const bool stopped = task != source.tasks.end() && task->second.attempt == move.attempt &&
                            task->second.exit_reason == wire::ExitReason::stopped;
-      EXPECT_FALSE(stopped) << "stopped before it was stored: " << wire::to_string(move.task);
+      EXPECT_FALSE(stopped) << "stopped before the stop was stored: " << wire::to_string(move.task);
     }
   }
   std::optional<defrag::MovePlan> last_plan_;
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -1,4 +1,4 @@
-// The executor of plans on a cluster state alone: what it wants stored, stopped, held and drained.
+// The plan executor on a cluster state: what it stores, stops, reserves and drains.
 #include "defrag/move_executor.hpp"
 
 #include <gtest/gtest.h>
@@ -13,14 +13,14 @@
 using testing::kFencingToken;
 using testing::make_job;
 
-constexpr const char* kFirst = "j-000001";
-constexpr const char* kSecond = "j-000002";
-constexpr const char* kLarge = "j-000003";
+constexpr const char* kFirstJob = "j-000001";
+constexpr const char* kSecondJob = "j-000002";
+constexpr const char* kLargeJob = "j-000003";
 constexpr std::size_t kAnySize = 8192;
 constexpr std::int64_t kWallMs = 1'000'000;
 
-/// Three machines of eight GPUs, two of them half full, and a job that wants a whole one. The third
-/// is full of work that stays.
+/// Three machines of eight GPUs, two of them half occupied, and a job that needs a whole machine.
+/// The third is full of tasks that do not move.
 class Halves {
  public:
   testing::Fleet fleet{{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}};
@@ -28,20 +28,21 @@
 
   explicit Halves(wire::JobKind kind = wire::JobKind::job_array) {
     fleet.settings.teams = {{"red", 0, 0, 64, 64}};
-    place(add(kFirst, kind, 2, 4), 0, "n-1");
-    place(add(kSecond, kind, 2, 4), 0, "n-2");
+    place(add(kFirstJob, kind, 2, 4), 0, "n-1");
+    place(add(kSecondJob, kind, 2, 4), 0, "n-2");
     auto& rest = add("j-000004", wire::JobKind::gang, 1, 8);
     place(rest, 0, "n-3");
-    // A second replica serves elsewhere meanwhile.
-    for (const char* id : {kFirst, kSecond}) job(id).done.add(1);
+    // The second task of each job is completed; for services, it is a second replica that serves
+    // elsewhere meanwhile.
+    for (const char* id : {kFirstJob, kSecondJob}) job(id).done.add(1);
     if (kind == wire::JobKind::service) {
-      for (const char* id : {kFirst, kSecond}) {
+      for (const char* id : {kFirstJob, kSecondJob}) {
         job(id).done = {};
         fleet.cluster.upsert_machine("n-9", {"g8", "a", false}, 0);
         place(job(id), 1, "n-9");
       }
     }
-    add(kLarge, wire::JobKind::service, 1, 8);
+    add(kLargeJob, wire::JobKind::service, 1, 8);
   }
   sched::Job& job(const std::string& id) { return *fleet.cluster.job(id); }
   sched::Job& add(const std::string& id, wire::JobKind kind, std::uint32_t tasks, double gpus) {
@@ -58,12 +59,12 @@
     placement.running_since = 0;
   }
   std::int64_t wall_ms() const { return kWallMs + static_cast<std::int64_t>(now * 1000); }
-  MoveExecutor executor(bool services = false) {
-    return {fleet.cluster, kFencingToken, services, 0};
+  MoveExecutor executor(bool allow_replica_moves = false) {
+    return {fleet.cluster, kFencingToken, allow_replica_moves, 0};
   }
   void search(MoveExecutor& executor) { executor.search(kAnySize, wall_ms(), now); }
   void advance(MoveExecutor& executor) { executor.advance(wall_ms(), now); }
-  /// What a successful write would do.
+  /// Simulates a successful write of the pending record.
   static void store(MoveExecutor& executor) {
     const auto record = executor.pending_write();
     ASSERT_TRUE(record);
@@ -74,18 +75,18 @@
   }
 };
 
-TEST(MoveExecutor, StopsOnlyWhatIsWrittenDown) {
+TEST(MoveExecutor, RequestsAStopOnlyOnceItIsStored) {
   Halves halves;
   auto executor = halves.executor();
   halves.search(executor);
   ASSERT_TRUE(executor.has_plan());
-  const auto move = executor.wanted().plan->moves.at(0);
+  const auto move = executor.desired().plan->moves.at(0);
   halves.advance(executor);
   EXPECT_FALSE(halves.source(move).stop);
-  EXPECT_TRUE(halves.fleet.cluster.reservations().empty()) << "held before it is stored";
+  EXPECT_TRUE(halves.fleet.cluster.reservations().empty()) << "reserved before the plan is stored";
   Halves::store(executor);
   EXPECT_EQ(halves.fleet.cluster.reservations().all().size(), 2U);
-  halves.advance(executor);  // wants the stop stored
+  halves.advance(executor);  // the stop has to be stored first
   EXPECT_FALSE(halves.source(move).stop);
   ASSERT_TRUE(executor.pending_write());
   EXPECT_EQ(executor.pending_write()->plan->moves.at(0).step, MoveStep::stopping);
@@ -96,7 +97,7 @@
   EXPECT_DOUBLE_EQ(halves.source(move).grace_s, 3);
 }
 
-TEST(MoveExecutor, ASuccessorGoesOnWhereTheRecordAndThePlacementsAre) {
+TEST(MoveExecutor, ASuccessorContinuesFromTheRecordAndThePlacements) {
   Halves halves;
   MoveRecord stored;
   {
@@ -105,33 +106,34 @@
     Halves::store(former);
     halves.advance(former);
     Halves::store(former);
-    stored = former.wanted();
+    stored = former.desired();
   }
   const auto move = stored.plan->moves.at(0);
   auto successor = halves.executor();
   successor.load(stored, halves.wall_ms(), halves.now);
   halves.advance(successor);
   EXPECT_TRUE(halves.source(move).stop);
-  // Proven free: the next pass puts it on its target, and nowhere else.
+  // Confirmed free: the next placement pass places the task on its target and nowhere else.
   halves.fleet.cluster.end_placement(halves.job(move.task.job), halves.source(move), halves.now);
   halves.advance(successor);
-  EXPECT_EQ(successor.wanted().plan->moves.at(0).step, MoveStep::freed);
+  EXPECT_EQ(successor.desired().plan->moves.at(0).step, MoveStep::freed);
   halves.fleet.pass(halves.now);
   const auto* placed = halves.job(move.task.job).live_placement(move.task.index);
   ASSERT_NE(placed, nullptr);
   EXPECT_EQ(placed->machine, move.target);
   EXPECT_EQ(placed->attempt, 2U);
-  EXPECT_NE(halves.job(kLarge).live_placement(0), nullptr);
+  EXPECT_NE(halves.job(kLargeJob).live_placement(0), nullptr);
 }
 
-// A new leader has heard no machine: what it does not see yet is no reason to drop or to stop.
+// A new leader has received no heartbeats: a machine without one is no reason yet to drop the plan
+// or to stop a task.
 TEST(MoveExecutor, ASuccessorWaitsUntilMachinesHaveReported) {
   Halves halves;
   auto former = halves.executor();
   halves.search(former);
   Halves::store(former);
   MoveExecutor successor(halves.fleet.cluster, kFencingToken, false, halves.now);
-  successor.load(former.wanted(), halves.wall_ms(), halves.now);
+  successor.load(former.desired(), halves.wall_ms(), halves.now);
   for (const char* id : {"n-1", "n-2"})
     halves.fleet.cluster.machine(id)->agent.heartbeat_received = false;
   halves.advance(successor);
@@ -142,14 +144,14 @@
   EXPECT_FALSE(successor.has_plan());
 }
 
-TEST(MoveExecutor, EveryPlanEndsWithinItsBound) {
+TEST(MoveExecutor, APlanTimesOut) {
   Halves halves;
   auto executor = halves.executor();
   halves.search(executor);
   Halves::store(executor);
   halves.advance(executor);
   Halves::store(executor);
-  halves.now += max_plan_s(halves.fleet.settings) - 1;
+  halves.now += max_plan_duration_s(halves.fleet.settings) - 1;
   halves.advance(executor);
   EXPECT_TRUE(executor.has_plan());
   halves.now += 2;
@@ -160,25 +162,26 @@
   EXPECT_FALSE(executor.pending_write()->plan);
 }
 
-// Its start may still be carried out, or its place is not certain: it is not stopped for a plan.
-TEST(MoveExecutor, WhatIsInDoubtDoesNotBeginToMove) {
+// The start of the task may still be carried out, so where it runs is uncertain: it is not stopped
+// for a plan.
+TEST(MoveExecutor, AnUnconfirmedStartDoesNotBeginToMove) {
   Halves halves;
   auto executor = halves.executor();
   halves.search(executor);
   Halves::store(executor);
-  auto& source = halves.source(executor.wanted().plan->moves.at(0));
+  auto& source = halves.source(executor.desired().plan->moves.at(0));
   source.unconfirmed_start_epoch = 1;
   halves.advance(executor);
-  EXPECT_EQ(executor.wanted().plan->moves.at(0).step, MoveStep::reserved);
+  EXPECT_EQ(executor.desired().plan->moves.at(0).step, MoveStep::reserved);
   source.unconfirmed_start_epoch = 0;
   halves.advance(executor);
-  EXPECT_EQ(executor.wanted().plan->moves.at(0).step, MoveStep::stopping);
+  EXPECT_EQ(executor.desired().plan->moves.at(0).step, MoveStep::stopping);
 }
 
-// Work that does not save is the dearer to move the longer it has run.
-TEST(MoveExecutor, APlanThatHasBecomeTooDearIsDropped) {
+// Moving a task without checkpoints costs more the longer it has run.
+TEST(MoveExecutor, APlanThatHasBecomeTooExpensiveIsDropped) {
   Halves halves;
-  for (const char* id : {kFirst, kSecond}) {
+  for (const char* id : {kFirstJob, kSecondJob}) {
     halves.job(id).spec.checkpoint_interval_s = 0;
     halves.job(id).find(0, 1)->running_since = halves.now - 10;
   }
@@ -188,12 +191,12 @@
   halves.now += 30;
   halves.advance(executor);
   EXPECT_TRUE(executor.has_plan());
-  halves.now += 5;  // a boot takes 45 s, the restart counts too
+  halves.now += 5;  // a boot takes 45 s, and the restart counts as well
   halves.advance(executor);
   EXPECT_FALSE(executor.has_plan());
 }
 
-TEST(MoveExecutor, ALongerRecordThanAValueIsNotBegun) {
+TEST(MoveExecutor, APlanThatDoesNotFitIntoAValueIsNotBegun) {
   Halves halves;
   auto executor = halves.executor();
   executor.search(200, halves.wall_ms(), halves.now);
@@ -202,11 +205,11 @@
   EXPECT_TRUE(executor.has_plan());
 }
 
-TEST(MoveExecutor, MovesOfFormerLeadersCountForTheirHour) {
+TEST(MoveExecutor, MovesOfEarlierLeadersCountForAnHour) {
   Halves halves;
   const auto past_moves = [&](double ago_s) {
     MoveRecord record;
-    for (const char* id : {kFirst, kSecond}) {
+    for (const char* id : {kFirstJob, kSecondJob}) {
       for (int i = 0; i < 4; ++i) {
         record.past.push_back({id, halves.wall_ms() - static_cast<std::int64_t>(ago_s * 1000)});
       }
@@ -221,17 +224,17 @@
   renewed.load(past_moves(3700), halves.wall_ms(), halves.now);
   halves.search(renewed);
   ASSERT_TRUE(renewed.has_plan());
-  EXPECT_TRUE(renewed.wanted().past.empty());  // and are forgotten after it
+  EXPECT_TRUE(renewed.desired().past.empty());  // expired moves are removed
 }
 
-TEST(MoveExecutor, ADroppedPlanIsNotBegunAnewAtOnce) {
+TEST(MoveExecutor, ADroppedPlanIsNotRetriedImmediately) {
   Halves halves;
   auto executor = halves.executor();
   halves.search(executor);
   executor.drop(DropReason::no_gain, halves.now);
   halves.search(executor);
   EXPECT_FALSE(executor.has_plan());
-  halves.now += 46;  // as long as a machine boots
+  halves.now += 46;  // the boot time of a machine
   halves.search(executor);
   EXPECT_TRUE(executor.has_plan());
 }
@@ -249,95 +252,95 @@
     Halves::store(executor);
     halves.advance(executor);
   }
-  PlannedMove move() const { return executor.wanted().plan->moves.at(0); }
+  PlannedMove move() const { return executor.desired().plan->moves.at(0); }
   sched::Placement& source() { return halves.source(move()); }
-  /// Asks as the executor wants it, and lets the router answer.
-  DrainRequest ask() {
+  /// Returns the one due drain request.
+  DrainRequest due_request() {
     auto due = executor.take_due_drains(halves.now);
     EXPECT_EQ(due.size(), 1U);
     return due.at(0);
   }
-  void answer(const DrainRequest& request, DrainState state, double sent) {
+  void answer(const DrainRequest& request, DrainState state, double sent_at) {
     executor.record_drain_answer(request, DrainAnswer{request.task, request.attempt, state, 0},
-                                 sent, halves.now);
+                                 sent_at, halves.now);
     halves.advance(executor);
   }
-  /// Drained, and the stop written down.
+  /// Drains the replica and stores its stop.
   void drain() {
-    answer(ask(), DrainState::drained, halves.now);
+    answer(due_request(), DrainState::drained, halves.now);
     Halves::store(executor);
     halves.advance(executor);
   }
-  /// Whether the answer to its machine's report would stop it now.
-  bool is_told_to_stop() {
+  /// Whether the response to a heartbeat of its machine would stop the replica now.
+  bool is_stop_commanded() {
     auto& cluster = halves.fleet.cluster;
     const auto& machine = *cluster.machine(move().source);
     const auto heartbeat = testing::heartbeat(
         machine.id, 1, machine.agent.newest_message.sequence + 1,
         {testing::task(move().task.job, move().task.index, 1, wire::TaskState::running)});
     const auto commands_for = cluster.commands_for(heartbeat, true, halves.now);
-    return std::any_of(commands_for.begin(), commands_for.end(), [](const wire::Command& order) {
-      return order.kind == wire::CommandKind::stop;
+    return std::any_of(commands_for.begin(), commands_for.end(), [](const wire::Command& command) {
+      return command.kind == wire::CommandKind::stop;
     });
   }
 };
 
 TEST(MoveExecutor, AReplicaIsStoppedOnlyWithinTheLeaseOfItsDrain) {
   Drains drains;
-  const auto request = drains.ask();
+  const auto request = drains.due_request();
   EXPECT_EQ(request.attempt, 1U);
   drains.answer(request, DrainState::draining, drains.halves.now);
   EXPECT_FALSE(drains.source().stop);
   drains.halves.now += 1;
   drains.drain();
   EXPECT_TRUE(drains.source().stop);
-  EXPECT_TRUE(drains.is_told_to_stop());
-  // The worker may read the answer 4 s later: then the replica must still be drained.
+  EXPECT_TRUE(drains.is_stop_commanded());
+  // The agent may process the response up to 4 s later; the replica must still be drained then.
   drains.halves.now += request.lease_s - 4.5;
-  EXPECT_TRUE(drains.is_told_to_stop());
+  EXPECT_TRUE(drains.is_stop_commanded());
   drains.halves.now += 1;
-  EXPECT_FALSE(drains.is_told_to_stop());
-  // Asked again, and drained again, it is.
-  const auto again = drains.ask();
+  EXPECT_FALSE(drains.is_stop_commanded());
+  // Once the drain is renewed, the stop is sent again.
+  const auto again = drains.due_request();
   drains.answer(again, DrainState::drained, drains.halves.now);
-  EXPECT_TRUE(drains.is_told_to_stop());
+  EXPECT_TRUE(drains.is_stop_commanded());
 }
 
-// The lease counts from the sending of the question, however long its answer took.
-TEST(MoveExecutor, ADrainsLeaseCountsFromTheQuestion) {
+// The lease counts from when the request was sent, however long the answer took.
+TEST(MoveExecutor, TheLeaseOfADrainCountsFromTheRequest) {
   Drains drains;
-  const auto request = drains.ask();
-  const double sent = drains.halves.now;
+  const auto request = drains.due_request();
+  const double sent_at = drains.halves.now;
   drains.halves.now += request.lease_s;
-  drains.answer(request, DrainState::drained, sent);
+  drains.answer(request, DrainState::drained, sent_at);
   EXPECT_FALSE(drains.source().stop);
   EXPECT_EQ(drains.move().step, MoveStep::draining);
 }
 
-TEST(MoveExecutor, ARefusalStopsNothingAndIsTakenBack) {
+TEST(MoveExecutor, ARefusedDrainStopsNothingAndIsCancelled) {
   Drains drains;
-  const auto request = drains.ask();
+  const auto request = drains.due_request();
   const auto move = drains.move();
   drains.answer(request, DrainState::refused, drains.halves.now);
   EXPECT_FALSE(drains.executor.has_plan());
   EXPECT_FALSE(drains.halves.source(move).stop);
-  const auto undone = drains.executor.take_due_drains(drains.halves.now);
-  ASSERT_EQ(undone.size(), 1U);
-  EXPECT_DOUBLE_EQ(undone[0].lease_s, 0);
+  const auto cancelled = drains.executor.take_due_drains(drains.halves.now);
+  ASSERT_EQ(cancelled.size(), 1U);
+  EXPECT_DOUBLE_EQ(cancelled[0].lease_s, 0);
 }
 
-// Its stop was sent, and the router knows nothing of it any more: it is either gone, which its next
-// report shows, or in service, and then it is not stopped.
-TEST(MoveExecutor, ARefusalAfterTheStopWasSentWaitsForTheNextReports) {
+// The stop was sent, and the router refuses to renew the drain: either the replica has ended, which
+// the next heartbeat shows, or it is in service, and then it is not stopped.
+TEST(MoveExecutor, ARefusalAfterTheStopWasSentWaitsForTheNextHeartbeats) {
   for (const bool gone : {false, true}) {
     Drains drains;
     drains.drain();
-    ASSERT_TRUE(drains.is_told_to_stop());
+    ASSERT_TRUE(drains.is_stop_commanded());
     const auto move = drains.move();
     drains.halves.now += 1;
-    drains.answer(drains.ask(), DrainState::refused, drains.halves.now);
+    drains.answer(drains.due_request(), DrainState::refused, drains.halves.now);
     ASSERT_TRUE(drains.executor.has_plan());
-    EXPECT_FALSE(drains.is_told_to_stop());
+    EXPECT_FALSE(drains.is_stop_commanded());
     if (gone) {
       auto& job = drains.halves.job(move.task.job);
       drains.halves.fleet.cluster.end_placement(job, drains.source(), drains.halves.now);
@@ -351,16 +354,16 @@
 
 TEST(MoveExecutor, AnAnswerForAnotherAttemptIsARefusal) {
   Drains drains;
-  const auto request = drains.ask();
+  const auto request = drains.due_request();
   const DrainAnswer other{request.task, request.attempt + 1, DrainState::drained, 0};
   drains.executor.record_drain_answer(request, other, drains.halves.now, drains.halves.now);
   EXPECT_FALSE(drains.executor.has_plan());
 }
 
-TEST(MoveExecutor, ARouterThatDoesNotAnswerEndsThePlan) {
+TEST(MoveExecutor, AnUnresponsiveRouterEndsThePlan) {
   Drains drains;
   for (int i = 0; i < 50 && drains.executor.has_plan(); ++i) {
-    const auto request = drains.ask();
+    const auto request = drains.due_request();
     drains.halves.now += 1;
     drains.executor.record_drain_answer(request, std::nullopt, drains.halves.now - 1,
                                         drains.halves.now);
@@ -370,27 +373,28 @@
   EXPECT_FALSE(drains.executor.has_plan());
 }
 
-// Dropped after its stop was decided: it is not stopped any more, and is put back in service.
-TEST(MoveExecutor, ADroppedPlanTakesItsDrainedStopsBack) {
+// The plan is dropped after the stop was decided: the replica is not stopped, and its drain is
+// cancelled.
+TEST(MoveExecutor, ADroppedPlanRevokesItsDrainedStops) {
   Drains drains;
   drains.drain();
   ASSERT_TRUE(drains.source().stop);
   auto& source = drains.source();
-  drains.halves.fleet.cluster.cancel(drains.halves.job(kLarge), 1, 1);
+  drains.halves.fleet.cluster.cancel(drains.halves.job(kLargeJob), 1, 1);
   drains.halves.advance(drains.executor);
   EXPECT_FALSE(drains.executor.has_plan());
   EXPECT_FALSE(source.stop);
   EXPECT_EQ(drains.executor.take_due_drains(drains.halves.now).size(), 1U);
 }
 
-// A new leader heard of no drain: it asks itself before it stops anything.
-TEST(MoveExecutor, ASuccessorAsksForTheDrainItself) {
+// A new leader has no confirmation of the drain: it requests the drain before it stops the replica.
+TEST(MoveExecutor, ASuccessorRequestsTheDrainItself) {
   Drains drains;
-  drains.answer(drains.ask(), DrainState::drained, drains.halves.now);
+  drains.answer(drains.due_request(), DrainState::drained, drains.halves.now);
   Halves::store(drains.executor);
   ASSERT_EQ(drains.move().step, MoveStep::stopping);
   auto successor = drains.halves.executor(true);
-  successor.load(drains.executor.wanted(), drains.halves.wall_ms(), drains.halves.now);
+  successor.load(drains.executor.desired(), drains.halves.wall_ms(), drains.halves.now);
   drains.halves.advance(successor);
   EXPECT_FALSE(drains.source().stop);
   const auto due = successor.take_due_drains(drains.halves.now);
@@ -401,18 +405,18 @@
   EXPECT_TRUE(drains.source().stop);
 }
 
-TEST(MoveExecutor, WithoutARouterReplicasStay) {
+TEST(MoveExecutor, WithoutARouterReplicasDoNotMove) {
   Halves halves(wire::JobKind::service);
   auto executor = halves.executor(false);
   halves.search(executor);
   EXPECT_FALSE(executor.has_plan());
 }
 
-// ---- what is stored and sent ----
+// ---- encoding of records and drain messages ----
 
 PlannedMove move_of(std::uint32_t task, std::uint64_t attempt, MoveStep step) {
   PlannedMove move;
-  move.task.job = kFirst;
+  move.task.job = kFirstJob;
   move.task.index = task;
   move.attempt = attempt;
   move.source = "n-1";
@@ -424,7 +428,7 @@
 MovePlan plan_of(std::vector<PlannedMove> moves) {
   MovePlan plan;
   plan.id = "41-1";
-  plan.job = kLarge;
+  plan.job = kLargeJob;
   plan.begun_ms = 123;
   plan.cost_s = 6.5;
   plan.boot_s = 90;
@@ -433,7 +437,7 @@
   return plan;
 }
 
-TEST(MoveRecord, IsReadAsItWasWritten) {
+TEST(MoveRecord, RoundTrips) {
   MoveRecord record;
   record.past = {{"j-000007", 17}, {"j-000008", 18}};
   EXPECT_EQ(read_move_record(write_move_record(record)), record);
@@ -441,7 +445,7 @@
   EXPECT_EQ(read_move_record(write_move_record(record)), record);
 }
 
-TEST(MoveRecord, WhatIsMalformedIsNotTakenOver) {
+TEST(MoveRecord, MalformedRecordsAreRejected) {
   MoveRecord record;
   record.plan = plan_of({move_of(3, 7, MoveStep::stopping)});
   const std::string text = write_move_record(record);
@@ -457,7 +461,7 @@
   EXPECT_FALSE(read_move_record(""));
 }
 
-TEST(Drain, RequestsAndAnswersAreReadAsTheyWereWritten) {
+TEST(Drain, RequestsAndAnswersRoundTrip) {
   DrainRequest request;
   request.task = move_of(3, 7, MoveStep::draining).task;
   request.attempt = 7;
--- a/tests/moves_cluster_test.cpp
+++ b/tests/moves_cluster_test.cpp
@@ -1,6 +1,6 @@
-// Moves around fragments on the in-memory cluster, through controllers, machines and writes that
-// fail. The rule checker of each cluster watches all rules; what a scenario asserts itself is that
-// the trouble came about, and what became of the plan.
+// Moves in a fragmented fleet on the in-memory cluster, with failing controllers, machines and
+// writes. The rule checker of each cluster checks all invariants; the scenarios assert that the
+// fault took effect, and how the plan ends.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,48 +16,48 @@
 
 TEST(Moves, AGangOfWholeMachinesIsPlacedByMoves) {
   Fragments fragments;
-  auto& w = fragments.w;
-  fragments.ask_for_large();
+  auto& cluster = fragments.cluster;
+  fragments.submit_large_job();
   ASSERT_TRUE(fragments.reach_plan());
   const auto plan = *fragments.record()->plan;
-  EXPECT_EQ(plan.job, kLarge);
+  EXPECT_EQ(plan.job, kLargeJob);
   EXPECT_EQ(plan.moves.size(), 2U);
   EXPECT_EQ(plan.places.size(), 2U);
-  // Within less than a boot, which is what waiting would have cost at least.
-  EXPECT_TRUE(fragments.until(kBoot, [&] { return fragments.large_runs(); }));
+  // In less than a boot time, the minimum cost of waiting.
+  EXPECT_TRUE(fragments.until(kBootS, [&] { return fragments.is_large_job_running(); }));
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); }));
-  EXPECT_EQ(w.ran_twice, 0);
+  EXPECT_EQ(cluster.ran_twice, 0);
   EXPECT_EQ(fragments.moves_begun(), 2);
 }
 
-TEST(Moves, NothingMovesUnlessTheOperatorTurnsItOn) {
+TEST(Moves, NothingMovesUnlessEnabledByTheOperator) {
   auto settings = settings_with_moves();
   settings.operators.defrag.moves = false;
   Fragments fragments(settings);
-  fragments.ask_for_large();
-  fragments.w.run(3 * kBoot);
+  fragments.submit_large_job();
+  fragments.cluster.run(3 * kBootS);
   EXPECT_FALSE(fragments.record());
-  EXPECT_FALSE(fragments.large_runs());
-  for (const auto& [task, starts] : fragments.w.starts) EXPECT_EQ(starts, 1) << task;
+  EXPECT_FALSE(fragments.is_large_job_running());
+  for (const auto& [task, starts] : fragments.cluster.starts) EXPECT_EQ(starts, 1) << task;
 }
 
-// ---- controllers that fail ----
+// ---- controller failures ----
 
-/// Moments of a plan that takes about two seconds where nothing fails, and a while after.
-std::vector<double> moments(double step_s = 0.1, double last_s = 2.6) {
+/// Fault times during a plan, which takes about two seconds without faults, and shortly after it.
+std::vector<double> fault_times(double step_s = 0.1, double last_s = 2.6) {
   std::vector<double> out;
   for (double at = 0; at < last_s; at += step_s) out.push_back(at);
   return out;
 }
 
-/// How far a plan has come, as an onlooker sees it: by what is stored and what machines hold.
+/// The phase of a plan, derived from the stored record and the tasks on machines.
 std::string phase_of(Fragments& fragments) {
   const auto record = fragments.record();
-  if (!record || !record->plan) return fragments.large_runs() ? "over" : "none";
+  if (!record || !record->plan) return fragments.is_large_job_running() ? "over" : "none";
   std::string phase;
   for (const auto& move : record->plan->moves) {
     const auto on = [&](const std::string& machine) {
-      const auto& tasks = fragments.w.workers.at(machine)->tasks;
+      const auto& tasks = fragments.cluster.workers.at(machine)->tasks;
       const auto task = tasks.find(wire::to_string(move.task));
       return task != tasks.end() && task->second.state != wire::TaskState::exited;
     };
@@ -66,373 +66,381 @@
   return phase;
 }
 
-// A plan may be in any state when its leader ends, and its successor may end too. Whatever they
-// leave behind, the third goes on or drops it: the gang and all that was moved run, and nothing
-// stays reserved.
-TEST(Moves, LeadersEndBetweenAnyTwoSteps) {
+// Leaders crash in any state of a plan, and their successors may crash too. The next leader
+// continues or drops the plan: the gang and all moved tasks run, and no reservations remain.
+TEST(Moves, LeadersCrashBetweenAnyTwoSteps) {
   std::set<std::string> phases;
-  for (const double successor_lives : {0.0, 0.3, 3.4}) {
-    for (const double at : moments(successor_lives > 0 ? 0.1 : 0.02, 3.2)) {
+  for (const double successor_runs_s : {0.0, 0.3, 3.4}) {
+    for (const double at : fault_times(successor_runs_s > 0 ? 0.1 : 0.02, 3.2)) {
       Fragments fragments;
-      auto& w = fragments.w;
-      w.state_slow_s = 0.1;  // so that each step takes its time
-      ASSERT_TRUE(fragments.run_into_plan(at));
+      auto& cluster = fragments.cluster;
+      cluster.state_slow_s = 0.1;  // so that each step can be hit by a fault
+      ASSERT_TRUE(fragments.run_after_plan_stored(at));
       phases.insert(phase_of(fragments));
-      const int first = w.leader();
-      w.crash_node(first);
-      if (successor_lives > 0) {
-        ASSERT_TRUE(fragments.until(10, [&] { return w.leader() >= 0; }));
-        fragments.run(successor_lives);
-        const int second = w.leader();
-        w.crash_node(second);
+      const int first = cluster.leader();
+      cluster.crash_node(first);
+      if (successor_runs_s > 0) {
+        ASSERT_TRUE(fragments.until(10, [&] { return cluster.leader() >= 0; }));
+        fragments.run(successor_runs_s);
+        const int second = cluster.leader();
+        cluster.crash_node(second);
         fragments.run(1);
-        w.start_node(second);
+        cluster.start_node(second);
       }
-      w.start_node(first);
-      EXPECT_TRUE(fragments.until(fragments.longest() + 2 * kBoot,
-                                  [&] { return fragments.large_runs() && fragments.is_settled(); }))
-          << "ended at " << at << ", then at " << successor_lives;
-      EXPECT_EQ(w.ran_twice, 0);
+      cluster.start_node(first);
+      EXPECT_TRUE(fragments.until(
+          fragments.max_plan_time_s() + 2 * kBootS,
+          [&] { return fragments.is_large_job_running() && fragments.is_settled(); }))
+          << "leader crashed at " << at << ", successor after " << successor_runs_s;
+      EXPECT_EQ(cluster.ran_twice, 0);
     }
   }
-  // The moments were such that all steps were among them.
+  // The fault times covered all phases.
   for (const char* phase : {"source source ", "between source ", "target source ",
                             "target between ", "target target ", "over"}) {
     EXPECT_TRUE(phases.contains(phase)) << phase;
   }
 }
 
-// A leader that stood still wakes with its plan in hand, after another has gone on with it or has
-// dropped it since the waiting job was cancelled. Nothing that it believes may come about.
-TEST(Moves, ALeaderThatStoodStillWakesWithItsPlan) {
+// A paused leader resumes with its plan in memory after its successor has continued the plan, or
+// dropped it because the waiting job was cancelled. The resumed leader must have no effect.
+TEST(Moves, APausedLeaderResumesWithItsPlan) {
   for (const bool cancelled : {false, true}) {
-    for (const double at : moments()) {
+    for (const double at : fault_times()) {
       Fragments fragments;
-      auto& w = fragments.w;
-      ASSERT_TRUE(fragments.run_into_plan(at));
-      const int old = w.leader();
-      w.pause_node(old);
-      ASSERT_TRUE(fragments.until(10, [&] { return w.leader() >= 0; }));
-      if (cancelled) w.cancel(w.leader(), kLarge);
-      EXPECT_TRUE(fragments.until(fragments.longest(), [&] {
-        return fragments.large_runs() == !cancelled && fragments.is_settled();
+      auto& cluster = fragments.cluster;
+      ASSERT_TRUE(fragments.run_after_plan_stored(at));
+      const int old = cluster.leader();
+      cluster.pause_node(old);
+      ASSERT_TRUE(fragments.until(10, [&] { return cluster.leader() >= 0; }));
+      if (cancelled) cluster.cancel(cluster.leader(), kLargeJob);
+      EXPECT_TRUE(fragments.until(fragments.max_plan_time_s(), [&] {
+        return fragments.is_large_job_running() == !cancelled && fragments.is_settled();
       })) << at;
       fragments.run(30);
-      const auto starts = w.starts;
-      w.resume_node(old);
+      const auto starts = cluster.starts;
+      cluster.resume_node(old);
       fragments.run(20);
-      EXPECT_EQ(w.starts, starts) << at;
+      EXPECT_EQ(cluster.starts, starts) << at;
       EXPECT_TRUE(fragments.is_settled()) << at;
     }
   }
 }
 
-// A leader that has lost the state service and its peers keeps its workers for a while, and
-// believes that it leads; so does its successor.
-TEST(Moves, TwoControllersBelieveThatTheyLead) {
-  for (const double at : moments()) {
+// A leader that is partitioned from the state service and its peers keeps its agents for a while
+// and considers itself leader, as does its successor.
+TEST(Moves, TwoControllersConsiderThemselvesLeader) {
+  for (const double at : fault_times()) {
     Fragments fragments;
-    auto& w = fragments.w;
-    ASSERT_TRUE(fragments.run_into_plan(at));
-    const int old = w.leader();
-    w.cut_from_state = {old};
-    w.cut_from_peers = {old};
+    auto& cluster = fragments.cluster;
+    ASSERT_TRUE(fragments.run_after_plan_stored(at));
+    const int old = cluster.leader();
+    cluster.cut_from_state = {old};
+    cluster.cut_from_peers = {old};
     fragments.run(40);
-    w.cut_from_state.clear();
-    w.cut_from_peers.clear();
+    cluster.cut_from_state.clear();
+    cluster.cut_from_peers.clear();
     EXPECT_TRUE(fragments.recovers()) << at;
-    EXPECT_EQ(w.ran_twice, 0);
+    EXPECT_EQ(cluster.ran_twice, 0);
   }
 }
 
-TEST(Moves, TheStateServiceIsDownOrRefusesTheLeaderAlone) {
+TEST(Moves, TheStateServiceIsDownOrRefusesOnlyTheLeader) {
   for (const bool alone : {false, true}) {
-    for (const double at : moments()) {
+    for (const double at : fault_times()) {
       Fragments fragments;
-      auto& w = fragments.w;
-      ASSERT_TRUE(fragments.run_into_plan(at));
-      const int first = w.leader();
-      if (alone) w.refused_by_state = {first};
-      w.state_down = !alone;
+      auto& cluster = fragments.cluster;
+      ASSERT_TRUE(fragments.run_after_plan_stored(at));
+      const int first = cluster.leader();
+      if (alone) cluster.refused_by_state = {first};
+      cluster.state_down = !alone;
       fragments.run(15);
-      w.refused_by_state.clear();
-      w.state_down = false;
-      EXPECT_TRUE(fragments.until(fragments.longest() + 2 * kBoot,
-                                  [&] { return fragments.large_runs() && fragments.is_settled(); }))
+      cluster.refused_by_state.clear();
+      cluster.state_down = false;
+      EXPECT_TRUE(fragments.until(
+          fragments.max_plan_time_s() + 2 * kBootS,
+          [&] { return fragments.is_large_job_running() && fragments.is_settled(); }))
           << at << (alone ? " alone" : "");
     }
   }
 }
 
-// The writes of the plan itself are carried out late, after newer ones, or only their answers are
-// lost. `Fragments` looks at every moment whether anything was stopped or held before it was
-// stored.
-TEST(Moves, WritesOfThePlanComeLateOrLoseTheirAnswers) {
+// Writes of the plan are applied late, after newer ones, or only their answers are lost.
+// `Fragments` checks at every step that nothing was stopped or reserved before it was stored.
+TEST(Moves, WritesOfThePlanAreDelayedOrLoseTheirAnswers) {
   for (const bool late : {false, true}) {
     for (unsigned seed = 1; seed <= 25; ++seed) {
       Fragments fragments;
-      auto& w = fragments.w;
-      w.random.seed(seed);
-      fragments.ask_for_large();
-      fragments.run(kBoot - 1);
-      (late ? w.late_write_share : w.lost_write_response_share) = 0.6;
+      auto& cluster = fragments.cluster;
+      cluster.random.seed(seed);
+      fragments.submit_large_job();
+      fragments.run(kBootS - 1);
+      (late ? cluster.late_write_share : cluster.lost_write_response_share) = 0.6;
       fragments.run(10);
-      w.late_write_share = w.lost_write_response_share = 0;
-      EXPECT_TRUE(fragments.until(fragments.longest() + 2 * kBoot,
-                                  [&] { return fragments.large_runs() && fragments.is_settled(); }))
+      cluster.late_write_share = cluster.lost_write_response_share = 0;
+      EXPECT_TRUE(fragments.until(
+          fragments.max_plan_time_s() + 2 * kBootS,
+          [&] { return fragments.is_large_job_running() && fragments.is_settled(); }))
           << seed << (late ? " late" : " lost");
-      EXPECT_EQ(w.ran_twice, 0);
+      EXPECT_EQ(cluster.ran_twice, 0);
     }
   }
 }
 
-// The first write of the plan is carried out after its leader has given the plan up.
-TEST(Moves, APlanThatIsStoredAfterItWasDroppedHoldsNothing) {
+// The first write of the plan is applied after its leader has dropped the plan.
+TEST(Moves, APlanStoredAfterItWasDroppedReservesNothing) {
   int stored_late = 0;
   for (unsigned seed = 1; seed <= 10; ++seed) {
     Fragments fragments;
-    auto& w = fragments.w;
-    w.random.seed(seed);
-    fragments.ask_for_large();
-    fragments.run(kBoot - 1);
-    w.late_write_nodes = {w.leader()};
-    w.late_write_share = 1;
+    auto& cluster = fragments.cluster;
+    cluster.random.seed(seed);
+    fragments.submit_large_job();
+    fragments.run(kBootS - 1);
+    cluster.late_write_nodes = {cluster.leader()};
+    cluster.late_write_share = 1;
     fragments.run(2.5);
     ASSERT_FALSE(fragments.record());
-    w.cancel((w.leader() + 1) % w.nodes(), kLarge);
+    cluster.cancel((cluster.leader() + 1) % cluster.nodes(), kLargeJob);
     stored_late += fragments.until(15, [&] { return fragments.has_plan(); }) ? 1 : 0;
-    w.late_write_share = 0;
+    cluster.late_write_share = 0;
     EXPECT_TRUE(fragments.until(20, [&] { return fragments.is_settled(); }));
     fragments.run(20);
     EXPECT_FALSE(fragments.has_plan());
-    for (const auto& [task, starts] : w.starts) EXPECT_EQ(starts, 1) << task;
+    for (const auto& [task, starts] : cluster.starts) EXPECT_EQ(starts, 1) << task;
   }
   EXPECT_GT(stored_late, 0);
 }
 
-// The write of a plan is carried out when its leader has ended: it is conditional on that leader.
-TEST(Moves, APlanOfALeaderThatHasEndedIsNotStored) {
+// The write of a plan arrives after its leader was replaced: it is rejected, since it is
+// conditional on that leader.
+TEST(Moves, APlanOfACrashedLeaderIsNotStored) {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     Fragments fragments;
-    auto& w = fragments.w;
-    w.random.seed(seed);
-    fragments.ask_for_large();
-    fragments.run(kBoot - 1);
-    const int first = w.leader();
-    w.late_write_nodes = {first};
-    w.late_write_share = 1;
+    auto& cluster = fragments.cluster;
+    cluster.random.seed(seed);
+    fragments.submit_large_job();
+    fragments.run(kBootS - 1);
+    const int first = cluster.leader();
+    cluster.late_write_nodes = {first};
+    cluster.late_write_share = 1;
     fragments.run(2);
     ASSERT_FALSE(fragments.record());
-    w.crash_node(first);
+    cluster.crash_node(first);
     fragments.run(20);
-    EXPECT_GE(w.leader(), 0);
+    EXPECT_GE(cluster.leader(), 0);
     EXPECT_FALSE(fragments.record());
   }
 }
 
-// ---- machines that fail ----
+// ---- machine failures ----
 
-enum class Trouble { dies, hangs, deaf, mute, notice };
+enum class MachineFault { crash, hang, cannot_receive, cannot_send, preemption_notice };
 
-void make_trouble(TestCluster::Worker& worker, Trouble trouble, bool on) {
-  switch (trouble) {
-    case Trouble::dies:
+void set_fault(TestCluster::Worker& worker, MachineFault fault, bool on) {
+  switch (fault) {
+    case MachineFault::crash:
       worker.gone = worker.is_hung = true;
       worker.tasks.clear();
       break;
-    case Trouble::hangs:
+    case MachineFault::hang:
       worker.is_hung = on;
       break;
-    case Trouble::deaf:
+    case MachineFault::cannot_receive:
       worker.cannot_receive = on;
       break;
-    case Trouble::mute:
+    case MachineFault::cannot_send:
       worker.cannot_send = on;
       break;
-    case Trouble::notice:
+    case MachineFault::preemption_notice:
       if (on) worker.preemption_notice_s = 30;
       break;
   }
 }
 
-class MovesMachines : public ::testing::TestWithParam<std::tuple<Trouble, bool>> {};
+class MovesMachines : public ::testing::TestWithParam<std::tuple<MachineFault, bool>> {};
 
-// A source or a target dies, hangs, hears nothing, is not heard, or is about to be taken.
-TEST_P(MovesMachines, EndWithNothingHeldAndNothingLost) {
-  const auto [trouble, at_source] = GetParam();
-  for (const double at : moments()) {
+// A source or a target crashes, hangs, receives no messages, sends none, or gets a preemption
+// notice.
+TEST_P(MovesMachines, EndWithoutReservationsOrLostTasks) {
+  const auto [fault, at_source] = GetParam();
+  for (const double at : fault_times()) {
     Fragments fragments;
-    auto& w = fragments.w;
-    fragments.ask_for_large();
+    auto& cluster = fragments.cluster;
+    fragments.submit_large_job();
     ASSERT_TRUE(fragments.reach_plan());
     const auto move = fragments.record()->plan->moves.front();
     fragments.run(at);
-    auto& worker = *w.workers.at(at_source ? move.source : move.target);
-    make_trouble(worker, trouble, true);
+    auto& worker = *cluster.workers.at(at_source ? move.source : move.target);
+    set_fault(worker, fault, true);
     fragments.run(25);
-    EXPECT_FALSE(fragments.has_plan()) << at;  // long before its bound
-    if (trouble == Trouble::hangs && !worker.gone) w.resume_worker(worker);
-    if (trouble != Trouble::dies) make_trouble(worker, trouble, false);
-    // With a machine less, not all of both fit.
-    EXPECT_TRUE(fragments.until(fragments.longest() + kBoot, [&] {
-      return !fragments.has_plan() && !fragments.reservations_held() &&
-             (w.running(kSmall) == 4 || fragments.large_runs());
+    EXPECT_FALSE(fragments.has_plan()) << at;  // well before its timeout
+    if (fault == MachineFault::hang && !worker.gone) cluster.resume_worker(worker);
+    if (fault != MachineFault::crash) set_fault(worker, fault, false);
+    // With one machine less, the gang and all small tasks do not fit together.
+    EXPECT_TRUE(fragments.until(fragments.max_plan_time_s() + kBootS, [&] {
+      return !fragments.has_plan() && !fragments.has_reservations() &&
+             (cluster.running(kSmallJob) == 4 || fragments.is_large_job_running());
     })) << at;
-    EXPECT_EQ(w.ran_twice, 0);
+    EXPECT_EQ(cluster.ran_twice, 0);
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(MachineFaults, MovesMachines,
-                         ::testing::Combine(::testing::Values(Trouble::dies, Trouble::hangs,
-                                                              Trouble::deaf, Trouble::mute,
-                                                              Trouble::notice),
-                                            ::testing::Bool()));
+INSTANTIATE_TEST_SUITE_P(
+    MachineFaults, MovesMachines,
+    ::testing::Combine(::testing::Values(MachineFault::crash, MachineFault::hang,
+                                         MachineFault::cannot_receive, MachineFault::cannot_send,
+                                         MachineFault::preemption_notice),
+                       ::testing::Bool()));
 
-// Copies of heartbeats that show a task on its source come after it has started on its target, also
-// to a leader that has just begun.
-TEST(Moves, OldReportsShowMovedTasksOnTheirSources) {
+// Delayed copies of heartbeats that show a task on its source arrive after it has started on its
+// target, also at a leader whose term has just begun.
+TEST(Moves, StaleHeartbeatsShowMovedTasksOnTheirSources) {
   for (unsigned seed = 1; seed <= 25; ++seed) {
     Fragments fragments;
-    auto& w = fragments.w;
-    w.random.seed(seed);
-    w.late_heartbeat_share = 0.7;
-    w.replays_heartbeats = true;
-    fragments.ask_for_large();
+    auto& cluster = fragments.cluster;
+    cluster.random.seed(seed);
+    cluster.late_heartbeat_share = 0.7;
+    cluster.replays_heartbeats = true;
+    fragments.submit_large_job();
     ASSERT_TRUE(fragments.reach_plan());
     fragments.run(0.1 * seed);
-    const int first = w.leader();
-    w.crash_node(first);
+    const int first = cluster.leader();
+    cluster.crash_node(first);
     fragments.run(5);
-    w.start_node(first);
+    cluster.start_node(first);
     EXPECT_TRUE(fragments.recovers()) << seed;
     fragments.run(20);
-    EXPECT_EQ(w.ran_twice, 0);
-    EXPECT_TRUE(fragments.large_runs());
+    EXPECT_EQ(cluster.ran_twice, 0);
+    EXPECT_TRUE(fragments.is_large_job_running());
   }
 }
 
-// ---- jobs that end, and others that come ----
+// ---- cancelled and new jobs ----
 
-TEST(Moves, TheWaitingJobIsCancelledMidway) {
-  for (const double at : moments()) {
+TEST(Moves, TheWaitingJobIsCancelledDuringThePlan) {
+  for (const double at : fault_times()) {
     Fragments fragments;
-    auto& w = fragments.w;
-    ASSERT_TRUE(fragments.run_into_plan(at));
-    w.cancel(w.leader(), kLarge);
-    // Nothing stays reserved, and nothing more is stopped.
-    EXPECT_TRUE(fragments.until(1, [&] { return !fragments.reservations_held(); })) << at;
+    auto& cluster = fragments.cluster;
+    ASSERT_TRUE(fragments.run_after_plan_stored(at));
+    cluster.cancel(cluster.leader(), kLargeJob);
+    // All reservations are released, and no further task is stopped.
+    EXPECT_TRUE(fragments.until(1, [&] { return !fragments.has_reservations(); })) << at;
     const int begun = fragments.moves_begun();
     EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); })) << at;
     EXPECT_EQ(fragments.moves_begun(), begun) << at;
-    fragments.run(w.base_settings.cancel_s);
-    EXPECT_EQ(w.live_tasks(kLarge), 0);
+    fragments.run(cluster.base_settings.cancel_s);
+    EXPECT_EQ(cluster.live_tasks(kLargeJob), 0);
   }
 }
 
-TEST(Moves, TheMovedJobIsCancelledMidway) {
-  for (const double at : moments()) {
+TEST(Moves, TheMovedJobIsCancelledDuringThePlan) {
+  for (const double at : fault_times()) {
     Fragments fragments;
-    auto& w = fragments.w;
-    ASSERT_TRUE(fragments.run_into_plan(at));
-    w.cancel(w.leader(), kSmall);
-    // Its end makes the room, too.
-    EXPECT_TRUE(fragments.until(10, [&] { return fragments.large_runs(); })) << at;
+    auto& cluster = fragments.cluster;
+    ASSERT_TRUE(fragments.run_after_plan_stored(at));
+    cluster.cancel(cluster.leader(), kSmallJob);
+    // Its end also frees the capacity.
+    EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_large_job_running(); })) << at;
     EXPECT_TRUE(fragments.until(10, [&] {
-      return !fragments.has_plan() && !fragments.reservations_held();
+      return !fragments.has_plan() && !fragments.has_reservations();
     })) << at;
-    fragments.run(w.base_settings.cancel_s);
-    EXPECT_EQ(w.live_tasks(kSmall), 0);
+    fragments.run(cluster.base_settings.cancel_s);
+    EXPECT_EQ(cluster.live_tasks(kSmallJob), 0);
   }
 }
 
-// Urgent work comes in the middle of a plan and needs the room that is held: it is placed at once.
-TEST(Moves, EntitledWorkTakesTheReservedRoom) {
-  for (const double at : moments()) {
+// A job of higher priority arrives during a plan and needs the reserved capacity: it is placed
+// immediately.
+TEST(Moves, HigherPriorityJobsTakeReservedCapacity) {
+  for (const double at : fault_times()) {
     Fragments fragments;
-    auto& w = fragments.w;
-    ASSERT_TRUE(fragments.run_into_plan(at));
+    auto& cluster = fragments.cluster;
+    ASSERT_TRUE(fragments.run_after_plan_stored(at));
     auto urgent = make_job("j-000009", JobKind::service, 4, 5, "blue").spec;
     urgent.priority = wire::Priority::production;
-    w.submit(w.leader(), urgent);
-    // Of a gang that was placed before nothing is stopped; then two replicas find room beside it.
+    cluster.submit(cluster.leader(), urgent);
+    // A gang that is already placed is not stopped; then only two replicas fit beside it.
     EXPECT_TRUE(fragments.until(8, [&] {
-      return w.running(urgent.id) >= (w.live_tasks(kLarge) > 0 ? 2 : 4);
+      return cluster.running(urgent.id) >= (cluster.live_tasks(kLargeJob) > 0 ? 2 : 4);
     })) << at;
-    EXPECT_TRUE(fragments.until(fragments.longest(), [&] {
-      return !fragments.has_plan() && !fragments.reservations_held();
+    EXPECT_TRUE(fragments.until(fragments.max_plan_time_s(), [&] {
+      return !fragments.has_plan() && !fragments.has_reservations();
     })) << at;
   }
 }
 
-// Work of the same priority waits as long as the room is held, and no longer.
-TEST(Moves, WorkOfEqualRankLeavesTheReservedRoomAlone) {
+// A job of the same priority waits as long as the capacity is reserved, and no longer.
+TEST(Moves, JobsOfEqualPriorityDoNotTakeReservedCapacity) {
   Fragments fragments;
-  auto& w = fragments.w;
-  fragments.ask_for_large();
+  auto& cluster = fragments.cluster;
+  fragments.submit_large_job();
   ASSERT_TRUE(fragments.reach_plan());
-  w.submit(w.leader(), make_job("j-000009", JobKind::service, 4, 5, "blue").spec);
-  EXPECT_TRUE(fragments.until(10, [&] { return fragments.large_runs(); }));
+  cluster.submit(cluster.leader(), make_job("j-000009", JobKind::service, 4, 5, "blue").spec);
+  EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_large_job_running(); }));
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); }));
 }
 
-// Two gangs of whole machines, and room that moves can make for one.
-TEST(Moves, TwoLargeJobsWantTheSamePieces) {
+// Two gangs of whole machines, of which moves can free capacity for one.
+TEST(Moves, TwoLargeJobsCompeteForTheSameFragments) {
   Fragments fragments;
-  auto& w = fragments.w;
-  fragments.ask_for_large();
-  w.submit(1, Fragments::large_spec("j-000004"));
-  EXPECT_TRUE(fragments.until(
-      3 * kBoot, [&] { return fragments.large_runs() || fragments.large_runs("j-000004"); }));
-  fragments.run(4 * kBoot);
-  EXPECT_NE(fragments.large_runs(), fragments.large_runs("j-000004"));
+  auto& cluster = fragments.cluster;
+  fragments.submit_large_job();
+  cluster.submit(1, Fragments::large_spec("j-000004"));
+  EXPECT_TRUE(fragments.until(3 * kBootS, [&] {
+    return fragments.is_large_job_running() || fragments.is_large_job_running("j-000004");
+  }));
+  fragments.run(4 * kBootS);
+  EXPECT_NE(fragments.is_large_job_running(), fragments.is_large_job_running("j-000004"));
   EXPECT_TRUE(fragments.is_settled());
-  // No task was moved to and fro for the other.
+  // No task was moved again for the other gang.
   EXPECT_EQ(fragments.moves_begun(), 2);
 }
 
-// A machine that was emptied stands idle until the next one is: it is not given back meanwhile.
+// A machine that was emptied stays idle until the next one is emptied: scale-in does not delete it
+// meanwhile.
 TEST(Moves, EmptiedMachinesAreKeptForTheWaitingJob) {
   auto settings = settings_with_moves();
   settings.operators.scaler.down_window_s = 1;
   settings.operators.scaler.down_cooldown_s = 0.1;
   Fragments fragments(settings);
-  auto& w = fragments.w;
-  fragments.ask_for_large();
+  auto& cluster = fragments.cluster;
+  fragments.submit_large_job();
   ASSERT_TRUE(fragments.reach_plan());
   const auto moves = fragments.record()->plan->moves;
-  auto& second_source = *w.workers.at(moves.back().source);
+  auto& second_source = *cluster.workers.at(moves.back().source);
   second_source.is_hung = true;
   fragments.run(8);
-  EXPECT_TRUE(w.workers.at(moves.front().source)->tasks.empty());
-  EXPECT_TRUE(w.deleted.empty());
-  w.resume_worker(second_source);
-  EXPECT_TRUE(fragments.until(10, [&] { return fragments.large_runs(); }));
+  EXPECT_TRUE(cluster.workers.at(moves.front().source)->tasks.empty());
+  EXPECT_TRUE(cluster.deleted.empty());
+  cluster.resume_worker(second_source);
+  EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_large_job_running(); }));
 }
 
-// ---- rules and limits ----
+// ---- zone rules and quota limits ----
 
 TEST(Moves, ASpreadJobMovesWithinItsZonesOrNotAtAll) {
   for (const bool in_one_zone : {false, true}) {
-    TestCluster w(3, {}, settings_with_moves());
-    w.cloud_without_capacity = true;
-    w.run_s = 1e6;
-    for (const char* zone : {"a", "a", "b", "b"}) w.add_worker(zone);
-    for (int task = 0; task < 4; ++task) w.run_s_of["j-000001/" + std::to_string(task)] = 8;
-    w.run(2);
-    w.submit(0, array_of(kShort, 4, 5));
-    w.run(4);
+    TestCluster cluster(3, {}, settings_with_moves());
+    cluster.cloud_without_capacity = true;
+    cluster.run_s = 1e6;
+    for (const char* zone : {"a", "a", "b", "b"}) cluster.add_worker(zone);
+    for (int task = 0; task < 4; ++task) cluster.run_s_of["j-000001/" + std::to_string(task)] = 8;
+    cluster.run(2);
+    cluster.submit(0, array_of(kShortJob, 4, 5));
+    cluster.run(4);
     auto small = Fragments::small_spec();
     small.spread = true;
-    w.submit(0, small);
-    w.run(16);
-    ASSERT_EQ(w.running(kSmall), 4);
+    cluster.submit(0, small);
+    cluster.run(16);
+    ASSERT_EQ(cluster.running(kSmallJob), 4);
     auto large = Fragments::large_spec();
-    if (in_one_zone) large.zone = "a";  // both of its machines: the tasks there would have to leave
-    w.submit(1, large);
-    w.run(3 * kBoot);
-    EXPECT_EQ(w.running(kLarge), in_one_zone ? 0 : 2);
-    EXPECT_EQ(w.running(kSmall), 4);
-    for (const auto& [task, starts] : w.starts) {
+    if (in_one_zone)
+      large.zone = "a";  // both machines of the zone: the tasks there would have to leave it
+    cluster.submit(1, large);
+    cluster.run(3 * kBootS);
+    EXPECT_EQ(cluster.running(kLargeJob), in_one_zone ? 0 : 2);
+    EXPECT_EQ(cluster.running(kSmallJob), 4);
+    for (const auto& [task, starts] : cluster.starts) {
       EXPECT_TRUE(starts == 1 || !in_one_zone) << task;
     }
   }
@@ -442,177 +450,182 @@
   auto settings = settings_with_moves();
   settings.teams[0].gpus_max = 27;  // 12 for the small tasks, 16 for the gang
   Fragments fragments(settings);
-  fragments.ask_for_large();
-  fragments.run(3 * kBoot);
+  fragments.submit_large_job();
+  fragments.run(3 * kBootS);
   EXPECT_EQ(fragments.moves_begun(), 0);
-  EXPECT_EQ(fragments.w.running(kSmall), 4);
+  EXPECT_EQ(fragments.cluster.running(kSmallJob), 4);
 }
 
-// The moved task's part of the limit is its own, though it is free for a moment between two
-// machines and other work of its team waits for it.
+// The moved task keeps its part of the team's limit, although the task is not placed for a moment
+// between two machines and other tasks of its team are waiting at the limit.
 TEST(Moves, AMovedTaskKeepsItsPartOfTheLimit) {
   auto settings = settings_with_moves();
   settings.teams[0].gpus_max = 20;  // 12 for the small tasks, 8 for what waits of its own team
   Fragments fragments(settings);
-  auto& w = fragments.w;
-  w.submit(1, make_job(kLarge, JobKind::service, 1, 8, "blue").spec);
-  // Eight GPUs run in pieces of one; two more tasks wait at the limit, and go before the others.
+  auto& cluster = fragments.cluster;
+  cluster.submit(1, make_job(kLargeJob, JobKind::service, 1, 8, "blue").spec);
+  // Eight tasks of one GPU run; two more wait at the limit and precede the others in placement
+  // order.
   auto waiting = make_job("j-000005", JobKind::job_array, 10, 1, "red").spec;
   waiting.due_s = 1;
-  w.submit(1, waiting);
-  ASSERT_TRUE(fragments.until(10, [&] { return w.running("j-000005") == 8; }));
+  cluster.submit(1, waiting);
+  ASSERT_TRUE(fragments.until(10, [&] { return cluster.running("j-000005") == 8; }));
   ASSERT_TRUE(fragments.reach_plan());
-  EXPECT_TRUE(fragments.until(30, [&] { return w.running(kLarge) == 1; }));
+  EXPECT_TRUE(fragments.until(30, [&] { return cluster.running(kLargeJob) == 1; }));
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); }));
-  EXPECT_EQ(w.running("j-000005"), 8);
+  EXPECT_EQ(cluster.running("j-000005"), 8);
 }
 
-// Other work of the team fills the limit while the plan is under way: it gains nothing any more.
-TEST(Moves, ALimitThatFillsUpEndsThePlan) {
+// Another job of the team fills the limit during the plan, so the plan no longer gains anything.
+TEST(Moves, AnExhaustedLimitEndsThePlan) {
   auto settings = settings_with_moves();
   settings.teams[0].gpus_max = 28;  // 12 for the small tasks and 16 for the gang
   Fragments fragments(settings);
-  auto& w = fragments.w;
-  fragments.ask_for_large();
+  auto& cluster = fragments.cluster;
+  fragments.submit_large_job();
   ASSERT_TRUE(fragments.reach_plan());
   const auto move = fragments.record()->plan->moves.front();
-  w.workers.at(move.source)->cannot_receive = true;
-  w.submit(w.leader(), make_job("j-000005", JobKind::service, 1, 1, "red").spec);
+  cluster.workers.at(move.source)->cannot_receive = true;
+  cluster.submit(cluster.leader(), make_job("j-000005", JobKind::service, 1, 1, "red").spec);
   EXPECT_TRUE(
-      fragments.until(10, [&] { return !fragments.has_plan() && !fragments.reservations_held(); }));
-  w.workers.at(move.source)->cannot_receive = false;
+      fragments.until(10, [&] { return !fragments.has_plan() && !fragments.has_reservations(); }));
+  cluster.workers.at(move.source)->cannot_receive = false;
   EXPECT_TRUE(fragments.until(20, [&] { return fragments.is_settled(); }));
 }
 
-// ---- the gain is gone ----
+// ---- plans that no longer gain anything ----
 
-// Machines boot that will hold the gang, while the first move is held up.
-TEST(Moves, MachinesThatBootEndThePlan) {
+// Machines that will hold the gang start to boot while the first move is delayed.
+TEST(Moves, BootingMachinesEndThePlan) {
   Fragments fragments;
-  auto& w = fragments.w;
-  fragments.ask_for_large();
+  auto& cluster = fragments.cluster;
+  fragments.submit_large_job();
   ASSERT_TRUE(fragments.reach_plan());
   const auto move = fragments.record()->plan->moves.front();
-  w.workers.at(move.source)->cannot_receive = true;
-  w.add_worker("a", 20);
-  w.add_worker("a", 20);
+  cluster.workers.at(move.source)->cannot_receive = true;
+  cluster.add_worker("a", 20);
+  cluster.add_worker("a", 20);
   EXPECT_TRUE(
-      fragments.until(8, [&] { return !fragments.has_plan() && !fragments.reservations_held(); }));
-  w.workers.at(move.source)->cannot_receive = false;
-  EXPECT_TRUE(fragments.until(40, [&] { return fragments.large_runs(); }));
+      fragments.until(8, [&] { return !fragments.has_plan() && !fragments.has_reservations(); }));
+  cluster.workers.at(move.source)->cannot_receive = false;
+  EXPECT_TRUE(fragments.until(40, [&] { return fragments.is_large_job_running(); }));
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); }));
   EXPECT_LE(fragments.moves_begun(), 1);
 }
 
-// Other work ends, and the gang finds room without the moves that have not begun.
-TEST(Moves, RoomThatComesFreeEndsThePlan) {
+// Other tasks end, and the gang can be placed without the moves that have not begun.
+TEST(Moves, FreedCapacityEndsThePlan) {
   Fragments fragments;
-  auto& w = fragments.w;
-  fragments.ask_for_large();
+  auto& cluster = fragments.cluster;
+  fragments.submit_large_job();
   ASSERT_TRUE(fragments.reach_plan());
   const auto moves = fragments.record()->plan->moves;
   ASSERT_EQ(moves.size(), 2U);
   for (const auto& move : moves) {
-    // What is on the targets ends; one of them is whole then, without its second move.
-    for (const auto& [task, held] : w.workers.at(move.target)->tasks) w.run_s_of[task] = 0;
+    // The tasks on the targets end, which frees one target entirely without its second move.
+    for (const auto& [task, held] : cluster.workers.at(move.target)->tasks)
+      cluster.run_s_of[task] = 0;
   }
-  EXPECT_TRUE(fragments.until(10, [&] { return fragments.large_runs(); }));
+  EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_large_job_running(); }));
   EXPECT_TRUE(
-      fragments.until(10, [&] { return !fragments.has_plan() && !fragments.reservations_held(); }));
+      fragments.until(10, [&] { return !fragments.has_plan() && !fragments.has_reservations(); }));
   EXPECT_EQ(fragments.moves_begun(), 1);
 }
 
 // ---- budgets, operators and versions ----
 
-/// Leaves a record of so many moves of the small job, as long ago, to the next leader.
+/// Leaves a record with this many past moves of the small job, `ago_s` seconds old, to the next
+/// leader.
 void leave_past_moves(Fragments& fragments, int moves, double ago_s) {
-  auto& w = fragments.w;
+  auto& cluster = fragments.cluster;
   defrag::MoveRecord record;
-  const auto at_ms = w.reactor.wall_ms() - static_cast<std::int64_t>(ago_s * 1000);
-  for (int i = 0; i < moves; ++i) record.past.push_back({kSmall, at_ms});
-  const int leader = w.leader();
-  w.crash_node(leader);
-  w.state_service.handle({"POST", "/txn", "",
-                          R"({"If":[],"Then":[{"Write":"moves/record","Data":)" +
-                              defrag::write_move_record(record) + "}]}",
-                          true});
+  const auto at_ms = cluster.reactor.wall_ms() - static_cast<std::int64_t>(ago_s * 1000);
+  for (int i = 0; i < moves; ++i) record.past.push_back({kSmallJob, at_ms});
+  const int leader = cluster.leader();
+  cluster.crash_node(leader);
+  cluster.state_service.handle({"POST", "/txn", "",
+                                R"({"If":[],"Then":[{"Write":"moves/record","Data":)" +
+                                    defrag::write_move_record(record) + "}]}",
+                                true});
   ASSERT_EQ(fragments.record(), record);
-  ASSERT_TRUE(fragments.until(10, [&] { return w.leader() >= 0; }));
-  w.start_node(leader);
+  ASSERT_TRUE(fragments.until(10, [&] { return cluster.leader() >= 0; }));
+  cluster.start_node(leader);
 }
 
-// What a job has moved counts for an hour, through changes of leader. The gang takes two moves.
-TEST(Moves, ABudgetSurvivesItsLeader) {
+// Past moves of a job count for an hour, across changes of leader. The gang takes two moves.
+TEST(Moves, ABudgetSurvivesAFailover) {
   constexpr double kHour = 3600;
   for (const double ago_s : {10.0, kHour + 10}) {
     Fragments fragments;
     leave_past_moves(fragments, 3, ago_s);
-    fragments.ask_for_large();
-    fragments.run(3 * kBoot);
-    EXPECT_EQ(fragments.large_runs(), ago_s > kHour);
+    fragments.submit_large_job();
+    fragments.run(3 * kBootS);
+    EXPECT_EQ(fragments.is_large_job_running(), ago_s > kHour);
     EXPECT_EQ(fragments.moves_begun(), ago_s > kHour ? 2 : 3);
   }
 }
 
-TEST(Moves, WhatWasMovedStaysInTheRecord) {
+TEST(Moves, CompletedMovesStayInTheRecord) {
   Fragments fragments;
-  auto& w = fragments.w;
-  fragments.ask_for_large();
-  ASSERT_TRUE(fragments.until(3 * kBoot, [&] { return fragments.large_runs(); }));
+  auto& cluster = fragments.cluster;
+  fragments.submit_large_job();
+  ASSERT_TRUE(fragments.until(3 * kBootS, [&] { return fragments.is_large_job_running(); }));
   ASSERT_TRUE(fragments.until(20, [&] { return fragments.is_settled(); }));
-  w.crash_node(w.leader());
+  cluster.crash_node(cluster.leader());
   fragments.run(20);
   EXPECT_EQ(fragments.moves_begun(), 2);
 }
 
-// The operator's key stops all moves at once.
-TEST(Moves, TheOperatorStopsAllMoves) {
+// The key `moves/off` stops all moves immediately.
+TEST(Moves, TheOperatorDisablesMoves) {
   Fragments fragments;
-  auto& w = fragments.w;
-  fragments.ask_for_large();
+  auto& cluster = fragments.cluster;
+  fragments.submit_large_job();
   ASSERT_TRUE(fragments.reach_plan());
-  const auto put = [&](bool off) {
-    const std::string what =
-        off ? R"({"Write":"moves/off","Data":{}})" : R"({"Remove":"moves/off"})";
-    w.state_service.handle({"POST", "/txn", "", R"({"If":[],"Then":[)" + what + "]}", true});
+  const auto set_disabled = [&](bool disabled) {
+    const std::string mutation =
+        disabled ? R"({"Write":"moves/off","Data":{}})" : R"({"Remove":"moves/off"})";
+    cluster.state_service.handle(
+        {"POST", "/txn", "", R"({"If":[],"Then":[)" + mutation + "]}", true});
   };
-  put(true);
+  set_disabled(true);
   EXPECT_TRUE(fragments.until(5, [&] { return fragments.is_settled(); }));
   const int begun = fragments.moves_begun();
-  fragments.run(3 * kBoot);
+  fragments.run(3 * kBootS);
   EXPECT_EQ(fragments.moves_begun(), begun);
-  EXPECT_FALSE(fragments.large_runs());
-  put(false);
-  EXPECT_TRUE(fragments.until(3 * kBoot, [&] { return fragments.large_runs(); }));
+  EXPECT_FALSE(fragments.is_large_job_running());
+  set_disabled(false);
+  EXPECT_TRUE(fragments.until(3 * kBootS, [&] { return fragments.is_large_job_running(); }));
 }
 
-// An older version knows nothing of plans: it leads over a half-done one, and hands it back.
+// An older version that does not support plans becomes leader during a plan, and a newer version
+// leads after it.
 TEST(Moves, OlderAndNewerVersionsLeadInTurnOverOnePlan) {
-  for (const double at : moments()) {
+  for (const double at : fault_times()) {
     Fragments fragments;
-    auto& w = fragments.w;
-    ASSERT_TRUE(fragments.run_into_plan(at));
-    const int newer = w.leader();
-    for (int node = 0; node < w.nodes(); ++node) {
+    auto& cluster = fragments.cluster;
+    ASSERT_TRUE(fragments.run_after_plan_stored(at));
+    const int newer = cluster.leader();
+    for (int node = 0; node < cluster.nodes(); ++node) {
       if (node == newer) continue;
-      w.nodes_without_moves.insert(node);
-      w.crash_node(node);
-      w.start_node(node);
+      cluster.nodes_without_moves.insert(node);
+      cluster.crash_node(node);
+      cluster.start_node(node);
     }
     fragments.run(1);
-    w.crash_node(newer);
-    ASSERT_TRUE(fragments.until(10, [&] { return w.leader() >= 0; }));
+    cluster.crash_node(newer);
+    ASSERT_TRUE(fragments.until(10, [&] { return cluster.leader() >= 0; }));
     fragments.run(10);
-    const int older = w.leader();
+    const int older = cluster.leader();
     ASSERT_NE(older, newer);
-    EXPECT_TRUE(w.term(older)->cluster().reservations().empty());
-    w.start_node(newer);
+    EXPECT_TRUE(cluster.term(older)->cluster().reservations().empty());
+    cluster.start_node(newer);
     fragments.run(1);
-    for (int node = 0; node < w.nodes(); ++node) {
-      if (node != newer) w.crash_node(node);
+    for (int node = 0; node < cluster.nodes(); ++node) {
+      if (node != newer) cluster.crash_node(node);
     }
     EXPECT_TRUE(fragments.recovers()) << at;
-    EXPECT_EQ(w.ran_twice, 0);
+    EXPECT_EQ(cluster.ran_twice, 0);
   }
 }
 
--- a/tests/moves_property_test.cpp
+++ b/tests/moves_property_test.cpp
@@ -1,6 +1,6 @@
-// Random fleets and faults around plans of moves on the in-memory cluster: controllers that end,
-// stand still or lose the state service, writes without answers, machines that hang or die, jobs
-// that come and are cancelled.
+// Plans of moves with random fleets and faults on the in-memory cluster: controllers that crash,
+// pause or lose the state service, writes without answers, machines that hang or crash, jobs that
+// are submitted and cancelled.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -15,18 +15,18 @@
 enum class Action {
   wait,
   crash_leader,
-  stop_leader,
-  wake_nodes,
+  pause_leader,
+  resume_nodes,
   start_nodes,
   refuse_leader,
   state_down,
-  serve_state,
+  restore_store,
   lose_answers,
   late_writes,
-  prompt_writes,
+  restore_writes,
   hang_machine,
   kill_machine,
-  wake_machines,
+  resume_machines,
   late_heartbeats,
   submit_small,
   submit_large,
@@ -55,135 +55,137 @@
 class RandomRun {
  public:
   explicit RandomRun(unsigned seed) {
-    fragments_.w.random.seed(seed);
-    fragments_.w.submit(0, Fragments::large_spec());
-    fragments_.run(kBoot - 1);
+    fragments_.cluster.random.seed(seed);
+    fragments_.cluster.submit(0, Fragments::large_spec());
+    fragments_.run(kBootS - 1);
   }
 
-  void take(const Step& step) {
-    auto& w = fragments_.w;
-    const int leader = w.leader();
+  void apply(const Step& step) {
+    auto& cluster = fragments_.cluster;
+    const int leader = cluster.leader();
     switch (step.action) {
       case Action::wait:
       case Action::count:
         break;
       case Action::crash_leader:
-        if (leader >= 0) w.crash_node(leader);
+        if (leader >= 0) cluster.crash_node(leader);
         break;
-      case Action::stop_leader:
-        if (leader >= 0) w.pause_node(leader);
+      case Action::pause_leader:
+        if (leader >= 0) cluster.pause_node(leader);
         break;
-      case Action::wake_nodes:
-        each_node([&](int node) {
-          if (w.is_paused(node)) w.resume_node(node);
+      case Action::resume_nodes:
+        for_each_node([&](int node) {
+          if (cluster.is_paused(node)) cluster.resume_node(node);
         });
         break;
       case Action::start_nodes:
-        each_node([&](int node) {
-          if (!w.is_up(node)) w.start_node(node);
+        for_each_node([&](int node) {
+          if (!cluster.is_up(node)) cluster.start_node(node);
         });
         break;
       case Action::refuse_leader:
-        w.refused_by_state = {leader};
+        cluster.refused_by_state = {leader};
         break;
       case Action::state_down:
-        w.state_down = true;
+        cluster.state_down = true;
         break;
-      case Action::serve_state:
-        w.refused_by_state.clear();
-        w.state_down = false;
+      case Action::restore_store:
+        cluster.refused_by_state.clear();
+        cluster.state_down = false;
         break;
       case Action::lose_answers:
-        w.lost_write_response_share = 0.5;
+        cluster.lost_write_response_share = 0.5;
         break;
       case Action::late_writes:
-        w.late_write_share = 0.5;
+        cluster.late_write_share = 0.5;
         break;
-      case Action::prompt_writes:
-        w.lost_write_response_share = w.late_write_share = 0;
+      case Action::restore_writes:
+        cluster.lost_write_response_share = cluster.late_write_share = 0;
         break;
       case Action::hang_machine:
-        if (machines_in_trouble() < kMaxInTrouble) machine(step.detail).is_hung = true;
+        if (faulty_machines() < kMaxFaultyMachines) machine(step.detail).is_hung = true;
         break;
       case Action::kill_machine:
-        if (machines_in_trouble() < kMaxInTrouble) kill(machine(step.detail));
+        if (faulty_machines() < kMaxFaultyMachines) kill(machine(step.detail));
         break;
-      case Action::wake_machines:
-        for (auto& [id, worker] : w.workers) w.resume_worker(*worker);
+      case Action::resume_machines:
+        for (auto& [id, worker] : cluster.workers) cluster.resume_worker(*worker);
         break;
       case Action::late_heartbeats:
-        w.late_heartbeat_share = 0.5;
+        cluster.late_heartbeat_share = 0.5;
         break;
       case Action::submit_small:
-        w.add_user(array_of(next_id(), 1 + step.detail % 2, 1 + step.detail % 5), habits(step));
+        cluster.add_user(array_of(next_id(), 1 + step.detail % 2, 1 + step.detail % 5),
+                         user_behavior(step));
         break;
       case Action::submit_large:
-        w.add_user(Fragments::large_spec(next_id()), habits(step));
+        cluster.add_user(Fragments::large_spec(next_id()), user_behavior(step));
         break;
       case Action::cancel_job:
-        w.add_user(step.detail % 2 == 0 ? Fragments::small_spec() : Fragments::large_spec(),
-                   UserBehavior{0, false, false});
+        cluster.add_user(step.detail % 2 == 0 ? Fragments::small_spec() : Fragments::large_spec(),
+                         UserBehavior{0, false, false});
         break;
       case Action::end_task:
-        w.run_s_of[std::string(kSmall) + "/" + std::to_string(step.detail % 4)] = 0;
+        cluster.run_s_of[std::string(kSmallJob) + "/" + std::to_string(step.detail % 4)] = 0;
         break;
     }
     run(step.pause_ms / 1000.0);
   }
 
-  /// The most moves that stood in a record.
+  /// The maximum number of moves seen in a record.
   std::size_t max_moves() const { return max_moves_; }
 
-  /// All faults are over: no plan outlives its bound, and no room stays held.
-  void heal() {
-    for (const auto action : {Action::wake_nodes, Action::start_nodes, Action::serve_state,
-                              Action::prompt_writes, Action::wake_machines}) {
-      take({action, 0, 0});
+  /// Clears all faults and checks that no plan exceeds its maximum duration and no reservations
+  /// remain.
+  void clear_faults_and_check() {
+    for (const auto action : {Action::resume_nodes, Action::start_nodes, Action::restore_store,
+                              Action::restore_writes, Action::resume_machines}) {
+      apply({action, 0, 0});
     }
-    fragments_.w.late_heartbeat_share = 0;
-    run(fragments_.longest());
-    // A plan that stands now was begun since.
+    fragments_.cluster.late_heartbeat_share = 0;
+    run(fragments_.max_plan_time_s());
+    // A plan that exists now was begun after the faults were cleared.
     const auto record = fragments_.record();
-    const bool planned = record && record->plan;
-    RC_ASSERT(planned || !fragments_.reservations_held());
+    const bool has_plan = record && record->plan;
+    RC_ASSERT(has_plan || !fragments_.has_reservations());
   }
 
  private:
-  static constexpr int kMaxInTrouble = 1;
+  static constexpr int kMaxFaultyMachines = 1;
   template <typename Visit>
-  void each_node(Visit visit) {
-    for (int node = 0; node < fragments_.w.nodes(); ++node) visit(node);
+  void for_each_node(Visit visit) {
+    for (int node = 0; node < fragments_.cluster.nodes(); ++node) visit(node);
   }
   TestCluster::Worker& machine(unsigned detail) {
-    auto machine = fragments_.w.workers.begin();
-    std::advance(machine, detail % fragments_.w.workers.size());
+    auto machine = fragments_.cluster.workers.begin();
+    std::advance(machine, detail % fragments_.cluster.workers.size());
     return *machine->second;
   }
-  int machines_in_trouble() const {
-    int troubled = 0;
-    for (const auto& [id, worker] : fragments_.w.workers) troubled += worker->is_hung ? 1 : 0;
-    return troubled;
+  int faulty_machines() const {
+    int faulty = 0;
+    for (const auto& [id, worker] : fragments_.cluster.workers) faulty += worker->is_hung ? 1 : 0;
+    return faulty;
   }
   static void kill(TestCluster::Worker& worker) {
     worker.gone = worker.is_hung = true;
     worker.tasks.clear();
   }
-  static UserBehavior habits(const Step& step) {
+  static UserBehavior user_behavior(const Step& step) {
     return UserBehavior{step.detail % 3 == 0 ? 0.01 * step.detail : -1, false, false};
   }
-  std::string next_id() { return name(++jobs_); }
+  std::string next_id() { return name(++submitted_jobs_); }
 
   void run(double seconds) {
-    constexpr double kLook = 0.05;
-    for (double passed = 0; passed < seconds; passed += kLook) {
-      fragments_.run(kLook);
-      look();
+    constexpr double kCheckIntervalS = 0.05;
+    for (double passed = 0; passed < seconds; passed += kCheckIntervalS) {
+      fragments_.run(kCheckIntervalS);
+      check_invariants();
     }
   }
-  void look() {
-    auto& w = fragments_.w;
-    RC_ASSERT(w.ran_twice == 0);
-    RC_ASSERT(w.rules.broken.empty());
+  void check_invariants() {
+    auto& cluster = fragments_.cluster;
+    RC_ASSERT(cluster.ran_twice == 0);
+    RC_ASSERT(cluster.rules.broken.empty());
     const auto record = fragments_.record();
     if (!record) return;
     max_moves_ = std::max(max_moves_, record->past.size());
@@ -191,46 +193,49 @@
     if (record->plan) check_age(*record->plan);
     check_machines();
   }
-  // The moves of a job in any hour, of which these runs are a part.
+  // Moves per job in any hour; a run takes less than an hour.
   void check_budgets(const defrag::MoveRecord& record) {
     const defrag::MoveBudgetSettings settings;
     std::map<std::string, std::size_t> moves;
     for (const auto& move : record.past) {
-      RC_ASSERT(++moves[move.job] <= settings.moves_per_job_and_hour);
+      RC_ASSERT(++moves[move.job] <= settings.max_moves_per_job_per_hour);
     }
   }
-  // Whoever leads and hears the state service ends a plan in time.
+  // A leader that reaches the state service ends a plan in time.
   void check_age(const defrag::MovePlan& plan) {
-    auto& w = fragments_.w;
-    const bool served = !w.state_down && w.refused_by_state.empty() &&
-                        w.late_write_share + w.lost_write_response_share == 0;
-    served_since_ = served && w.leader() >= 0 ? served_since_ : w.reactor.now();
-    const double age_s = static_cast<double>(w.reactor.wall_ms() - plan.begun_ms) / 1000;
-    const double served_s = w.reactor.now() - served_since_;
-    RC_ASSERT(age_s < fragments_.longest() || served_s < 2 * w.base_settings.lease_s);
+    auto& cluster = fragments_.cluster;
+    const bool store_available = !cluster.state_down && cluster.refused_by_state.empty() &&
+                                 cluster.late_write_share + cluster.lost_write_response_share == 0;
+    store_available_since_ =
+        store_available && cluster.leader() >= 0 ? store_available_since_ : cluster.reactor.now();
+    const double age_s = static_cast<double>(cluster.reactor.wall_ms() - plan.begun_ms) / 1000;
+    const double store_available_s = cluster.reactor.now() - store_available_since_;
+    RC_ASSERT(age_s < fragments_.max_plan_time_s() ||
+              store_available_s < 2 * cluster.base_settings.lease_s);
   }
-  // No room is given twice: what the leader counts on a machine fits it, held room included.
+  // No capacity is allocated twice: the resources that the leader has allocated on a machine fit
+  // it, reservations included.
   void check_machines() {
     const int leader = fragments_.rightful_leader();
     if (leader < 0) return;
-    const auto& cluster = fragments_.w.term(leader)->cluster();
-    for (const auto& [id, machine] : fragments_.w.term(leader)->cluster().machines()) {
-      const auto* type = cluster.type(machine.kind.type);
+    const auto& state = fragments_.cluster.term(leader)->cluster();
+    for (const auto& [id, machine] : fragments_.cluster.term(leader)->cluster().machines()) {
+      const auto* type = state.type(machine.kind.type);
       if (type != nullptr) RC_ASSERT(machine.allocated.fits_in(type->resources));
     }
   }
 
   Fragments fragments_;
-  double served_since_ = 0;
-  int jobs_ = 0;
+  double store_available_since_ = 0;
+  int submitted_jobs_ = 0;
   std::size_t max_moves_ = 0;
 };
 
-RC_GTEST_PROP(MovesProperty, NoRuleBreaksAndNoRoomStaysHeld, (unsigned seed)) {
+RC_GTEST_PROP(MovesProperty, NoInvariantBreaksAndNoReservationsRemain, (unsigned seed)) {
   const auto steps = *rc::gen::resize(25, rc::gen::container<std::vector<Step>>(any_step()));
   RandomRun run(seed);
-  for (const auto& step : steps) run.take(step);
-  run.heal();
+  for (const auto& step : steps) run.apply(step);
+  run.clear_faults_and_check();
   RC_CLASSIFY(run.max_moves() > 0, "a task was moved");
 }
 
--- a/tests/moves_replicas_test.cpp
+++ b/tests/moves_replicas_test.cpp
@@ -1,5 +1,5 @@
-// Replicas that move behind a router while chats go on, through controllers, machines and routers
-// that fail. No request may be dropped, whatever fails.
+// Replicas that move behind a router while chats continue, with failing controllers, machines and
+// routers. No fault may cause a dropped request.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,40 +12,40 @@
 
 using wire::JobKind;
 
-/// The fragmented fleet of `Fragments`, whose small tasks are replicas with chats.
+/// The fragmented fleet of `Fragments`, with replicas that serve chats as its small tasks.
 class Chats {
  public:
-  static constexpr std::size_t kMaxChats = 20;  // that one replica carries
+  static constexpr std::size_t kMaxChats = 20;  // per replica
   Fragments fragments{settings(), 3, replicas()};
-  TestCluster& w = fragments.w;
+  TestCluster& cluster = fragments.cluster;
   RouterStandIn router{kMaxChats};
   bool router_answers = true;
   double router_slow_s = 0;
   int requests = 0, dropped = 0;
-  int max_drained = 0;  ///< replicas at once
+  int max_drained = 0;  ///< maximum number of replicas drained concurrently
 
   explicit Chats(int chats = 12, int turns = 6) : turns_(turns) {
-    w.router = [this](const net::Request& request) -> std::optional<net::Response> {
-      watch();
+    cluster.router = [this](const net::Request& request) -> std::optional<net::Response> {
+      update_replicas();
       if (!router_answers) return std::nullopt;
-      return router.handle(request, w.reactor.now());
+      return router.handle(request, cluster.reactor.now());
     };
     scope_.spawn(watch_replicas());
-    for (int i = 0; i < chats; ++i) scope_.spawn(use(0.35 * i));
+    for (int i = 0; i < chats; ++i) scope_.spawn(run_chats(0.35 * i));
     fragments.run(1);
   }
   ~Chats() { scope_.clear(); }
   Chats(const Chats&) = delete;
   Chats& operator=(const Chats&) = delete;
 
-  bool runs(const RouterStandIn::Replica& replica) const {
-    const auto& worker = *w.workers.at(replica.machine);
+  bool is_running(const RouterStandIn::Replica& replica) const {
+    const auto& worker = *cluster.workers.at(replica.machine);
     const auto task = worker.tasks.find(wire::to_string(replica.task));
     return !worker.gone && task != worker.tasks.end() && task->second.attempt == replica.attempt &&
            task->second.state == wire::TaskState::running;
   }
-  bool is_over() { return fragments.large_runs() && fragments.is_settled(); }
-  double longest() const { return fragments.longest() + 2 * kBoot; }
+  bool is_over() { return fragments.is_large_job_running() && fragments.is_settled(); }
+  double max_plan_time_s() const { return fragments.max_plan_time_s() + 2 * kBootS; }
 
  private:
   static base::Settings settings() {
@@ -53,48 +53,48 @@
     settings.operators.defrag.drain = {"router", "/drains"};
     return settings;
   }
-  static wire::JobSpec replicas() { return make_job(kSmall, JobKind::service, 4, 3).spec; }
+  static wire::JobSpec replicas() { return make_job(kSmallJob, JobKind::service, 4, 3).spec; }
 
-  void watch() {
+  void update_replicas() {
     std::vector<RouterStandIn::Replica> replicas;
-    for (const auto& [id, worker] : w.workers) {
+    for (const auto& [id, worker] : cluster.workers) {
       for (const auto& [name, task] : worker->tasks) {
         const RouterStandIn::Replica replica{*wire::parse_task(name), task.attempt, id,
                                              worker->address};
-        if (replica.task.job == kSmall && runs(replica)) replicas.push_back(replica);
+        if (replica.task.job == kSmallJob && is_running(replica)) replicas.push_back(replica);
       }
     }
     int drained = 0;
     for (const auto& replica : replicas) {
-      drained += router.is_drained(replica.task, w.reactor.now()) ? 1 : 0;
+      drained += router.is_drained(replica.task, cluster.reactor.now()) ? 1 : 0;
     }
     max_drained = std::max(max_drained, drained);
-    router.set_replicas(std::move(replicas), w.reactor.now());
+    router.set_replicas(std::move(replicas), cluster.reactor.now());
   }
   net::Task<void> watch_replicas() {
-    constexpr double kEvery = 0.02;
+    constexpr double kPollIntervalS = 0.02;
     for (;;) {
-      watch();
-      net::Sleep pause(w.reactor, kEvery);
+      update_replicas();
+      net::Sleep pause(cluster.reactor, kPollIntervalS);
       co_await pause;
     }
   }
-  // One chat after the other, each of several requests with pauses.
-  net::Task<void> use(double first_after_s) {
-    constexpr double kRequestTakes = 0.4, kPause = 0.6;
-    net::Sleep begin(w.reactor, first_after_s);
+  // Runs one chat after another, each with several requests and pauses between them.
+  net::Task<void> run_chats(double first_after_s) {
+    constexpr double kRequestDurationS = 0.4, kPauseS = 0.6;
+    net::Sleep begin(cluster.reactor, first_after_s);
     co_await begin;
     for (;;) {
       const int chat = ++chats_;
       for (int turn = 0; turn < turns_; ++turn) {
-        watch();
-        const auto replica = router.begin_request(chat, kSmall, w.reactor.now());
+        update_replicas();
+        const auto replica = router.begin_request(chat, kSmallJob, cluster.reactor.now());
         ++requests;
-        net::Sleep serving(w.reactor, kRequestTakes);
+        net::Sleep serving(cluster.reactor, kRequestDurationS);
         co_await serving;
-        dropped += replica && runs(*replica) ? 0 : 1;
+        dropped += replica && is_running(*replica) ? 0 : 1;
         router.end_request(chat);
-        net::Sleep pause(w.reactor, kPause);
+        net::Sleep pause(cluster.reactor, kPauseS);
         co_await pause;
       }
       router.end_chat(chat);
@@ -106,10 +106,10 @@
   net::Scope scope_;
 };
 
-TEST(MovesReplicas, ALargeModelIsPlacedAndNoRequestIsDropped) {
+TEST(MovesReplicas, AGangIsPlacedAndNoRequestIsDropped) {
   Chats chats;
-  chats.fragments.ask_for_large();
-  EXPECT_TRUE(chats.fragments.until(3 * kBoot, [&] { return chats.is_over(); }));
+  chats.fragments.submit_large_job();
+  EXPECT_TRUE(chats.fragments.until(3 * kBootS, [&] { return chats.is_over(); }));
   chats.fragments.run(10);
   EXPECT_EQ(chats.dropped, 0);
   EXPECT_GT(chats.requests, 300);
@@ -117,163 +117,167 @@
   EXPECT_EQ(chats.max_drained, 1);  // of four replicas, one at a time
 }
 
-// A chat that does not end is carried over, with a request of its own.
+// A chat that does not end is carried over to another replica by a request of its own.
 TEST(MovesReplicas, ChatsThatDoNotEndAreCarriedOver) {
   Chats chats(12, 1'000'000);
-  chats.fragments.ask_for_large();
-  EXPECT_TRUE(chats.fragments.until(3 * kBoot, [&] { return chats.is_over(); }));
+  chats.fragments.submit_large_job();
+  EXPECT_TRUE(chats.fragments.until(3 * kBootS, [&] { return chats.is_over(); }));
   EXPECT_EQ(chats.dropped, 0);
   EXPECT_GT(chats.router.carried_over(), 0);
 }
 
-TEST(MovesReplicas, ARouterThatRefusesOrDoesNotAnswerStopsTheMove) {
+TEST(MovesReplicas, ARefusingOrUnresponsiveRouterPreventsTheMove) {
   for (const bool answers : {false, true}) {
-    Chats chats(answers ? 70 : 12);  // more than three replicas carry
+    Chats chats(answers ? 70 : 12);  // exceeds the capacity of three replicas
     chats.router_answers = answers;
-    chats.fragments.ask_for_large();
-    chats.fragments.run(3 * kBoot);
-    EXPECT_FALSE(chats.fragments.large_runs());
+    chats.fragments.submit_large_job();
+    chats.fragments.run(3 * kBootS);
+    EXPECT_FALSE(chats.fragments.is_large_job_running());
     EXPECT_EQ(chats.dropped, 0);
     EXPECT_EQ(chats.router.drains_refused() > 0, answers);
-    for (const auto& [task, starts] : chats.w.starts) EXPECT_EQ(starts, 1) << task;
-    EXPECT_FALSE(chats.fragments.reservations_held());
+    for (const auto& [task, starts] : chats.cluster.starts) EXPECT_EQ(starts, 1) << task;
+    EXPECT_FALSE(chats.fragments.has_reservations());
   }
 }
 
-/// Moments of a plan that moves two replicas, and a while after.
-std::vector<double> drain_moments() {
+/// Fault times during a plan that moves two replicas, and shortly after it.
+std::vector<double> drain_fault_times() {
   std::vector<double> out;
   for (double at = 0; at < 18; at += 0.6) out.push_back(at);
   return out;
 }
 
-TEST(MovesReplicas, LeadersEndAtAnyMoment) {
-  for (const double at : drain_moments()) {
+TEST(MovesReplicas, LeadersCrashAtAnyTime) {
+  for (const double at : drain_fault_times()) {
     Chats chats;
-    auto& w = chats.w;
-    ASSERT_TRUE(chats.fragments.run_into_plan(at));
-    const int first = w.leader();
-    w.crash_node(first);
+    auto& cluster = chats.cluster;
+    ASSERT_TRUE(chats.fragments.run_after_plan_stored(at));
+    const int first = cluster.leader();
+    cluster.crash_node(first);
     chats.fragments.run(5);
-    w.start_node(first);
+    cluster.start_node(first);
     EXPECT_TRUE(chats.fragments.recovers()) << at;
     EXPECT_EQ(chats.dropped, 0) << at;
   }
 }
 
-// Controllers that are gone keep no replica out of service.
-TEST(MovesReplicas, ADrainEndsByItselfWhenAllControllersAreGone) {
-  for (const double at : drain_moments()) {
+// Once all controllers have crashed, no replica stays out of service.
+TEST(MovesReplicas, ADrainExpiresWhenAllControllersHaveCrashed) {
+  for (const double at : drain_fault_times()) {
     Chats chats;
-    auto& w = chats.w;
-    ASSERT_TRUE(chats.fragments.run_into_plan(at));
-    for (int node = 0; node < w.nodes(); ++node) w.crash_node(node);
-    chats.fragments.run(w.base_settings.lease_s);
+    auto& cluster = chats.cluster;
+    ASSERT_TRUE(chats.fragments.run_after_plan_stored(at));
+    for (int node = 0; node < cluster.nodes(); ++node) cluster.crash_node(node);
+    chats.fragments.run(cluster.base_settings.lease_s);
     for (std::uint32_t task = 0; task < 4; ++task) {
-      EXPECT_FALSE(chats.router.is_drained({kSmall, task}, w.reactor.now())) << at;
+      EXPECT_FALSE(chats.router.is_drained({kSmallJob, task}, cluster.reactor.now())) << at;
     }
   }
 }
 
-// The leader stands still, or is cut from the state service and its peers, and believes that it
-// leads; its successor goes on. Stops of both rest on drains that still hold.
-TEST(MovesReplicas, TwoControllersBelieveThatTheyLead) {
+// The leader is paused, or partitioned from the state service and its peers, and considers itself
+// leader; its successor continues the plan. Stops by either are covered by drains that are still in
+// force.
+TEST(MovesReplicas, TwoControllersConsiderThemselvesLeader) {
   for (const bool is_paused : {false, true}) {
-    for (const double at : drain_moments()) {
+    for (const double at : drain_fault_times()) {
       Chats chats;
-      auto& w = chats.w;
-      ASSERT_TRUE(chats.fragments.run_into_plan(at));
-      const int old = w.leader();
+      auto& cluster = chats.cluster;
+      ASSERT_TRUE(chats.fragments.run_after_plan_stored(at));
+      const int old = cluster.leader();
       if (is_paused) {
-        w.pause_node(old);
+        cluster.pause_node(old);
       } else {
-        w.cut_from_state = {old};
-        w.cut_from_peers = {old};
+        cluster.cut_from_state = {old};
+        cluster.cut_from_peers = {old};
       }
       chats.fragments.run(20);
-      w.cut_from_state.clear();
-      w.cut_from_peers.clear();
-      if (is_paused) w.resume_node(old);
+      cluster.cut_from_state.clear();
+      cluster.cut_from_peers.clear();
+      if (is_paused) cluster.resume_node(old);
       EXPECT_TRUE(chats.fragments.recovers()) << at;
       EXPECT_EQ(chats.dropped, 0) << at;
     }
   }
 }
 
-// Direct commands are held up on their way and carried out late: the stop of a replica is none.
-TEST(MovesReplicas, CommandsThatComeLateStopNoReplica) {
-  for (const double at : drain_moments()) {
+// Direct commands are delayed and carried out late: a late stop must not stop a replica that serves
+// again.
+TEST(MovesReplicas, DelayedCommandsStopNoReplica) {
+  for (const double at : drain_fault_times()) {
     Chats chats;
-    auto& w = chats.w;
-    ASSERT_TRUE(chats.fragments.run_into_plan(at));
-    for (auto& [id, worker] : w.workers) worker->commands_late_s = 13;
-    const int first = w.leader();
+    auto& cluster = chats.cluster;
+    ASSERT_TRUE(chats.fragments.run_after_plan_stored(at));
+    for (auto& [id, worker] : cluster.workers) worker->commands_late_s = 13;
+    const int first = cluster.leader();
     chats.fragments.run(2);
-    w.crash_node(first);
+    cluster.crash_node(first);
     chats.fragments.run(20);
-    for (auto& [id, worker] : w.workers) worker->commands_late_s = 0;
-    w.start_node(first);
+    for (auto& [id, worker] : cluster.workers) worker->commands_late_s = 0;
+    cluster.start_node(first);
     EXPECT_TRUE(chats.fragments.recovers()) << at;
     EXPECT_EQ(chats.dropped, 0) << at;
   }
 }
 
-// A leader that can't confirm its lease may have been replaced: it prolongs no drain.
-TEST(MovesReplicas, ALeaderInDoubtKeepsNoReplicaOutOfService) {
-  for (const double at : drain_moments()) {
-    Chats chats(12, 1'000'000);  // so that drains last
-    auto& w = chats.w;
-    ASSERT_TRUE(chats.fragments.run_into_plan(at));
-    w.state_down = true;
-    chats.fragments.run(1.5 * w.base_settings.lease_s);
+// A leader that cannot renew its lease may have been replaced: it renews no drain.
+TEST(MovesReplicas, ALeaderWithoutAConfirmedLeaseKeepsNoReplicaOutOfService) {
+  for (const double at : drain_fault_times()) {
+    Chats chats(12, 1'000'000);  // so that drains take long
+    auto& cluster = chats.cluster;
+    ASSERT_TRUE(chats.fragments.run_after_plan_stored(at));
+    cluster.state_down = true;
+    chats.fragments.run(1.5 * cluster.base_settings.lease_s);
     for (std::uint32_t task = 0; task < 4; ++task) {
-      EXPECT_FALSE(chats.router.is_drained({kSmall, task}, w.reactor.now())) << at;
+      EXPECT_FALSE(chats.router.is_drained({kSmallJob, task}, cluster.reactor.now())) << at;
     }
-    w.state_down = false;
+    cluster.state_down = false;
     EXPECT_TRUE(chats.fragments.recovers()) << at;
     EXPECT_EQ(chats.dropped, 0) << at;
   }
 }
 
-// The plan is dropped while commands are held up: a replica that serves again is not stopped late.
-TEST(MovesReplicas, NoStopIsUnderWayWhenAPlanIsDropped) {
+// The plan is dropped while commands are delayed: a replica that serves again must not be stopped
+// late.
+TEST(MovesReplicas, NoStopIsInFlightWhenAPlanIsDropped) {
   for (double at = 0; at < 10; at += 0.3) {
     Chats chats;
-    auto& w = chats.w;
-    chats.fragments.ask_for_large();
+    auto& cluster = chats.cluster;
+    chats.fragments.submit_large_job();
     ASSERT_TRUE(chats.fragments.reach_plan());
-    for (auto& [id, worker] : w.workers) worker->commands_late_s = 4;
+    for (auto& [id, worker] : cluster.workers) worker->commands_late_s = 4;
     chats.fragments.run(at);
-    w.cancel(w.leader(), kLarge);
+    cluster.cancel(cluster.leader(), kLargeJob);
     chats.fragments.run(10);
     EXPECT_EQ(chats.dropped, 0) << at;
   }
 }
 
-// The router falls silent in the middle: its drain runs out, and the replica serves again.
-TEST(MovesReplicas, ARouterThatFallsSilentEndsTheMove) {
-  for (const double at : drain_moments()) {
+// The router stops answering during a move: its drain expires, and the replica serves again.
+TEST(MovesReplicas, ARouterThatStopsAnsweringEndsTheMove) {
+  for (const double at : drain_fault_times()) {
     Chats chats;
-    ASSERT_TRUE(chats.fragments.run_into_plan(at));
+    ASSERT_TRUE(chats.fragments.run_after_plan_stored(at));
     chats.router_answers = false;
-    EXPECT_TRUE(chats.fragments.until(chats.longest(), [&] {
-      return !chats.fragments.has_plan() && !chats.fragments.reservations_held();
+    EXPECT_TRUE(chats.fragments.until(chats.max_plan_time_s(), [&] {
+      return !chats.fragments.has_plan() && !chats.fragments.has_reservations();
     })) << at;
     EXPECT_EQ(chats.dropped, 0) << at;
-    EXPECT_TRUE(chats.fragments.until(10, [&] { return chats.w.running(kSmall) == 4; })) << at;
+    EXPECT_TRUE(chats.fragments.until(10, [&] { return chats.cluster.running(kSmallJob) == 4; }))
+        << at;
   }
 }
 
 TEST(MovesReplicas, TheWaitingJobIsCancelledWhileAReplicaDrains) {
-  for (const double at : drain_moments()) {
+  for (const double at : drain_fault_times()) {
     Chats chats;
-    auto& w = chats.w;
-    ASSERT_TRUE(chats.fragments.run_into_plan(at));
-    w.cancel(w.leader(), kLarge);
-    // The drain is taken back at once, not at its lease's end.
+    auto& cluster = chats.cluster;
+    ASSERT_TRUE(chats.fragments.run_after_plan_stored(at));
+    cluster.cancel(cluster.leader(), kLargeJob);
+    // The drain is cancelled immediately, not at the expiry of its lease.
     chats.fragments.run(2);
     for (std::uint32_t task = 0; task < 4; ++task) {
-      EXPECT_FALSE(chats.router.is_drained({kSmall, task}, w.reactor.now())) << at;
+      EXPECT_FALSE(chats.router.is_drained({kSmallJob, task}, cluster.reactor.now())) << at;
     }
     EXPECT_TRUE(chats.fragments.until(10, [&] { return chats.fragments.is_settled(); })) << at;
     EXPECT_EQ(chats.dropped, 0) << at;
--- a/tests/plan_check_test.cpp
+++ b/tests/plan_check_test.cpp
@@ -1,4 +1,4 @@
-// When a plan of moves is dropped because of what machines have shown.
+// When a plan of moves is dropped because of what heartbeats have shown.
 #include "defrag/plan_check.hpp"
 
 #include <gtest/gtest.h>
@@ -16,8 +16,8 @@
 constexpr const char* kWaiting = "j-000002";
 constexpr double kNow = 60;
 
-/// A task of four GPUs on n-1 that is to move, so that a gang of eight GPUs has n-1 to itself. Of
-/// the machines, n-2 is in the same zone and n-3 in another.
+/// A task of four GPUs on n-1 that is to move, to free n-1 for a gang of eight GPUs. n-2 is in the
+/// same zone, n-3 in another.
 class PlanCheck : public ::testing::Test {
  protected:
   testing::Fleet fleet{{"n-1", "a"}, {"n-2", "a"}, {"n-3", "b"}};
@@ -63,8 +63,8 @@
   EXPECT_EQ(check(plan_to("n-3")), std::nullopt);
 }
 
-// A record is taken over as it is stored, so it may name a target that no search of this version
-// would choose.
+// A stored plan is adopted unchanged, so after a failover it may name a target that the search of
+// this version would not choose.
 TEST_F(PlanCheck, AJobOfOneZoneDoesNotMoveToAnother) {
   moved.spec.one_zone = true;
   EXPECT_EQ(check(plan_to("n-2")), std::nullopt);
@@ -77,8 +77,8 @@
   EXPECT_EQ(check(plan_to("n-3")), DropReason::target_unavailable);
 }
 
-// After a failover a record may name a source that neither the list nor a heartbeat has shown: its
-// zone is unknown, so the target's can't be told to be the same.
+// After a failover a record may name a source that neither the machine list nor a heartbeat has
+// shown. Its zone is unknown, so it cannot be compared with the zone of the target.
 TEST_F(PlanCheck, AJobWithAZoneRuleDoesNotMoveFromAMachineOfUnknownZone) {
   auto& unlisted = fleet.add(make_job("j-000003", wire::JobKind::job_array, 1, 4));
   unlisted.spec.one_zone = true;
--- a/tests/plan_journal_test.cpp
+++ b/tests/plan_journal_test.cpp
@@ -1,4 +1,4 @@
-// What has to be stored of a plan before it is carried out.
+// Which records of a plan must be stored before the plan is carried out.
 #include "defrag/plan_journal.hpp"
 
 #include <gtest/gtest.h>
@@ -21,10 +21,10 @@
   return record;
 }
 
-PlanJournal journal_of(const MoveRecord& stored, const MoveRecord& wanted) {
+PlanJournal journal_of(const MoveRecord& stored, const MoveRecord& desired) {
   PlanJournal journal;
   journal.load(stored);
-  journal.wanted() = wanted;
+  journal.desired() = desired;
   return journal;
 }
 
@@ -32,7 +32,7 @@
   EXPECT_FALSE(PlanJournal().pending_write());
 }
 
-TEST(PlanJournal, WritesANewPlanWhichIsDurableOnlyThen) {
+TEST(PlanJournal, ANewPlanIsDurableOnlyOnceStored) {
   auto journal = journal_of({}, record_with(MoveStep::reserved));
   EXPECT_FALSE(journal.is_durable());
   ASSERT_TRUE(journal.pending_write());
@@ -41,14 +41,14 @@
   EXPECT_FALSE(journal.pending_write());
 }
 
-TEST(PlanJournal, AnotherPlanThatIsStoredIsNotThisOne) {
+TEST(PlanJournal, AnotherStoredPlanDoesNotMakeThisOneDurable) {
   const auto journal =
       journal_of(record_with(MoveStep::stopping, "6-4"), record_with(MoveStep::stopping, "7-1"));
   EXPECT_FALSE(journal.is_durable());
   EXPECT_FALSE(journal.is_stop_durable(0));
 }
 
-TEST(PlanJournal, WritesAStopAheadOfIt) {
+TEST(PlanJournal, WritesAStopBeforeItIsRequested) {
   auto journal = journal_of(record_with(MoveStep::draining), record_with(MoveStep::stopping));
   EXPECT_FALSE(journal.is_stop_durable(0));
   ASSERT_TRUE(journal.pending_write());
@@ -56,13 +56,13 @@
   EXPECT_TRUE(journal.is_stop_durable(0));
 }
 
-TEST(PlanJournal, DoesNotWriteStepsThatAllowNothing) {
+TEST(PlanJournal, DoesNotWriteStepsThatPermitNoAction) {
   const auto journal =
       journal_of(record_with(MoveStep::stopping), record_with(MoveStep::restarting));
   EXPECT_FALSE(journal.pending_write());
 }
 
-TEST(PlanJournal, RemovesAPlanThatIsOver) {
+TEST(PlanJournal, RemovesAPlanThatHasEnded) {
   auto journal = journal_of(record_with(MoveStep::stopping), {});
   ASSERT_TRUE(journal.pending_write());
   EXPECT_FALSE(journal.pending_write()->plan);
@@ -76,10 +76,10 @@
   MoveRecord record;
   record.past.push_back({"j-000001", kBegunMs});
   auto journal = journal_of({}, record);
-  journal.forget_past(kBegunMs + 3'604'000, kClockErrorS);
-  EXPECT_EQ(journal.wanted().past.size(), 1U);
-  journal.forget_past(kBegunMs + 3'604'001, kClockErrorS);
-  EXPECT_TRUE(journal.wanted().past.empty());
+  journal.prune_past_moves(kBegunMs + 3'604'000, kClockErrorS);
+  EXPECT_EQ(journal.desired().past.size(), 1U);
+  journal.prune_past_moves(kBegunMs + 3'604'001, kClockErrorS);
+  EXPECT_TRUE(journal.desired().past.empty());
 }
 
 }  // namespace
--- a/tests/plan_log_test.cpp
+++ b/tests/plan_log_test.cpp
@@ -1,4 +1,4 @@
-// How events of plans read in the log.
+// Log lines for events of plans.
 #include "control/plan_log.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 const defrag::PlannedMove kMove{{"j-000001", 2}, 1, "n-1", "n-2", MoveStep::done};
 
-TEST(PlanLog, NamesAPlansMoves) {
+TEST(PlanLog, ListsTheMovesOfAPlan) {
   defrag::MovePlan plan;
   plan.id = "7-1";
   plan.job = "j-000002";
@@ -26,7 +26,7 @@
             "list=\"j-000001/2 from n-1 to n-2, j-000001/2 from n-1 to n-3\"");
 }
 
-TEST(PlanLog, SaysHowAPlanEnds) {
+TEST(PlanLog, FormatsTakeoverAndEndOfAPlan) {
   EXPECT_EQ(to_log_line(defrag::PlanTakenOver{"7-1", "j-000002", 3}),
             "plan taken over plan=7-1 job=j-000002 moves=3");
   EXPECT_EQ(to_log_line(defrag::PlanDone{"7-1", "j-000002", 4.5}),
@@ -37,7 +37,7 @@
             "reason=\"target unavailable\"");
 }
 
-TEST(PlanLog, TellsMovesThatWereDoneFromThoseThatWentElsewhere) {
+TEST(PlanLog, DistinguishesCompletedFromDivertedMoves) {
   EXPECT_EQ(to_log_line(defrag::MoveEnded{kMove, 2}),
             "move done task=j-000001/2 from=n-1 to=n-2 took_s=2.00");
   auto diverted = kMove;
@@ -46,8 +46,8 @@
             "move diverted task=j-000001/2 from=n-1 to=n-2 took_s=2.00");
 }
 
-// The lab counts moves by these lines.
-TEST(PlanLog, ProgramsReadWhatItSays) {
+// The lab counts moves by these fields.
+TEST(PlanLog, FieldsAreReadableByPrograms) {
   const auto line =
       to_log_line(defrag::PlanDropped{"7-1", "j-000002", 4.5, 2, defrag::DropReason::disabled});
   EXPECT_EQ(base::read_log_field(line, base::kPlanDropped, "moves_undone"), "2");
