--- a/tests/planner_benchmark.cpp
+++ b/tests/planner_benchmark.cpp
@@ -1,4 +1,4 @@
-// How long a plan takes, by machines and by tasks that wait. Not part of the tests:
+// Planning time by number of machines and waiting tasks. Not part of the tests:
 //   cmake -S . -B target-bench -DCRANKLOCK_BENCHMARKS=ON && cmake --build target-bench -j8 --target
 //   planner_benchmark
 #include <benchmark/benchmark.h>
@@ -17,14 +17,14 @@
   const cranklock::defrag::Demand demand{&spec, static_cast<std::size_t>(state.range(1))};
   cranklock::defrag::PlanLimits limits;
   limits.max_moves = 1000;
-  limits.max_candidates = static_cast<std::size_t>(state.range(2));
+  limits.max_evaluated_hosts = static_cast<std::size_t>(state.range(2));
   std::size_t moves = 0;
   bool found = false;
   for (auto _ : state) {
-    auto planned = plan_moves(fleet.hosts, demand, limits);
-    found = planned.plan.has_value();
-    moves = found ? planned.plan->moves.size() : 0;
-    benchmark::DoNotOptimize(planned);
+    auto result = plan_moves(fleet.hosts, demand, limits);
+    found = result.plan.has_value();
+    moves = found ? result.plan->moves.size() : 0;
+    benchmark::DoNotOptimize(result);
   }
   state.counters["found"] = found ? 1 : 0;
   state.counters["moves"] = static_cast<double>(moves);
@@ -33,7 +33,7 @@
 }  // namespace
 
 BENCHMARK(plan)
-    ->ArgNames({"machines", "tasks", "looks"})
+    ->ArgNames({"machines", "tasks", "max_evaluated_hosts"})
     ->ArgsProduct({{100, 800, 2600, 4200}, {1, 8, 32}, {10'000'000}})
     ->Args({4200, 32, 100'000})
     ->Unit(benchmark::kMillisecond);
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -372,10 +372,10 @@
 
 void play_moves(unsigned seed) {
   Fragments fragments;
-  auto& cluster = fragments.w;
+  auto& cluster = fragments.cluster;
   vary(cluster, seed);
   cluster.state_slow_s = 0.1;  // so that each step takes its time
-  EXPECT_TRUE(fragments.run_into_plan(0.4 * seed));
+  EXPECT_TRUE(fragments.run_after_plan_stored(0.4 * seed));
   const int old = crash_leader(cluster);
   fragments.run(5);
   if (old >= 0) cluster.start_node(old);
@@ -387,8 +387,8 @@
 void play_replica_moves(unsigned seed) {
   auto settings = settings_with_moves();
   settings.operators.defrag.drain = {"router", "/drains"};
-  Fragments fragments(settings, 3, make_job(kSmall, JobKind::service, 4, 3).spec);
-  auto& cluster = fragments.w;
+  Fragments fragments(settings, 3, make_job(kSmallJob, JobKind::service, 4, 3).spec);
+  auto& cluster = fragments.cluster;
   vary(cluster, seed);
   constexpr int kChats = 12, kMaxChats = 20;
   RouterStandIn router{kMaxChats};
@@ -397,7 +397,7 @@
     for (const auto& [id, worker] : cluster.workers) {
       for (const auto& [task_name, task] : worker->tasks) {
         const auto parsed = *wire::parse_task(task_name);
-        const bool serves = parsed.job == kSmall && task.state == wire::TaskState::running;
+        const bool serves = parsed.job == kSmallJob && task.state == wire::TaskState::running;
         if (serves) replicas.push_back({parsed, task.attempt, id, worker->address});
       }
     }
@@ -408,17 +408,17 @@
     return router.handle(request, cluster.reactor.now());
   };
   fragments.run(1);
-  fragments.ask_for_large();
+  fragments.submit_large_job();
   for (int round = 0; round < 200; ++round) {
     look();
     for (int chat = round % 2; chat < kChats; chat += 2) {
       router.end_request(chat);
       if (round % 7 == 0) router.end_chat(chat);
-      router.begin_request(chat, kSmall, cluster.reactor.now());
+      router.begin_request(chat, kSmallJob, cluster.reactor.now());
     }
     fragments.run(0.5);
   }
-  EXPECT_TRUE(fragments.large_runs());
+  EXPECT_TRUE(fragments.is_large_job_running());
 }
 
 // ---- regions ----
