--- a/src/defrag/plan_check.hpp
+++ b/src/defrag/plan_check.hpp
@@ -24,7 +24,7 @@
 /// The value of the `reason` field of log lines.
 const char* to_string(DropReason reason);
 
-/// The maximum duration of a plan, derived from the settings.
+/// Seconds after which a plan ends in any case; derived from the settings.
 double max_plan_duration_s(const base::Settings& settings);
 
 /// Whether the waiting job is placed, or as many of its tasks as the plan frees capacity for.
--- a/src/defrag/plan_events.hpp
+++ b/src/defrag/plan_events.hpp
@@ -1,4 +1,4 @@
-// Events of the plan in progress for operators. The leader logs each one.
+// Events of the current plan that are reported to operators. The leader logs each one.
 #pragma once
 
 #include <cstddef>
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -13,10 +13,8 @@
 #include "test_cluster.hpp"
 
 namespace cranklock::testing {
-inline constexpr const char* kShortJob =
-    "j-000001";  ///< array whose tasks end and leave fragments free
-inline constexpr const char* kSmallJob =
-    "j-000002";  ///< array whose tasks occupy part of each machine
+inline constexpr const char* kShortJob = "j-000001";  ///< array whose tasks end and leave fragments
+inline constexpr const char* kSmallJob = "j-000002";  ///< array on part of each machine
 inline constexpr const char* kLargeJob = "j-000003";  ///< gang that needs whole machines
 inline constexpr double kBootS = 45;                  ///< boot time of the machines of fixtures.hpp
 
@@ -101,7 +99,7 @@
     run(seconds);
     return true;
   }
-  /// Whether the large job and all moved tasks run in the end, with no reservations left.
+  /// Whether the large job and all moved tasks finally run, with no plan or reservations left.
   bool recovers() {
     return until(max_plan_time_s() + 2 * kBootS,
                  [this] { return is_large_job_running() && is_settled(); });
@@ -145,8 +143,7 @@
     if (!last_plan_) return;
     for (const auto& move : last_plan_->moves) {
       if (move.step != defrag::MoveStep::reserved || !has_stored_plan) continue;
-      if (cluster.rules.cancelled_at(move.task.job) >= 0)
-        continue;  // stopped because it was cancelled
+      if (cluster.rules.cancelled_at(move.task.job) >= 0) continue;  // cancelled by its user
       const auto& source = *cluster.workers.at(move.source);
       const auto task = source.tasks.find(wire::to_string(move.task));
       const bool stopped = task != source.tasks.end() && task->second.attempt == move.attempt &&
