--- a/lab/chats.hpp
+++ b/lab/chats.hpp
@@ -31,8 +31,8 @@
   int dropped() const { return dropped_; }
   double slowest_s() const { return slowest_s_; }
   int in_progress() const { return in_progress_; }
-  int carried_over() const { return router_.carried_over(); }
-  int drains_asked() const { return router_.drains_asked(); }
+  int carried_over() const { return router_.reassigned_chats(); }
+  int drains_asked() const { return router_.drain_requests(); }
   const std::string& first_drop() const { return first_drop_; }
 
  private:
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -97,8 +97,8 @@
       environment_(environment),
       random_(seed),
       state_(reactor) {
-  state_.limits_writes = true;
-  state_.usual_write_rps = plan.state_write_rps;
+  state_.enforces_write_rate = true;
+  state_.default_write_rps = plan.state_write_rps;
 }
 
 std::string Region::address(int port) const {
@@ -213,7 +213,7 @@
     w.key("Frame").text(machine.kind.type).key("Yard").text(machine.kind.zone);
     w.key("Loaners").flag(machine.kind.spot);
     w.key("Stance").text(reactor_.now() < worker.ready_at ? "booting" : "running");
-    w.key("HeldS").amount(reactor_.now() - machine.began).end();
+    w.key("HeldS").amount(reactor_.now() - machine.created_at).end();
     ++rows;
   }
   w.list_end().key("HasNext").flag(next != workers_.end()).end();
@@ -232,7 +232,7 @@
                      std::to_string(rented_ / kPerNet) + "." +
                      std::to_string(1 + rented_ % kPerNet) + ":9000";
   stand_in.kind = {"g8", zone, spot};
-  stand_in.began = reactor_.now();
+  stand_in.created_at = reactor_.now();
   worker->ready_at = ready_at;
   worker->target = rented_ % region_.controllers;
   Worker& added = *worker;
@@ -244,7 +244,7 @@
 Task<Response> Region::serve_worker(Worker& worker, Request request) {
   if (worker.gone) co_return answer(503);
   if (request.path == "/commands" || !replica_server_) {
-    co_return worker.stand_in.commands(request, environment_, reactor_.now());
+    co_return worker.stand_in.handle_commands(request, environment_, reactor_.now());
   }
   auto serving = replica_server_(worker.stand_in, std::move(request));
   auto response = co_await serving;
@@ -260,11 +260,11 @@
       [this, &worker](Request request) { return serve_worker(worker, std::move(request)); });
   if (!worker.server->listen(stand_in.address)) co_return;
   worker.scope.spawn(worker.server->run());
-  stand_in.answered_sent = reactor_.now();
+  stand_in.last_answered_sent_at = reactor_.now();
   while (!worker.gone) {
-    worker.changed = stand_in.progress(environment_, reactor_.now()) || worker.changed;
+    worker.changed = stand_in.advance_tasks(environment_, reactor_.now()) || worker.changed;
     const auto agent_epoch = stand_in.agent_epoch;
-    stand_in.end_lease(plan_.lease_s, reactor_.now());
+    stand_in.end_expired_lease(plan_.lease_s, reactor_.now());
     ended_leases_ += stand_in.agent_epoch == agent_epoch ? 0 : 1;
     if (worker.changed || reactor_.now() >= worker.next_heartbeat) {
       auto reporting = heartbeat(worker);
@@ -280,7 +280,7 @@
   worker.next_heartbeat = reactor_.now() + plan_.heartbeat_interval_s * (0.75 + 0.5 * chance());
   const double sent = reactor_.now();
   const auto agent_epoch = worker.stand_in.agent_epoch;
-  Request request{"POST", "/checkin", "", worker.stand_in.heartbeat(), true};
+  Request request{"POST", "/checkin", "", worker.stand_in.next_heartbeat(), true};
   auto calling =
       worker.client.call(controller_address(worker.target, 0), std::move(request), kAnswerTimeout);
   const auto reply = co_await calling;
@@ -306,10 +306,10 @@
     if (fencing_token < stand_in.fencing_token) return;
     worker.changed = worker.changed || fencing_token > stand_in.fencing_token;
     stand_in.fencing_token = fencing_token;
-    stand_in.answered_sent = sent;
+    stand_in.last_answered_sent_at = sent;
     const auto& commands = document.root()["Orders"];
     worker.changed = worker.changed || commands.Size() > 0;
-    stand_in.execute(commands, environment_, reactor_.now());
+    stand_in.execute_commands(commands, environment_, reactor_.now());
     return;
   }
   const auto named = wire::read_text(document.root(), "Foreman").value_or("");
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -82,7 +82,7 @@
 // ---- what the fleet does ----
 
 bool Run::lease_over(const testing::WorkerStandIn& worker) const {
-  return worker.lease_over(plan_.lease_s, reactor_.now());
+  return worker.is_lease_expired(plan_.lease_s, reactor_.now());
 }
 
 double Run::run_s(const wire::TaskName& task) const {
@@ -91,7 +91,7 @@
   return plan.spec.kind == wire::JobKind::service ? kForEver : plan.spec.estimate_s;
 }
 
-bool Run::starts(const testing::WorkerStandIn& worker, const wire::TaskName& task) {
+bool Run::on_image_fetched(const testing::WorkerStandIn& worker, const wire::TaskName& task) {
   Job& job = jobs_.at(task.job);
   std::vector<testing::HeldTask> others;
   for (const auto* machine : job.machines) {
@@ -103,7 +103,8 @@
       if (there) others.push_back({other.job, machine->id, other.index, machine->kind, true});
     }
   }
-  rules_.starts({task.job, worker.id, task.index, worker.kind, true}, others, reactor_.now());
+  rules_.on_task_started({task.job, worker.id, task.index, worker.kind, true}, others,
+                         reactor_.now());
   job.machines.insert(&worker);
   Counts& counts = counts_[job.plan->spec.job_class];
   ++counts.task_starts;
@@ -115,7 +116,7 @@
   return false;
 }
 
-bool Run::gang_complete(const wire::TaskName& task, std::uint64_t attempt) const {
+bool Run::is_gang_ready(const wire::TaskName& task, std::uint64_t attempt) const {
   const Job& job = jobs_.at(task.job);
   const auto gathered = job.gathered.find(attempt);
   return gathered != job.gathered.end() && gathered->second.size() == job.plan->spec.tasks;
@@ -153,7 +154,7 @@
   std::cerr << "\r" << static_cast<int>(now()) << " s of "
             << static_cast<int>(plan_.settle_s + plan_.duration_s + plan_.drain_s) << ": "
             << running_ << " tasks, " << (second == starts_by_second_.end() ? 0 : second->second)
-            << " starts a second, " << jobs_.size() << " jobs, " << rules_.broken.size()
+            << " starts a second, " << jobs_.size() << " jobs, " << rules_.violations.size()
             << " rules broken   " << std::flush;
 }
 
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -43,9 +43,11 @@
   void on_start_command(const wire::TaskName& task) override {
     rules_.on_start_command(task.job, reactor_.now());
   }
-  bool starts(const testing::WorkerStandIn& worker, const wire::TaskName& task) override;
-  bool gang_complete(const wire::TaskName& task, std::uint64_t attempt) const override;
-  void completed(const wire::TaskName& task) override { rules_.completed(task.job, task.index); }
+  bool on_image_fetched(const testing::WorkerStandIn& worker, const wire::TaskName& task) override;
+  bool is_gang_ready(const wire::TaskName& task, std::uint64_t attempt) const override;
+  void on_task_completed(const wire::TaskName& task) override {
+    rules_.on_task_completed(task.job, task.index);
+  }
 
  private:
   struct Job {
--- a/lab/run_report.cpp
+++ b/lab/run_report.cpp
@@ -32,8 +32,8 @@
 
 std::string Run::fault() const {
   if (!played_) return "it was not played to its end";
-  if (!rules_.broken.empty()) {
-    const auto& [rule, how] = *rules_.broken.begin();
+  if (!rules_.violations.empty()) {
+    const auto& [rule, how] = *rules_.violations.begin();
     return "the rule " + rule + " broke: " + how;
   }
   std::string fragments = fragments_ ? fragments_->fault() : "";
@@ -49,7 +49,7 @@
   const bool all_alive =
       std::all_of(usage_.begin(), usage_.end(), [](const auto& usage) { return usage.alive; });
   return played_ && quotas_.teams_with_wrong_sums == 0 && all_accepted && all_alive &&
-         rules_.broken.empty() && faults_played_ == static_cast<int>(plan_.faults.size());
+         rules_.violations.empty() && faults_played_ == static_cast<int>(plan_.faults.size());
 }
 
 std::string Run::summary() const {
@@ -66,7 +66,7 @@
              "{} regions, {} controllers: {} jobs accepted, {} task starts (half within {:.1f} s, "
              "99% within {:.1f} s), {} faults played, {} rules broken",
              regions_.size(), usage_.size(), accepted, starts, percentile(start_s, 0.5),
-             percentile(start_s, 0.99), faults_played_, rules_.broken.size());
+             percentile(start_s, 0.99), faults_played_, rules_.violations.size());
 }
 
 // ---- the report ----
@@ -80,7 +80,7 @@
   writer.key("seed").count(plan_.seed);
   if (fragments_) fragments_->report(writer);
   writer.key("broken").begin();
-  for (const auto& [rule, how] : rules_.broken) writer.key(rule).text(how);
+  for (const auto& [rule, how] : rules_.violations) writer.key(rule).text(how);
   writer.end();
   write_classes(writer);
   write_starts(writer);
--- a/lab/run_users.cpp
+++ b/lab/run_users.cpp
@@ -72,14 +72,14 @@
 Task<int> Run::ask(int region, std::string method, std::string path, std::string body,
                    std::string* state) {
   constexpr double kTimeout = 5;
-  const auto question = rules_.ask(method, path, body);
+  const auto question = rules_.on_request(method, path, body);
   const Region& asked = *regions_[static_cast<std::size_t>(region)];
   const int node = std::uniform_int_distribution<>(0, asked.plan().controllers - 1)(random_);
   net::Request request{std::move(method), std::move(path), "", std::move(body), true};
   auto calling = client_.call(asked.controller_address(node, 0), std::move(request), kTimeout);
   const auto reply = co_await calling;
   if (!reply.answered()) co_return 0;
-  rules_.answered(question, reply.status(), reply.response.body, reactor_.now());
+  rules_.on_response(question, reply.status(), reply.response.body, reactor_.now());
   const wire::JsonDocument document(reply.response.body);
   *state = wire::read_text(document.root(), "Stance").value_or("");
   co_return reply.status();
--- a/tests/best_fit_test.cpp
+++ b/tests/best_fit_test.cpp
@@ -126,7 +126,7 @@
 TEST(Nomination, AMachineThatReleasesEnoughIsKeptAtOnce) {
   Fleet fleet;
   Job& running = fleet.add(make_job("j-000001", JobKind::job_array, 1, 8));
-  ASSERT_EQ(fleet.pass().placed, 1);
+  ASSERT_EQ(fleet.run_pass().placed, 1);
   const Job& small = fleet.add(make_job("j-000002", JobKind::job_array, 1, 1));
   CandidateSet before(fleet.cluster);
   nominate_machine(before, small, kNow);
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -73,7 +73,7 @@
   int wanted(double now) {
     cluster.update_overdue_boots(now);
     int sum = 0;
-    for (const auto& [kind, n] : pass(now).shortfall.wanted) sum += n;
+    for (const auto& [kind, n] : run_pass(now).shortfall.wanted) sum += n;
     return sum;
   }
 };
@@ -90,7 +90,7 @@
   const double late = 2.3 * fleet.ready_s();
   fleet.cluster.reconcile_heartbeat(
       testing::heartbeat("n-9", 1, 1, {}, testing::kFencingToken, "a"), true, late);
-  EXPECT_EQ(fleet.pass(late).placed, 1);
+  EXPECT_EQ(fleet.run_pass(late).placed, 1);
   EXPECT_EQ(fleet.cluster.machine("n-9")->tasks.size(), 1U);
 }
 
@@ -120,7 +120,7 @@
   EXPECT_GT(fleet.cluster.expected_boot(*fleet.cluster.type("g8"), "a", slow), fleet.ready_s());
   EXPECT_EQ(fleet.wanted(slow + 1), 0);  // n-9 has the time that the others took
   fleet.add(testing::make_job("j-000002", wire::JobKind::service, 1, 8, "red"));
-  const auto result = fleet.pass(slow + 2);
+  const auto result = fleet.run_pass(slow + 2);
   ASSERT_EQ(result.shortfall.wanted.size(), 1U);
   EXPECT_EQ(result.shortfall.wanted.begin()->first.zone, "b");
 }
--- a/tests/candidates_test.cpp
+++ b/tests/candidates_test.cpp
@@ -151,7 +151,7 @@
 TEST(Candidates, WhatIsBeingStoppedIsNotFreeYet) {
   Fleet fleet;
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 2, 3));
-  ASSERT_EQ(fleet.pass().placed, 2);
+  ASSERT_EQ(fleet.run_pass().placed, 2);
   job.placements[0].request_stop(0, kNow);
   CandidateSet candidates(fleet.cluster);
   EXPECT_DOUBLE_EQ(candidates.schedulable()[0].free.gpus, 2);
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -12,7 +12,7 @@
 using testing::heartbeat;
 using testing::kFencingToken;
 using testing::make_job;
-using testing::task;
+using testing::task_status;
 using wire::CommandKind;
 using wire::ExitReason;
 using wire::TaskState;
@@ -21,8 +21,8 @@
 struct Placed : Fleet {
   Job& job;
   Placed() : job(add(make_job("j-000001", wire::JobKind::service, 1, 4))) {
-    pass();
-    written(job);
+    run_pass();
+    mark_written(job);
   }
   Placement& placement() { return job.placements.at(0); }
   ClusterState::Freshness reconcile(const wire::Heartbeat& message, double now = 2) {
@@ -78,21 +78,21 @@
 TEST(ClusterState, ATaskWithAnIndeterminateStartIsNeverForgotten) {
   Placed s;
   s.cluster.machine("n-1")->agent.indeterminate_starts.insert({{"j-000001", 0}, 1});
-  const auto exited =
-      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
+  const auto exited = heartbeat(
+      "n-1", 1, 5, {task_status("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
   s.reconcile(exited);
-  s.written(s.job);
+  s.mark_written(s.job);
   EXPECT_TRUE(s.cluster.commands_for(exited, true, 3).empty());
 }
 
 TEST(ClusterState, DoneIsDurableBeforeForget) {
   Placed s;
-  const auto exited =
-      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
+  const auto exited = heartbeat(
+      "n-1", 1, 5, {task_status("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
   s.reconcile(exited);
   EXPECT_TRUE(s.job.complete());
   EXPECT_TRUE(s.cluster.commands_for(exited, true, 3).empty());
-  s.written(s.job);
+  s.mark_written(s.job);
   const auto commands = s.cluster.commands_for(exited, true, 3);
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].kind, CommandKind::forget);
@@ -113,10 +113,10 @@
   EXPECT_FALSE(s.placement().ended);
   says_nothing_of_it(4);
   EXPECT_TRUE(s.placement().ended);
-  s.written(s.job);
-  EXPECT_EQ(s.pass(5).placed, 0);
+  s.mark_written(s.job);
+  EXPECT_EQ(s.run_pass(5).placed, 0);
   says_nothing_of_it(5 + static_cast<std::uint64_t>(s.settings.lease_s));  // tried once more
-  EXPECT_EQ(s.pass(20).placed, 1);
+  EXPECT_EQ(s.run_pass(20).placed, 1);
 }
 
 TEST(ClusterState, AMachineThatNeverShowsOurTokenGetsNothingMore) {
@@ -126,7 +126,7 @@
     s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, sequence, {}, kFencingToken - 1), true, 2);
     s.cluster.record_response("n-1", 2);
   }
-  EXPECT_EQ(s.pass(3).placed, 0);
+  EXPECT_EQ(s.run_pass(3).placed, 0);
 }
 
 // A direct start command that was never answered may still be executed.
@@ -175,7 +175,8 @@
   EXPECT_TRUE(stored.placements[0].ended);
   // Should it come back, it holds nothing of ours.
   s.cluster.reconcile_heartbeat(
-      heartbeat("n-1", 2, 1, {task("j-000001", 0, 1, wire::TaskState::running)}), true, over + 2);
+      heartbeat("n-1", 2, 1, {task_status("j-000001", 0, 1, wire::TaskState::running)}), true,
+      over + 2);
   EXPECT_TRUE(stored.placements[0].ended);
 }
 
@@ -203,7 +204,7 @@
   Placed s;
   s.job.cancelled_at_ms = 99;
   EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2).empty());
-  const auto running = heartbeat("n-1", 1, 3, {task("j-000001", 0, 1, TaskState::running)});
+  const auto running = heartbeat("n-1", 1, 3, {task_status("j-000001", 0, 1, TaskState::running)});
   s.reconcile(running);
   const auto commands = s.cluster.commands_for(running, true, 3);
   ASSERT_EQ(commands.size(), 1u);
@@ -212,8 +213,8 @@
 
 TEST(ClusterState, AReloadedRecordDropsWhatWasNeverWrittenAndKeepsWhatWasLearnt) {
   Placed s;
-  s.reconcile(
-      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)}));
+  s.reconcile(heartbeat("n-1", 1, 5,
+                        {task_status("j-000001", 0, 1, TaskState::exited, ExitReason::completed)}));
   // The write of `done` got lost; the stored record still names the placement.
   auto stored = make_job("j-000001", wire::JobKind::service, 1, 4);
   stored.last_attempt = 1;
@@ -233,11 +234,11 @@
   for (const char* id : {"j-000001", "j-000002"}) {
     s.add(make_job(id, wire::JobKind::job_array, 1, 1));
   }
-  s.pass();
+  s.run_pass();
   std::vector<wire::TaskStatus> failed;
   for (const char* id : {"j-000001", "j-000002"}) {
-    s.written(*s.cluster.job(id));
-    failed.push_back(task(id, 0, 1, TaskState::exited, ExitReason::error));
+    s.mark_written(*s.cluster.job(id));
+    failed.push_back(task_status(id, 0, 1, TaskState::exited, ExitReason::error));
   }
   s.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 2, failed), true, 2);
   EXPECT_TRUE(s.cluster.machine("n-1")->quarantined());
@@ -247,32 +248,32 @@
 TEST(ClusterState, AJobThatFailsOnSeveralMachinesBacksOff) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 2, 8));
-  s.pass();
-  s.written(job);
+  s.run_pass();
+  s.mark_written(job);
   for (auto& p : job.placements) {
-    s.cluster.reconcile_heartbeat(
-        heartbeat(p.machine, 1, 2,
-                  {task("j-000001", p.task, p.attempt, TaskState::exited, ExitReason::error)}),
-        true, 2);
+    s.cluster.reconcile_heartbeat(heartbeat(p.machine, 1, 2,
+                                            {task_status("j-000001", p.task, p.attempt,
+                                                         TaskState::exited, ExitReason::error)}),
+                                  true, 2);
   }
   EXPECT_GT(job.retry.backoff_until, 2);
   EXPECT_FALSE(s.cluster.machine("n-1")->quarantined());
-  EXPECT_EQ(s.pass(2.1).placed, 0);
+  EXPECT_EQ(s.run_pass(2.1).placed, 0);
 }
 
 /// Starts whatever may be started, and lets all that runs of these jobs fail; returns how many.
 int fail_all(Fleet& s, const std::set<std::string>& jobs, std::uint64_t sequence, double now) {
-  s.pass(now);
+  s.run_pass(now);
   std::map<std::string, std::vector<wire::TaskStatus>> reports;
   int failed = 0;
   for (auto& [id, job] : s.cluster.jobs()) {
-    s.written(job);
+    s.mark_written(job);
     for (const auto& p : job.placements) {
       const bool fails = jobs.contains(id);
       failed += fails ? 1 : 0;
-      reports[p.machine].push_back(task(id, p.task, p.attempt,
-                                        fails ? TaskState::exited : TaskState::running,
-                                        fails ? ExitReason::error : ExitReason::none));
+      reports[p.machine].push_back(task_status(id, p.task, p.attempt,
+                                               fails ? TaskState::exited : TaskState::running,
+                                               fails ? ExitReason::error : ExitReason::none));
     }
   }
   for (const auto& [machine, tasks] : reports) {
@@ -298,7 +299,7 @@
   EXPECT_FALSE(s.cluster.machine("n-2")->quarantined());
   // Spread out: two of each, and then a round every 32 reports at most.
   EXPECT_LE(failed, 3 * 4 * (5 + 200 / 32 + 1));
-  EXPECT_TRUE(s.pass(210).shortfall.wanted.empty());
+  EXPECT_TRUE(s.run_pass(210).shortfall.wanted.empty());
 }
 
 // The opposite beside it: a machine that fails a job which works elsewhere is found all the same.
@@ -306,14 +307,14 @@
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   Job& sound = s.add(make_job("j-000001", wire::JobKind::job_array, 6, 2));
   s.add(make_job("j-000002", wire::JobKind::job_array, 2, 2, "blue"));
-  s.pass(2);
-  for (auto& [id, job] : s.cluster.jobs()) s.written(job);
+  s.run_pass(2);
+  for (auto& [id, job] : s.cluster.jobs()) s.mark_written(job);
   std::map<std::string, std::vector<wire::TaskStatus>> reports;
   for (const auto& [id, job] : s.cluster.jobs()) {
     for (const auto& p : job.placements) {
       const bool works = id == "j-000001" && p.machine == "n-2";
-      reports[p.machine].push_back(task(id, p.task, p.attempt, TaskState::exited,
-                                        works ? ExitReason::completed : ExitReason::error));
+      reports[p.machine].push_back(task_status(id, p.task, p.attempt, TaskState::exited,
+                                               works ? ExitReason::completed : ExitReason::error));
     }
   }
   ASSERT_EQ(reports.size(), 2U);
@@ -344,14 +345,14 @@
   Job& job = s.add(make_job("j-000001", wire::JobKind::job_array, 2, 8));
   ASSERT_EQ(fail_all(s, {"j-000001"}, 2, 2), 2);
   ASSERT_GT(job.retry.failed_rounds, 0);
-  s.pass(10);
-  s.written(job);
+  s.run_pass(10);
+  s.mark_written(job);
   ASSERT_EQ(job.live(), 2U);
   const auto p = job.placements.front();
-  s.cluster.reconcile_heartbeat(
-      heartbeat(p.machine, 1, 3,
-                {task("j-000001", p.task, p.attempt, TaskState::exited, ExitReason::completed)}),
-      true, 11);
+  s.cluster.reconcile_heartbeat(heartbeat(p.machine, 1, 3,
+                                          {task_status("j-000001", p.task, p.attempt,
+                                                       TaskState::exited, ExitReason::completed)}),
+                                true, 11);
   EXPECT_EQ(job.retry.failed_rounds, 0);
   EXPECT_TRUE(job.retry.failed_machines.empty());
 }
@@ -365,23 +366,23 @@
   fresh.last_attempt = 4;
   Job& spaced = s.add(failing);
   s.add(fresh);
-  EXPECT_EQ(s.pass(1).placed, 4);
+  EXPECT_EQ(s.run_pass(1).placed, 4);
   EXPECT_EQ(spaced.live(), 0U);
-  EXPECT_EQ(s.pass(0.1 + spaced.retry.backoff_until).placed, 4);
+  EXPECT_EQ(s.run_pass(0.1 + spaced.retry.backoff_until).placed, 4);
   EXPECT_GE(spaced.retry.earlier_rounds, 3);
 }
 
 TEST(ClusterState, AGangThatLosesATaskIsStoppedWhole) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}});
   Job& job = s.add(make_job("j-000001", wire::JobKind::gang, 2, 8));
-  s.pass();
-  s.written(job);
+  s.run_pass();
+  s.mark_written(job);
   ASSERT_EQ(job.placements.size(), 2u);
   EXPECT_EQ(job.placements[0].attempt, job.placements[1].attempt);
   s.cluster.remove_machine("n-1", 3);
   for (const auto& p : job.placements) EXPECT_TRUE(p.ended || p.stop);
   // The next attempt waits until all of the old one is gone.
-  EXPECT_EQ(s.pass(4).placed, 0);
+  EXPECT_EQ(s.run_pass(4).placed, 0);
 }
 
 // Guards against starting a task again while a forwarder in a zone that is cut off may still
@@ -389,7 +390,7 @@
 TEST(ClusterState, ALeaseLastsWhileAForwarderMayRenewIt) {
   Fleet s;
   s.add(make_job("j-000001", wire::JobKind::service, 1, 8));
-  ASSERT_EQ(s.pass().placed, 1);
+  ASSERT_EQ(s.run_pass().placed, 1);
   Machine& m = *s.cluster.machine("n-1");
   m.lease.delegated_until["n1"] = 25;
   EXPECT_TRUE(s.cluster.expire_leases(12).empty());  // last answered at 0, the lease is 10
@@ -438,11 +439,11 @@
 TEST(ClusterState, RoomForWhatAnUnreachableZoneMayLoseIsProvisionedElsewhere) {
   Fleet s({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}, {"n-4", "b"}});
   s.add(make_job("j-000001", wire::JobKind::service, 2, 8));
-  ASSERT_EQ(s.pass().placed, 2);
-  ASSERT_TRUE(s.pass().shortfall.wanted.empty());
+  ASSERT_EQ(s.run_pass().placed, 2);
+  ASSERT_TRUE(s.run_pass().shortfall.wanted.empty());
   s.cluster.reconcile_heartbeat(heartbeat("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
   s.cluster.update_zone_reachability(5);
-  const auto wanted = s.pass(5).shortfall.wanted;  // one of the two finds room on n-4
+  const auto wanted = s.run_pass(5).shortfall.wanted;  // one of the two finds room on n-4
   ASSERT_EQ(wanted.size(), 1u);
   EXPECT_EQ(wanted.begin()->first.zone, "b");
   EXPECT_EQ(wanted.begin()->second, 1);
@@ -520,8 +521,8 @@
   const auto exited = wire::TaskState::exited;
   s.cluster.reconcile_heartbeat(
       heartbeat("n-7", 1, 9,
-                {task("j-000001", 0, 1, exited, wire::ExitReason::stopped),
-                 task("j-000001", 1, 2, exited, wire::ExitReason::completed)},
+                {task_status("j-000001", 0, 1, exited, wire::ExitReason::stopped),
+                 task_status("j-000001", 1, 2, exited, wire::ExitReason::completed)},
                 kFencingToken - 1),
       true, 1);
   EXPECT_EQ(job.live(), 2U);
@@ -550,10 +551,10 @@
   EXPECT_EQ(commands[1].kind, CommandKind::stop);
   EXPECT_TRUE(s.cluster.commands_for(heartbeat("n-1", 1, 3), false, 3).empty());
   const auto ended = heartbeat(
-      "n-1", 1, 4, {task("j-000001", 0, attempt, TaskState::exited, ExitReason::stopped)});
+      "n-1", 1, 4, {task_status("j-000001", 0, attempt, TaskState::exited, ExitReason::stopped)});
   s.reconcile(ended, 4);
   EXPECT_EQ(s.job.live(), 0U);
-  s.written(s.job);
+  s.mark_written(s.job);
   EXPECT_TRUE(
       s.cluster.commands_for(ended, true, 4).empty());  // nor is it forgotten in this agent epoch
 }
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -63,12 +63,12 @@
   Fleet s;
   s.add(dependent("j-000003", {"j-000001", "j-000002"}));
   EXPECT_EQ(s.cluster.unknown_outcomes(), (std::vector<std::string>{"j-000001", "j-000002"}));
-  EXPECT_EQ(s.pass().placed, 0);
+  EXPECT_EQ(s.run_pass().placed, 0);
   s.cluster.record_outcome("j-000001", done_at(2000));
-  EXPECT_EQ(s.pass().placed, 0);
+  EXPECT_EQ(s.run_pass().placed, 0);
   s.cluster.record_outcome("j-000002", done_at(3000));
   EXPECT_TRUE(s.cluster.unknown_outcomes().empty());
-  EXPECT_EQ(s.pass().placed, 1);
+  EXPECT_EQ(s.run_pass().placed, 1);
   EXPECT_EQ(s.cluster.job("j-000003")->ready_ms, 3000);
 }
 
@@ -78,9 +78,9 @@
   Job& first = s.add(make_job("j-000001", JobKind::job_array, 1, 1));
   s.add(dependent("j-000002", {"j-000001"}));
   first.done.add(0);
-  EXPECT_EQ(s.pass().placed, 0);
+  EXPECT_EQ(s.run_pass().placed, 0);
   s.cluster.remove_job("j-000001");
-  EXPECT_EQ(s.pass().placed, 0);
+  EXPECT_EQ(s.run_pass().placed, 0);
   EXPECT_EQ(s.cluster.unknown_outcomes(), std::vector<std::string>{"j-000001"});
 }
 
@@ -134,30 +134,30 @@
   }
   s.add(dependent("j-1", {"j-2"}));
   s.add(dependent("j-2", {"j-1"}));
-  EXPECT_EQ(s.pass().placed, 1);
+  EXPECT_EQ(s.run_pass().placed, 1);
   s.cluster.cancel(*s.cluster.job(id(0)), 5, 5);
   EXPECT_TRUE(s.cluster.job(id(kLength - 1))->cancelled());
   s.cluster.cancel(*s.cluster.job("j-1"), 5, 5);
   EXPECT_TRUE(s.cluster.job("j-2")->cancelled());
-  EXPECT_EQ(s.pass(2).placed, 0);
+  EXPECT_EQ(s.run_pass(2).placed, 0);
 }
 
 TEST(Dependencies, AWaitingJobIsNeitherInLimitsNorInLoadNorAReasonToPreempt) {
   Fleet s;
   s.settings.teams = {{"red", 0, 0, 8, 16}, {"blue", 0, 0, 8, 16}};
   Job& runs = s.add(make_job("j-000001", JobKind::service, 8, 1, "blue"));
-  EXPECT_EQ(s.pass().placed, 8);
-  s.written(runs);
+  EXPECT_EQ(s.run_pass().placed, 8);
+  s.mark_written(runs);
   Job waits = make_job("j-000002", JobKind::service, 8, 1);
   waits.spec.priority = Priority::production;
   waits.spec.dependencies = {"j-000009"};
   s.add(std::move(waits));
-  const auto result = s.pass(2);
+  const auto result = s.run_pass(2);
   EXPECT_EQ(result.preempted, 0);
   EXPECT_TRUE(result.shortfall.waiting.empty());
   // It takes all of the guarantee, were it counted: this one would have none.
   Job& later = s.add(make_job("j-000003", JobKind::service, 1, 1));
-  s.pass(3);
+  s.run_pass(3);
   EXPECT_TRUE(later.guaranteed);
 }
 
@@ -176,7 +176,7 @@
   auto last = dependent("j-000003", {"j-000002"});
   last.spec.priority = Priority::high;
   s.add(std::move(last));
-  EXPECT_EQ(s.pass().placed, 1);  // there is room for one
+  EXPECT_EQ(s.run_pass().placed, 1);  // there is room for one
   EXPECT_EQ(s.cluster.job("j-000001")->placements.size(), 1U);
 }
 
@@ -192,7 +192,7 @@
   last.spec.estimate_s = 5;
   last.spec.due_s = 60;
   s.add(std::move(last));
-  s.pass();
+  s.run_pass();
   EXPECT_EQ(s.cluster.job("j-000003")->urgency.start_by_ms, 1000 + 55'000);
   EXPECT_EQ(s.cluster.job("j-000001")->urgency.start_by_ms, 1000 + 25'000);
 }
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -44,7 +44,7 @@
     w.cloud_without_capacity = true;
     w.run_s = 1e6;
     for (int task = 0; task < 4; ++task)
-      w.run_s_of[std::string(kShort) + "/" + std::to_string(task)] = 8;
+      w.run_s_by_task[std::string(kShort) + "/" + std::to_string(task)] = 8;
     for (int i = 0; i < 4; ++i) w.add_worker();
     w.run(2);
     auto passing = array_of(kShort, 4, 5);
@@ -60,7 +60,7 @@
   }
 
   void ask_for_large() {
-    ASSERT_EQ(w.running(kSmall), 4);
+    ASSERT_EQ(w.running_tasks(kSmall), 4);
     ASSERT_EQ(w.live_tasks(kShort), 0);
     w.submit(1, large_spec());
   }
@@ -102,7 +102,7 @@
   bool recovers() {
     return until(longest() + 2 * kBoot, [this] { return large_runs() && is_settled(); });
   }
-  bool large_runs(const std::string& id = kLarge) { return w.running(id) == 2; }
+  bool large_runs(const std::string& id = kLarge) { return w.running_tasks(id) == 2; }
   bool reservations_held() {
     const int node = rightful_leader();
     return node >= 0 && !w.term(node)->cluster().reservations().empty();
@@ -120,7 +120,7 @@
     return -1;
   }
   /// Nothing is planned, held or under way any more, and all small tasks run.
-  bool is_settled() { return !has_plan() && !reservations_held() && w.running(kSmall) == 4; }
+  bool is_settled() { return !has_plan() && !reservations_held() && w.running_tasks(kSmall) == 4; }
   /// The bound on a plan's life, and what nodes need to notice it.
   double longest() const {
     return defrag::max_plan_s(w.base_settings) + 2 * w.base_settings.lease_s;
--- a/tests/heartbeat_commands_test.cpp
+++ b/tests/heartbeat_commands_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using testing::heartbeat;
-using testing::task;
+using testing::task_status;
 using wire::CommandKind;
 using wire::TaskState;
 
@@ -23,7 +23,7 @@
   /// The kinds of the commands in the answer to a report of the job's first task.
   std::vector<CommandKind> answer_to(TaskState state, double now = 1) {
     std::vector<CommandKind> kinds;
-    for (const auto& command : answer({task("j-000001", 0, 1, state)}, false, now)) {
+    for (const auto& command : answer({task_status("j-000001", 0, 1, state)}, false, now)) {
       kinds.push_back(command.kind);
     }
     return kinds;
@@ -40,7 +40,7 @@
   EXPECT_EQ(started[0].task, (wire::TaskName{"j-000001", 0}));
   EXPECT_EQ(started[0].attempt, 1U);
   EXPECT_EQ(placement.start_carrier, (AgentSequence{1, 2}));
-  EXPECT_TRUE(answer({task("j-000001", 0, 1, TaskState::fetching)}).empty());
+  EXPECT_TRUE(answer({task_status("j-000001", 0, 1, TaskState::fetching)}).empty());
 }
 
 TEST_F(HeartbeatCommandsTest, NothingIsStartedWithoutPermission) {
@@ -84,12 +84,13 @@
 
 TEST_F(HeartbeatCommandsTest, AStopLeavesItsGracePeriodAndThenIsFinal) {
   place(0, 1).request_stop(8, 1);
-  const auto stopped = answer({task("j-000001", 0, 1, TaskState::running)}, false, 2);
+  const auto stopped = answer({task_status("j-000001", 0, 1, TaskState::running)}, false, 2);
   ASSERT_EQ(stopped.size(), 1U);
   EXPECT_EQ(stopped[0].grace_s, 8);
   EXPECT_EQ(answer_to(TaskState::checkpointing, 2), Kinds{});
   const double overdue = 1 + 8 + 2 * settings.heartbeat_interval_s + 0.1;
-  const auto final = answer({task("j-000001", 0, 1, TaskState::checkpointing)}, false, overdue);
+  const auto final =
+      answer({task_status("j-000001", 0, 1, TaskState::checkpointing)}, false, overdue);
   ASSERT_EQ(final.size(), 1U);
   EXPECT_EQ(final[0].grace_s, 0);
 }
--- a/tests/heartbeat_handler_test.cpp
+++ b/tests/heartbeat_handler_test.cpp
@@ -11,7 +11,7 @@
 using testing::heartbeat;
 using testing::kFencingToken;
 using testing::make_job;
-using testing::task;
+using testing::task_status;
 
 constexpr int kOk = 200, kMisdirected = 421, kUnavailable = 503;
 constexpr std::uint64_t kRequestId = 11;
@@ -95,7 +95,7 @@
   sched::place_waiting(cluster, {}, reactor.now());
   ASSERT_EQ(job.placements.size(), 1u);
   auto& placement = job.placements[0];
-  const auto running = task("j-000001", 0, placement.attempt, wire::TaskState::running);
+  const auto running = task_status("j-000001", 0, placement.attempt, wire::TaskState::running);
   ASSERT_GT(forward("n1", 2, {running}).delegation_ms, 0u);
 
   placement.request_stop(0, reactor.now());
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -10,7 +10,7 @@
 
 using testing::heartbeat;
 using testing::kFencingToken;
-using testing::task;
+using testing::task_status;
 using wire::TaskState;
 
 struct HeartbeatReconcilerTest : ::testing::Test, testing::HeartbeatParts {
--- a/tests/job_lookup_test.cpp
+++ b/tests/job_lookup_test.cpp
@@ -145,7 +145,7 @@
   constexpr int kDependencies = 40;
   std::vector<std::string> dependencies;
   for (int i = 0; i < kDependencies; ++i) {
-    dependencies.push_back(testing::name(i));
+    dependencies.push_back(testing::job_id(i));
     store_job(dependencies.back());
   }
   EXPECT_EQ(check(dependencies), Verdict::undetermined);
--- a/tests/move_executor_test.cpp
+++ b/tests/move_executor_test.cpp
@@ -116,7 +116,7 @@
   halves.fleet.cluster.end_placement(halves.job(move.task.job), halves.source(move), halves.now);
   halves.advance(successor);
   EXPECT_EQ(successor.wanted().plan->moves.at(0).step, MoveStep::freed);
-  halves.fleet.pass(halves.now);
+  halves.fleet.run_pass(halves.now);
   const auto* placed = halves.job(move.task.job).live_placement(move.task.index);
   ASSERT_NE(placed, nullptr);
   EXPECT_EQ(placed->machine, move.target);
@@ -274,7 +274,7 @@
     const auto& machine = *cluster.machine(move().source);
     const auto heartbeat = testing::heartbeat(
         machine.id, 1, machine.agent.newest_message.sequence + 1,
-        {testing::task(move().task.job, move().task.index, 1, wire::TaskState::running)});
+        {testing::task_status(move().task.job, move().task.index, 1, wire::TaskState::running)});
     const auto commands_for = cluster.commands_for(heartbeat, true, halves.now);
     return std::any_of(commands_for.begin(), commands_for.end(), [](const wire::Command& order) {
       return order.kind == wire::CommandKind::stop;
--- a/tests/moves_cluster_test.cpp
+++ b/tests/moves_cluster_test.cpp
@@ -26,7 +26,7 @@
   // Within less than a boot, which is what waiting would have cost at least.
   EXPECT_TRUE(fragments.until(kBoot, [&] { return fragments.large_runs(); }));
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); }));
-  EXPECT_EQ(w.ran_twice, 0);
+  EXPECT_EQ(w.duplicate_starts, 0);
   EXPECT_EQ(fragments.moves_begun(), 2);
 }
 
@@ -38,7 +38,7 @@
   fragments.w.run(3 * kBoot);
   EXPECT_FALSE(fragments.record());
   EXPECT_FALSE(fragments.large_runs());
-  for (const auto& [task, starts] : fragments.w.starts) EXPECT_EQ(starts, 1) << task;
+  for (const auto& [task, starts] : fragments.w.start_counts) EXPECT_EQ(starts, 1) << task;
 }
 
 // ---- controllers that fail ----
@@ -75,7 +75,7 @@
     for (const double at : moments(successor_lives > 0 ? 0.1 : 0.02, 3.2)) {
       Fragments fragments;
       auto& w = fragments.w;
-      w.state_slow_s = 0.1;  // so that each step takes its time
+      w.max_state_delay_s = 0.1;  // so that each step takes its time
       ASSERT_TRUE(fragments.run_into_plan(at));
       phases.insert(phase_of(fragments));
       const int first = w.leader();
@@ -92,7 +92,7 @@
       EXPECT_TRUE(fragments.until(fragments.longest() + 2 * kBoot,
                                   [&] { return fragments.large_runs() && fragments.is_settled(); }))
           << "ended at " << at << ", then at " << successor_lives;
-      EXPECT_EQ(w.ran_twice, 0);
+      EXPECT_EQ(w.duplicate_starts, 0);
     }
   }
   // The moments were such that all steps were among them.
@@ -118,10 +118,10 @@
         return fragments.large_runs() == !cancelled && fragments.is_settled();
       })) << at;
       fragments.run(30);
-      const auto starts = w.starts;
+      const auto starts = w.start_counts;
       w.resume_node(old);
       fragments.run(20);
-      EXPECT_EQ(w.starts, starts) << at;
+      EXPECT_EQ(w.start_counts, starts) << at;
       EXPECT_TRUE(fragments.is_settled()) << at;
     }
   }
@@ -141,7 +141,7 @@
     w.cut_from_state.clear();
     w.cut_from_peers.clear();
     EXPECT_TRUE(fragments.recovers()) << at;
-    EXPECT_EQ(w.ran_twice, 0);
+    EXPECT_EQ(w.duplicate_starts, 0);
   }
 }
 
@@ -181,7 +181,7 @@
       EXPECT_TRUE(fragments.until(fragments.longest() + 2 * kBoot,
                                   [&] { return fragments.large_runs() && fragments.is_settled(); }))
           << seed << (late ? " late" : " lost");
-      EXPECT_EQ(w.ran_twice, 0);
+      EXPECT_EQ(w.duplicate_starts, 0);
     }
   }
 }
@@ -205,7 +205,7 @@
     EXPECT_TRUE(fragments.until(20, [&] { return fragments.is_settled(); }));
     fragments.run(20);
     EXPECT_FALSE(fragments.has_plan());
-    for (const auto& [task, starts] : w.starts) EXPECT_EQ(starts, 1) << task;
+    for (const auto& [task, starts] : w.start_counts) EXPECT_EQ(starts, 1) << task;
   }
   EXPECT_GT(stored_late, 0);
 }
@@ -237,7 +237,7 @@
 void make_trouble(TestCluster::Worker& worker, Trouble trouble, bool on) {
   switch (trouble) {
     case Trouble::dies:
-      worker.gone = worker.is_hung = true;
+      worker.is_deleted = worker.is_hung = true;
       worker.tasks.clear();
       break;
     case Trouble::hangs:
@@ -271,14 +271,14 @@
     make_trouble(worker, trouble, true);
     fragments.run(25);
     EXPECT_FALSE(fragments.has_plan()) << at;  // long before its bound
-    if (trouble == Trouble::hangs && !worker.gone) w.resume_worker(worker);
+    if (trouble == Trouble::hangs && !worker.is_deleted) w.resume_worker(worker);
     if (trouble != Trouble::dies) make_trouble(worker, trouble, false);
     // With a machine less, not all of both fit.
     EXPECT_TRUE(fragments.until(fragments.longest() + kBoot, [&] {
       return !fragments.has_plan() && !fragments.reservations_held() &&
-             (w.running(kSmall) == 4 || fragments.large_runs());
+             (w.running_tasks(kSmall) == 4 || fragments.large_runs());
     })) << at;
-    EXPECT_EQ(w.ran_twice, 0);
+    EXPECT_EQ(w.duplicate_starts, 0);
   }
 }
 
@@ -306,7 +306,7 @@
     w.start_node(first);
     EXPECT_TRUE(fragments.recovers()) << seed;
     fragments.run(20);
-    EXPECT_EQ(w.ran_twice, 0);
+    EXPECT_EQ(w.duplicate_starts, 0);
     EXPECT_TRUE(fragments.large_runs());
   }
 }
@@ -356,7 +356,7 @@
     w.submit(w.leader(), urgent);
     // Of a gang that was placed before nothing is stopped; then two replicas find room beside it.
     EXPECT_TRUE(fragments.until(8, [&] {
-      return w.running(urgent.id) >= (w.live_tasks(kLarge) > 0 ? 2 : 4);
+      return w.running_tasks(urgent.id) >= (w.live_tasks(kLarge) > 0 ? 2 : 4);
     })) << at;
     EXPECT_TRUE(fragments.until(fragments.longest(), [&] {
       return !fragments.has_plan() && !fragments.reservations_held();
@@ -404,7 +404,7 @@
   second_source.is_hung = true;
   fragments.run(8);
   EXPECT_TRUE(w.workers.at(moves.front().source)->tasks.empty());
-  EXPECT_TRUE(w.deleted.empty());
+  EXPECT_TRUE(w.deleted_machines.empty());
   w.resume_worker(second_source);
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.large_runs(); }));
 }
@@ -417,7 +417,7 @@
     w.cloud_without_capacity = true;
     w.run_s = 1e6;
     for (const char* zone : {"a", "a", "b", "b"}) w.add_worker(zone);
-    for (int task = 0; task < 4; ++task) w.run_s_of["j-000001/" + std::to_string(task)] = 8;
+    for (int task = 0; task < 4; ++task) w.run_s_by_task["j-000001/" + std::to_string(task)] = 8;
     w.run(2);
     w.submit(0, array_of(kShort, 4, 5));
     w.run(4);
@@ -425,14 +425,14 @@
     small.spread = true;
     w.submit(0, small);
     w.run(16);
-    ASSERT_EQ(w.running(kSmall), 4);
+    ASSERT_EQ(w.running_tasks(kSmall), 4);
     auto large = Fragments::large_spec();
     if (in_one_zone) large.zone = "a";  // both of its machines: the tasks there would have to leave
     w.submit(1, large);
     w.run(3 * kBoot);
-    EXPECT_EQ(w.running(kLarge), in_one_zone ? 0 : 2);
-    EXPECT_EQ(w.running(kSmall), 4);
-    for (const auto& [task, starts] : w.starts) {
+    EXPECT_EQ(w.running_tasks(kLarge), in_one_zone ? 0 : 2);
+    EXPECT_EQ(w.running_tasks(kSmall), 4);
+    for (const auto& [task, starts] : w.start_counts) {
       EXPECT_TRUE(starts == 1 || !in_one_zone) << task;
     }
   }
@@ -445,7 +445,7 @@
   fragments.ask_for_large();
   fragments.run(3 * kBoot);
   EXPECT_EQ(fragments.moves_begun(), 0);
-  EXPECT_EQ(fragments.w.running(kSmall), 4);
+  EXPECT_EQ(fragments.w.running_tasks(kSmall), 4);
 }
 
 // The moved task's part of the limit is its own, though it is free for a moment between two
@@ -460,11 +460,11 @@
   auto waiting = make_job("j-000005", JobKind::job_array, 10, 1, "red").spec;
   waiting.due_s = 1;
   w.submit(1, waiting);
-  ASSERT_TRUE(fragments.until(10, [&] { return w.running("j-000005") == 8; }));
+  ASSERT_TRUE(fragments.until(10, [&] { return w.running_tasks("j-000005") == 8; }));
   ASSERT_TRUE(fragments.reach_plan());
-  EXPECT_TRUE(fragments.until(30, [&] { return w.running(kLarge) == 1; }));
+  EXPECT_TRUE(fragments.until(30, [&] { return w.running_tasks(kLarge) == 1; }));
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); }));
-  EXPECT_EQ(w.running("j-000005"), 8);
+  EXPECT_EQ(w.running_tasks("j-000005"), 8);
 }
 
 // Other work of the team fills the limit while the plan is under way: it gains nothing any more.
@@ -514,7 +514,7 @@
   ASSERT_EQ(moves.size(), 2U);
   for (const auto& move : moves) {
     // What is on the targets ends; one of them is whole then, without its second move.
-    for (const auto& [task, held] : w.workers.at(move.target)->tasks) w.run_s_of[task] = 0;
+    for (const auto& [task, held] : w.workers.at(move.target)->tasks) w.run_s_by_task[task] = 0;
   }
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.large_runs(); }));
   EXPECT_TRUE(
@@ -612,7 +612,7 @@
       if (node != newer) w.crash_node(node);
     }
     EXPECT_TRUE(fragments.recovers()) << at;
-    EXPECT_EQ(w.ran_twice, 0);
+    EXPECT_EQ(w.duplicate_starts, 0);
   }
 }
 
--- a/tests/moves_property_test.cpp
+++ b/tests/moves_property_test.cpp
@@ -125,7 +125,7 @@
                    UserBehavior{0, false, false});
         break;
       case Action::end_task:
-        w.run_s_of[std::string(kSmall) + "/" + std::to_string(step.detail % 4)] = 0;
+        w.run_s_by_task[std::string(kSmall) + "/" + std::to_string(step.detail % 4)] = 0;
         break;
     }
     run(step.pause_ms / 1000.0);
@@ -165,13 +165,13 @@
     return troubled;
   }
   static void kill(TestCluster::Worker& worker) {
-    worker.gone = worker.is_hung = true;
+    worker.is_deleted = worker.is_hung = true;
     worker.tasks.clear();
   }
   static UserBehavior habits(const Step& step) {
     return UserBehavior{step.detail % 3 == 0 ? 0.01 * step.detail : -1, false, false};
   }
-  std::string next_id() { return name(++jobs_); }
+  std::string next_id() { return job_id(++jobs_); }
 
   void run(double seconds) {
     constexpr double kLook = 0.05;
@@ -182,8 +182,8 @@
   }
   void look() {
     auto& w = fragments_.w;
-    RC_ASSERT(w.ran_twice == 0);
-    RC_ASSERT(w.rules.broken.empty());
+    RC_ASSERT(w.duplicate_starts == 0);
+    RC_ASSERT(w.rules.violations.empty());
     const auto record = fragments_.record();
     if (!record) return;
     max_moves_ = std::max(max_moves_, record->past.size());
--- a/tests/moves_replicas_test.cpp
+++ b/tests/moves_replicas_test.cpp
@@ -41,7 +41,8 @@
   bool runs(const RouterStandIn::Replica& replica) const {
     const auto& worker = *w.workers.at(replica.machine);
     const auto task = worker.tasks.find(wire::to_string(replica.task));
-    return !worker.gone && task != worker.tasks.end() && task->second.attempt == replica.attempt &&
+    return !worker.is_deleted && task != worker.tasks.end() &&
+           task->second.attempt == replica.attempt &&
            task->second.state == wire::TaskState::running;
   }
   bool is_over() { return fragments.large_runs() && fragments.is_settled(); }
@@ -123,7 +124,7 @@
   chats.fragments.ask_for_large();
   EXPECT_TRUE(chats.fragments.until(3 * kBoot, [&] { return chats.is_over(); }));
   EXPECT_EQ(chats.dropped, 0);
-  EXPECT_GT(chats.router.carried_over(), 0);
+  EXPECT_GT(chats.router.reassigned_chats(), 0);
 }
 
 TEST(MovesReplicas, ARouterThatRefusesOrDoesNotAnswerStopsTheMove) {
@@ -135,7 +136,7 @@
     EXPECT_FALSE(chats.fragments.large_runs());
     EXPECT_EQ(chats.dropped, 0);
     EXPECT_EQ(chats.router.drains_refused() > 0, answers);
-    for (const auto& [task, starts] : chats.w.starts) EXPECT_EQ(starts, 1) << task;
+    for (const auto& [task, starts] : chats.w.start_counts) EXPECT_EQ(starts, 1) << task;
     EXPECT_FALSE(chats.fragments.reservations_held());
   }
 }
@@ -260,7 +261,8 @@
       return !chats.fragments.has_plan() && !chats.fragments.reservations_held();
     })) << at;
     EXPECT_EQ(chats.dropped, 0) << at;
-    EXPECT_TRUE(chats.fragments.until(10, [&] { return chats.w.running(kSmall) == 4; })) << at;
+    EXPECT_TRUE(chats.fragments.until(10, [&] { return chats.w.running_tasks(kSmall) == 4; }))
+        << at;
   }
 }
 
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -13,8 +13,8 @@
 /// A stage of a pipeline, by number, and the numbers of the stages that it depends on.
 wire::JobSpec stage(int number, const std::vector<int>& dependencies = {},
                     std::uint32_t tasks = 1) {
-  auto spec = make_job(name(number), JobKind::job_array, tasks, 1).spec;
-  for (const int dependency : dependencies) spec.dependencies.push_back(name(dependency));
+  auto spec = make_job(job_id(number), JobKind::job_array, tasks, 1).spec;
+  for (const int dependency : dependencies) spec.dependencies.push_back(job_id(dependency));
   return spec;
 }
 
@@ -27,23 +27,23 @@
 
 /// Whether the outcome of a stage is stored.
 bool ended(const TestCluster& cluster, int stage_number) {
-  return cluster.state_service.values.contains("ended/" + name(stage_number));
+  return cluster.state_service.values.contains("ended/" + job_id(stage_number));
 }
 
 /// Whether the record of a stage has this part.
 bool has_part(const TestCluster& cluster, int stage_number, int part) {
-  return cluster.state_service.values.contains("parts/" + name(stage_number) + "/" +
+  return cluster.state_service.values.contains("parts/" + job_id(stage_number) + "/" +
                                                std::to_string(part));
 }
 
 std::string task_name(int stage_number, int task) {
-  return name(stage_number) + "/" + std::to_string(task);
+  return job_id(stage_number) + "/" + std::to_string(task);
 }
 
 /// Whether every node that is up gives this state of a stage.
 bool all_nodes_say(TestCluster& cluster, int stage_number, const std::string& state) {
   for (int node = 0; node < cluster.nodes(); ++node) {
-    if (cluster.is_up(node) && cluster.state_of(node, name(stage_number)) != state) return false;
+    if (cluster.is_up(node) && cluster.state_of(node, job_id(stage_number)) != state) return false;
   }
   return true;
 }
@@ -59,7 +59,7 @@
 bool is_accepted_in_time(TestCluster& cluster, int node, const wire::JobSpec& spec) {
   constexpr double kTimeoutS = 20;
   return wait_for(cluster, kTimeoutS, [&] {
-    const int status = cluster.ask(node, "POST", "/v1/jobs", submission(spec)).status;
+    const int status = cluster.send_request(node, "POST", "/v1/jobs", submission(spec)).status;
     return status == 201 || status == 200;
   });
 }
@@ -67,7 +67,7 @@
 /// Lets the tasks of stage 0 run for `min_s` and up to `spread_s` longer, so that they end one
 /// after the other.
 void spread_run_times(TestCluster& cluster, int tasks, int min_s, int spread_s = 20) {
-  for (int i = 0; i < tasks; ++i) cluster.run_s_of[task_name(0, i)] = min_s + i % spread_s;
+  for (int i = 0; i < tasks; ++i) cluster.run_s_by_task[task_name(0, i)] = min_s + i % spread_s;
 }
 
 /// An array as stage 0, and stage 1 that depends on it.
@@ -99,29 +99,29 @@
   TestCluster cluster;
   start_with_workers(cluster, 1);
   submit_diamond(cluster);
-  EXPECT_EQ(cluster.state_of(1, name(3)), "queued");
+  EXPECT_EQ(cluster.state_of(1, job_id(3)), "queued");
   ASSERT_TRUE(wait_for(cluster, 30, [&] { return ended(cluster, 0); }));
   // The start goes out in the round that follows the answered write of the outcome.
-  ASSERT_TRUE(wait_for(cluster, 1.5, [&] { return cluster.running(name(1)) == 1; }));
+  ASSERT_TRUE(wait_for(cluster, 1.5, [&] { return cluster.running_tasks(job_id(1)) == 1; }));
   ASSERT_TRUE(wait_for(cluster, 30, [&] { return ended(cluster, 3); }));
   EXPECT_TRUE(all_nodes_say(cluster, 3, "done"));
-  EXPECT_EQ(cluster.starts[task_name(3, 0)], 1);
+  EXPECT_EQ(cluster.start_counts[task_name(3, 0)], 1);
 }
 
 TEST(Pipeline, SubmissionsAreCheckedByAnyNode) {
   TestCluster cluster;
   cluster.run(1);
   cluster.submit(0, stage(0));
-  EXPECT_EQ(cluster.ask(1, "POST", "/v1/jobs", submission(stage(1, {1}))).status, 422);
-  EXPECT_EQ(cluster.ask(1, "POST", "/v1/jobs", submission(stage(1, {0, 7}))).status, 422);
+  EXPECT_EQ(cluster.send_request(1, "POST", "/v1/jobs", submission(stage(1, {1}))).status, 422);
+  EXPECT_EQ(cluster.send_request(1, "POST", "/v1/jobs", submission(stage(1, {0, 7}))).status, 422);
   auto odd = submission(stage(1, {0}));
-  odd.replace(odd.find("[\"" + name(0)), 2, "[7,\"");
-  EXPECT_EQ(cluster.ask(1, "POST", "/v1/jobs", odd).status, 400);
-  EXPECT_EQ(cluster.state_of(1, name(1)), "404");
+  odd.replace(odd.find("[\"" + job_id(0)), 2, "[7,\"");
+  EXPECT_EQ(cluster.send_request(1, "POST", "/v1/jobs", odd).status, 400);
+  EXPECT_EQ(cluster.state_of(1, job_id(1)), "404");
   cluster.submit(2, stage(1, {0}));
-  EXPECT_EQ(cluster.ask(1, "POST", "/v1/jobs", submission(stage(1, {0}))).status, 200);
+  EXPECT_EQ(cluster.send_request(1, "POST", "/v1/jobs", submission(stage(1, {0}))).status, 200);
   // Accepted is accepted, whatever a repeat says.
-  EXPECT_EQ(cluster.ask(1, "POST", "/v1/jobs", submission(stage(1, {7}))).status, 200);
+  EXPECT_EQ(cluster.send_request(1, "POST", "/v1/jobs", submission(stage(1, {7}))).status, 200);
   ASSERT_TRUE(wait_for(cluster, 60, [&] { return ended(cluster, 1); }));
   // What is over may be named, and moves between two keys without being missed.
   cluster.submit(1, stage(2, {0, 1}));
@@ -134,7 +134,7 @@
   auto settings = small_settings();
   settings.state_write_rps = 21;
   TestCluster cluster(5, {}, settings);
-  cluster.state_service.limits_writes = true;
+  cluster.state_service.enforces_write_rate = true;
   cluster.run(1);
   cluster.run(10);
   const int node = other_than(cluster, cluster.leader());
@@ -150,17 +150,17 @@
   settings.state_write_rps = 21;
   settings.txn_ops = 8;
   TestCluster cluster(5, {}, settings);
-  cluster.state_service.limits_writes = true;
+  cluster.state_service.enforces_write_rate = true;
   cluster.run_s = 1000;
   cluster.run(11);
   for (int i = 0; i < 40; ++i) {
     const auto job = i == 0 ? stage(0) : stage(i, {0});
     ASSERT_TRUE(wait_for(cluster, 20, [&] {
-      return cluster.ask(i % 5, "POST", "/v1/jobs", submission(job)).status < 300;
+      return cluster.send_request(i % 5, "POST", "/v1/jobs", submission(job)).status < 300;
     }));
   }
   cluster.run(5);
-  cluster.cancel(other_than(cluster, cluster.leader()), name(0));
+  cluster.cancel(other_than(cluster, cluster.leader()), job_id(0));
   cluster.run(1.5);  // dozens of outcomes are still to be written
   for (int times = 0; times < 3; ++times) {
     const double began = cluster.reactor.now();
@@ -179,7 +179,7 @@
   cluster.run(1);
   cluster.submit(0, stage(0));
   cluster.state_down = true;
-  const auto response = cluster.ask(1, "POST", "/v1/jobs", submission(stage(1, {0})));
+  const auto response = cluster.send_request(1, "POST", "/v1/jobs", submission(stage(1, {0})));
   EXPECT_EQ(response.status, 503);
   EXPECT_GT(response.retry_after_s, 0);
   cluster.state_down = false;
@@ -191,12 +191,12 @@
   cluster.run(1);
   submit_diamond(cluster);
   cluster.run(5);
-  cluster.cancel(1, name(0));
-  ASSERT_EQ(cluster.ask(2, "POST", "/v1/jobs", submission(stage(4, {3}))).status, 201);
+  cluster.cancel(1, job_id(0));
+  ASSERT_EQ(cluster.send_request(2, "POST", "/v1/jobs", submission(stage(4, {3}))).status, 201);
   cluster.run(2);
   for (int i = 1; i <= 4; ++i) EXPECT_TRUE(all_nodes_say(cluster, i, "withdrawn")) << i;
   EXPECT_TRUE(wait_for(cluster, 20, [&] { return ended(cluster, 4); }));
-  ASSERT_EQ(cluster.ask(2, "POST", "/v1/jobs", submission(stage(5, {4}))).status, 201);
+  ASSERT_EQ(cluster.send_request(2, "POST", "/v1/jobs", submission(stage(5, {4}))).status, 201);
   EXPECT_TRUE(all_nodes_say(cluster, 5, "withdrawn"));
 }
 
@@ -205,7 +205,7 @@
   cluster.run(1);
   submit_diamond(cluster);
   ASSERT_TRUE(wait_for(cluster, 60, [&] { return ended(cluster, 0); }));
-  const auto answer = cluster.ask(1, "POST", "/v1/jobs/" + name(0) + "/withdraw");
+  const auto answer = cluster.send_request(1, "POST", "/v1/jobs/" + job_id(0) + "/withdraw");
   EXPECT_NE(answer.body.find("done"), std::string::npos);
   ASSERT_TRUE(wait_for(cluster, 60, [&] { return ended(cluster, 3); }));
   EXPECT_TRUE(all_nodes_say(cluster, 3, "done"));
@@ -219,7 +219,7 @@
   cluster.run(1);
   submit_diamond(cluster);
   ASSERT_TRUE(all_nodes_say(cluster, 3, "queued"));
-  cluster.cancel(1, name(0));
+  cluster.cancel(1, job_id(0));
   cluster.state_down = true;
   for (int node = 0; node < cluster.nodes(); ++node) cluster.crash_node(node);
   cluster.run(cluster.base_settings.cancel_s + 5);
@@ -227,12 +227,12 @@
   cluster.start_node(1);
   cluster.run(0.2);
   // Nobody leads before the former leader's lease has ended.
-  ASSERT_TRUE(wait_for(cluster, 2, [&] { return cluster.state_of(1, name(3)) != "503"; }));
+  ASSERT_TRUE(wait_for(cluster, 2, [&] { return cluster.state_of(1, job_id(3)) != "503"; }));
   ASSERT_EQ(cluster.leader(), -1);
-  EXPECT_EQ(cluster.state_of(1, name(3)), "withdrawn");
+  EXPECT_EQ(cluster.state_of(1, job_id(3)), "withdrawn");
   cluster.start_node(2);
-  ASSERT_TRUE(wait_for(cluster, 2, [&] { return cluster.state_of(2, name(3)) != "503"; }));
-  EXPECT_EQ(cluster.state_of(2, name(3)), "withdrawn");
+  ASSERT_TRUE(wait_for(cluster, 2, [&] { return cluster.state_of(2, job_id(3)) != "503"; }));
+  EXPECT_EQ(cluster.state_of(2, job_id(3)), "withdrawn");
   cluster.start_node(0);
   EXPECT_TRUE(wait_for(
       cluster, 40, [&] { return ended(cluster, 1) && ended(cluster, 2) && ended(cluster, 3); }));
@@ -250,11 +250,11 @@
   cluster.submit(trusting, stage(1, {0}));
   cluster.submit(trusting, stage(3, {1}));
   cluster.run(2);
-  ASSERT_EQ(cluster.state_of(trusting, name(3)), "queued");
+  ASSERT_EQ(cluster.state_of(trusting, job_id(3)), "queued");
   cluster.crash_node(cluster.leader());
-  cluster.cancel(finding, name(0));
-  ASSERT_EQ(cluster.state_of(finding, name(3)), "withdrawn");
-  EXPECT_EQ(cluster.state_of(trusting, name(3)), "withdrawn");
+  cluster.cancel(finding, job_id(0));
+  ASSERT_EQ(cluster.state_of(finding, job_id(3)), "withdrawn");
+  EXPECT_EQ(cluster.state_of(trusting, job_id(3)), "withdrawn");
   EXPECT_EQ(cluster.leader(), -1);
 }
 
@@ -264,25 +264,25 @@
   cluster.run_s = 6;
   cluster.run(1);
   submit_diamond(cluster);
-  ASSERT_TRUE(wait_for(cluster, 40, [&] { return cluster.running(name(0)) == 1; }));
+  ASSERT_TRUE(wait_for(cluster, 40, [&] { return cluster.running_tasks(job_id(0)) == 1; }));
   const int former_leader = cluster.leader();
   cluster.refused_by_state = {former_leader};
   cluster.hanging_watches = {former_leader};
   cluster.run(0.2);
-  cluster.cancel(other_than(cluster, former_leader), name(0));
+  cluster.cancel(other_than(cluster, former_leader), job_id(0));
   cluster.run(cluster.base_settings.cancel_s + 1);
-  EXPECT_EQ(cluster.state_of(other_than(cluster, former_leader), name(3)), "withdrawn");
+  EXPECT_EQ(cluster.state_of(other_than(cluster, former_leader), job_id(3)), "withdrawn");
   cluster.refused_by_state.clear();
   cluster.hanging_watches.clear();
   cluster.run(5);
   EXPECT_TRUE(all_nodes_say(cluster, 3, "withdrawn"));
-  EXPECT_EQ(cluster.starts[task_name(1, 0)], 0);
+  EXPECT_EQ(cluster.start_counts[task_name(1, 0)], 0);
 }
 
 TEST(Pipeline, ANewLeaderReadsTheOutcomesThatItHasNotSeen) {
   TestCluster cluster;
   start_with_workers(cluster, 1);
-  cluster.run_s_of[task_name(2, 0)] = 40;
+  cluster.run_s_by_task[task_name(2, 0)] = 40;
   submit_diamond(cluster);
   ASSERT_TRUE(wait_for(cluster, 60, [&] { return ended(cluster, 1); }));
   ASSERT_FALSE(ended(cluster, 2));
@@ -301,14 +301,14 @@
     TestCluster cluster;
     start_with_workers(cluster, 1);
     submit_diamond(cluster);
-    ASSERT_TRUE(wait_for(cluster, 30, [&] { return cluster.running(name(0)) == 1; }));
+    ASSERT_TRUE(wait_for(cluster, 30, [&] { return cluster.running_tasks(job_id(0)) == 1; }));
     if (late) {
       cluster.late_write_share = 1;
     } else {
       cluster.lost_write_response_share = 1;
     }
     cluster.run(6);
-    EXPECT_EQ(cluster.starts[task_name(1, 0)], 0);
+    EXPECT_EQ(cluster.start_counts[task_name(1, 0)], 0);
     cluster.late_write_share = cluster.lost_write_response_share = 0;
     ASSERT_TRUE(wait_for(cluster, 60, [&] { return ended(cluster, 3); })) << late;
     EXPECT_TRUE(all_nodes_say(cluster, 3, "done"));
@@ -336,7 +336,7 @@
   settings.value_kb = 2;
   constexpr int kFan = 250;
   TestCluster cluster(3, {}, settings);
-  cluster.state_service.limits_writes = true;
+  cluster.state_service.enforces_write_rate = true;
   cluster.state_service.limits = {2048, 4, 0};
   cluster.run_s = 1000;
   start_with_workers(cluster, 1);
@@ -347,10 +347,10 @@
   }
   cluster.run(5);
   const double cancelled = cluster.reactor.now();
-  cluster.cancel(1, name(0));
+  cluster.cancel(1, job_id(0));
   cluster.run(3);
   cluster.submit(2, stage(1000));
-  EXPECT_TRUE(wait_for(cluster, 10, [&] { return cluster.running(name(1000)) == 1; }));
+  EXPECT_TRUE(wait_for(cluster, 10, [&] { return cluster.running_tasks(job_id(1000)) == 1; }));
   const auto all_ended = [&] {
     for (int i = 1; i <= kFan; ++i) {
       if (!ended(cluster, i)) return false;
@@ -376,7 +376,7 @@
     const auto next = i == 0 ? stage(0) : stage(i, {i - 1});
     ASSERT_TRUE(is_accepted_in_time(cluster, i % 3, next));
   }
-  cluster.cancel(0, name(0));
+  cluster.cancel(0, job_id(0));
   EXPECT_TRUE(wait_for(cluster, cluster.base_settings.cancel_s,
                        [&] { return ended(cluster, kLength - 1); }));
   EXPECT_TRUE(all_nodes_say(cluster, kLength - 1, "withdrawn"));
@@ -395,10 +395,10 @@
                                   std::string body) -> net::Task<void> {
       net::Sleep pause(asked.reactor, delay_s);
       co_await pause;
-      auto asking = asked.user_asks(node, "POST", std::move(path), std::move(body));
+      auto asking = asked.send_user_request(node, "POST", std::move(path), std::move(body));
       co_await asking;
     };
-    scope.spawn(request_after(cluster, 0.01, 1, "/v1/jobs/" + name(0) + "/withdraw", ""));
+    scope.spawn(request_after(cluster, 0.01, 1, "/v1/jobs/" + job_id(0) + "/withdraw", ""));
     scope.spawn(request_after(cluster, 0.01 + apart, 2, "/v1/jobs", submission(stage(1, {0}))));
     cluster.run(3);
     EXPECT_TRUE(all_nodes_say(cluster, 0, "withdrawn"));
@@ -415,7 +415,7 @@
   settings.txn_ops = 4;
   settings.state_write_rps = 21;
   TestCluster cluster(3, {}, settings);
-  cluster.state_service.limits_writes = true;
+  cluster.state_service.enforces_write_rate = true;
   start_with_workers(cluster, 16);
   spread_run_times(cluster, 120, 5);
   submit_array_and_successor(cluster, 120);
@@ -448,7 +448,7 @@
   for (const auto& [key, value] : cluster.state_service.values)
     EXPECT_FALSE(key.starts_with("parts/")) << key;
   EXPECT_EQ(cluster.state_service.refused_as_too_large, 0);
-  EXPECT_EQ(cluster.starts[task_name(0, 7)], 1);
+  EXPECT_EQ(cluster.start_counts[task_name(0, 7)], 1);
 }
 
 // No coming limits were announced: a write that is refused as too large is cut down, not repeated.
@@ -458,7 +458,7 @@
   start_with_workers(cluster, 16);
   spread_run_times(cluster, 100, 5);
   submit_array_and_successor(cluster, 100);
-  ASSERT_TRUE(wait_for(cluster, 20, [&] { return cluster.running(name(0)) > 0; }));
+  ASSERT_TRUE(wait_for(cluster, 20, [&] { return cluster.running_tasks(job_id(0)) > 0; }));
   const int leader = cluster.leader();
   cluster.state_service.limits = {1500, 4, 0};
   ASSERT_TRUE(wait_for(cluster, 120, [&] { return ended(cluster, 1); }));
@@ -485,7 +485,7 @@
   constexpr int kTasks = 180;
   spread_run_times(cluster, kTasks, 10, 50);
   cluster.submit(0, stage(0, {}, kTasks));
-  ASSERT_TRUE(wait_for(cluster, 20, [&] { return cluster.running(name(0)) == kTasks; }));
+  ASSERT_TRUE(wait_for(cluster, 20, [&] { return cluster.running_tasks(job_id(0)) == kTasks; }));
   EXPECT_FALSE(has_part(cluster, 0, 0));  // one value of 8 KiB holds it
   cluster.start_node(1);
   cluster.run(2);
@@ -498,7 +498,7 @@
   cluster.crash_node(1);
   ASSERT_TRUE(wait_for(cluster, 20, [&] { return cluster.leader() == 0; }));
   ASSERT_TRUE(wait_for(cluster, 90, [&] { return ended(cluster, 0); }));
-  for (int i = 0; i < kTasks; ++i) EXPECT_EQ(cluster.starts[task_name(0, i)], 1) << i;
+  for (int i = 0; i < kTasks; ++i) EXPECT_EQ(cluster.start_counts[task_name(0, i)], 1) << i;
 }
 
 // All nodes are replaced one after the other, with a crash and a cut between, while pipelines run.
@@ -528,7 +528,7 @@
     cluster.cut_from_state.clear();
   }
   EXPECT_TRUE(wait_for(cluster, 120, [&] {
-    return static_cast<int>(cluster.rules.accepted().size()) == submitted &&
+    return static_cast<int>(cluster.rules.accepted_jobs().size()) == submitted &&
            all_jobs_ended(cluster);
   }));
 }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -18,12 +18,12 @@
 TEST(Placement, ATeamNeverUsesMoreThanItsLimit) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}});
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 24, 1));
-  EXPECT_EQ(fleet.pass().placed, 16);
+  EXPECT_EQ(fleet.run_pass().placed, 16);
   // What is not proven free still counts.
   job.placements[0].request_stop(0, 1);
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
   // Nor is room beyond the limit asked of the cloud.
-  EXPECT_TRUE(fleet.pass().shortfall.wanted.empty());
+  EXPECT_TRUE(fleet.run_pass().shortfall.wanted.empty());
 }
 
 TEST(Placement, OneZoneCountsOldAttemptsToo) {
@@ -31,8 +31,8 @@
   auto job = make_job("j-000001", JobKind::service, 2, 8);
   job.spec.one_zone = true;
   fleet.add(std::move(job));
-  EXPECT_EQ(fleet.pass().placed, 1);
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 1);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
 }
 
 TEST(Placement, SpreadPutsAtMostHalfRoundedUpInAZone) {
@@ -40,7 +40,7 @@
   auto spec = make_job("j-000001", JobKind::service, 5, 1);
   spec.spec.spread = true;
   fleet.add(std::move(spec));
-  const auto result = fleet.pass();
+  const auto result = fleet.run_pass();
   EXPECT_EQ(result.placed, 3);
   ASSERT_EQ(result.shortfall.wanted.size(), 1u);
   EXPECT_EQ(result.shortfall.wanted.begin()->first.zone, "b");
@@ -62,7 +62,7 @@
   Fleet fleet({{"n-1", "b"}, {"n-2", "a"}});  // the only controller stands in a
   Job& service = fleet.add(make_job("j-000001", JobKind::service, 2, 4));
   Job& batch = fleet.add(make_job("j-000002", JobKind::job_array, 2, 4));
-  EXPECT_EQ(fleet.pass().placed, 4);
+  EXPECT_EQ(fleet.run_pass().placed, 4);
   for (const auto& placement : service.placements) EXPECT_EQ(placement.machine, "n-2");
   for (const auto& placement : batch.placements) EXPECT_EQ(placement.machine, "n-1");
 }
@@ -95,7 +95,7 @@
       EXPECT_DOUBLE_EQ(machine.allocated.gpus, static_cast<double>(held)) << id;
     }
   };
-  fleet.pass();
+  fleet.run_pass();
   recount();
   fleet.cluster.upsert_machine("n-9", {"g8", "a", false}, 1);  // a record named it before
   recount();
@@ -104,7 +104,7 @@
   fleet.cluster.upsert_job(stored, 2);
   recount();
   fleet.cluster.remove_machine("n-1", 3);
-  fleet.pass(4);
+  fleet.run_pass(4);
   recount();
   fleet.cluster.remove_job("j-000001");
   recount();
@@ -131,16 +131,16 @@
   std::size_t examined = 0;
   int passes = 0;
   for (PassResult result; passes == 0 || result.incomplete; ++passes) {
-    result = fleet.pass();
+    result = fleet.run_pass();
     examined += result.candidates_examined;
   }
   EXPECT_GT(passes, 10);  // 10,400 tasks find a placement
   EXPECT_LT(examined, 3000 * kMachines);
-  for (auto& [id, job] : fleet.cluster.jobs()) fleet.written(job);
+  for (auto& [id, job] : fleet.cluster.jobs()) fleet.mark_written(job);
   add(2000, 400, 18, wire::Priority::best_effort, "blue");
-  EXPECT_LT(fleet.pass().candidates_examined, 10 * kMachines);
+  EXPECT_LT(fleet.run_pass().candidates_examined, 10 * kMachines);
   add(3000, 100, 8, wire::Priority::production, "red");
-  const auto result = fleet.pass();
+  const auto result = fleet.run_pass();
   EXPECT_GT(result.preempted, 50);
   EXPECT_LT(result.candidates_examined, 120 * kMachines);
 }
@@ -148,7 +148,7 @@
 TEST(Placement, AGangIsPlacedWholeOrNotAtAll) {
   Fleet fleet({{"n-1", "a"}});
   fleet.add(make_job("j-000001", JobKind::gang, 2, 8));
-  const auto result = fleet.pass();
+  const auto result = fleet.run_pass();
   EXPECT_EQ(result.placed, 0);
   ASSERT_EQ(result.shortfall.wanted.size(), 1u);
   EXPECT_EQ(result.shortfall.wanted.begin()->second, 1);
@@ -158,7 +158,7 @@
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
   fleet.cluster.machine("n-2")->images.push_back({"img", 10});
   Job& job = fleet.add(make_job("j-000001", JobKind::service, 1, 1));
-  fleet.pass();
+  fleet.run_pass();
   EXPECT_EQ(job.placements.at(0).machine, "n-2");
 }
 
@@ -171,7 +171,7 @@
   within.spec.priority = wire::Priority::best_effort;
   fleet.add(std::move(big));
   fleet.add(std::move(within));
-  fleet.pass();
+  fleet.run_pass();
   EXPECT_EQ(fleet.cluster.job("j-000002")->placements.size(), 1u);
 }
 
@@ -180,42 +180,42 @@
   fleet.settings.teams = {{"red", 0, 0, 0, 16}, {"blue", 0, 0, 0, 16}};
   auto low = make_job("j-000001", JobKind::job_array, 8, 1);
   Job& running = fleet.add(std::move(low));
-  fleet.pass();
-  fleet.written(running);
+  fleet.run_pass();
+  fleet.mark_written(running);
   fleet.add(make_job("j-000002", JobKind::service, 1, 1, "blue"));
-  EXPECT_EQ(fleet.pass().preempted, 0);
+  EXPECT_EQ(fleet.run_pass().preempted, 0);
   auto high = make_job("j-000003", JobKind::service, 1, 2, "blue");
   high.spec.priority = wire::Priority::high;
   fleet.add(std::move(high));
-  EXPECT_EQ(fleet.pass().preempted, 2);
+  EXPECT_EQ(fleet.run_pass().preempted, 2);
   // The room is on its way; nothing more is stopped for the same job.
-  EXPECT_EQ(fleet.pass().preempted, 0);
+  EXPECT_EQ(fleet.run_pass().preempted, 0);
 }
 
 TEST(Placement, GuaranteedWorkIsNotStoppedForPriorityAlone) {
   Fleet fleet({{"n-1", "a"}});
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 8, 1));
-  fleet.pass();
-  fleet.written(job);
+  fleet.run_pass();
+  fleet.mark_written(job);
   auto high = make_job("j-000002", JobKind::service, 2, 8, "blue");  // beyond blue's guarantee
   high.spec.priority = wire::Priority::high;
   fleet.add(std::move(high));
-  EXPECT_EQ(fleet.pass().preempted, 0);
+  EXPECT_EQ(fleet.run_pass().preempted, 0);
 }
 
 TEST(Placement, ALargeTaskDoesNotStarveBehindSmallOnes) {
   Fleet fleet({{"n-1", "a"}});
   Job& small = fleet.add(make_job("j-000001", JobKind::job_array, 1, 1));
-  fleet.pass();
-  fleet.written(small);
+  fleet.run_pass();
+  fleet.mark_written(small);
   auto big = make_job("j-000002", JobKind::service, 1, 8, "blue");
   fleet.add(std::move(big));
-  fleet.pass(1);
+  fleet.run_pass(1);
   auto later = make_job("j-000003", JobKind::job_array, 4, 1);
   later.created_ms = 5000;
   fleet.add(std::move(later));
   // Once it has waited as long as a machine takes to boot, the room that frees is kept for it.
-  EXPECT_EQ(fleet.pass(60).placed, 0);
+  EXPECT_EQ(fleet.run_pass(60).placed, 0);
 }
 
 TEST(Placement, MachinesUnderNoticeOrFaultyTakeNothingNew) {
@@ -224,7 +224,7 @@
   fleet.cluster.machine("n-2")->faults.quarantine = Quarantine::suspected;
   fleet.cluster.machine("n-3")->agent.unknown_tasks = 1;
   fleet.add(make_job("j-000001", JobKind::service, 1, 1));
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
 }
 
 /// Spot machines of zone a.
@@ -274,8 +274,8 @@
 
   GangBehindBatch(std::initializer_list<Fleet::Where> machines)
       : fleet(machines), batch(add_batch(static_cast<std::uint32_t>(2 * machines.size()))) {
-    EXPECT_EQ(fleet.pass().placed, static_cast<int>(batch.spec.tasks));
-    fleet.written(batch);
+    EXPECT_EQ(fleet.run_pass().placed, static_cast<int>(batch.spec.tasks));
+    fleet.mark_written(batch);
     auto waiting = make_job("j-000002", JobKind::gang, 2, 8);
     waiting.spec.priority = wire::Priority::high;
     waiting.spec.one_zone = true;
@@ -299,22 +299,22 @@
 TEST(Placement, RoomIsMadeForAWholeGangInOneZone) {
   GangBehindBatch scenario({{"n-1", "a"}, {"n-2", "b"}, {"n-3", "b"}});
   Fleet& fleet = scenario.fleet;
-  EXPECT_EQ(fleet.pass().preempted, 4);
+  EXPECT_EQ(fleet.run_pass().preempted, 4);
   for (const auto& placement : scenario.batch.placements) {
     EXPECT_EQ(placement.stop, placement.machine != "n-1");
   }
-  EXPECT_EQ(fleet.pass().preempted, 0);  // what leaves will do
+  EXPECT_EQ(fleet.run_pass().preempted, 0);  // what leaves will do
   // The first machine is free: what waits behind the gang does not get it.
   scenario.end_batch_on("n-2", 2);
-  EXPECT_EQ(fleet.pass(2).placed, 0);
+  EXPECT_EQ(fleet.run_pass(2).placed, 0);
   scenario.end_batch_on("n-3", 3);
-  EXPECT_EQ(fleet.pass(3).placed, 2);
+  EXPECT_EQ(fleet.run_pass(3).placed, 2);
   EXPECT_EQ(scenario.gang->live(), 2u);
 }
 
 TEST(Placement, NothingIsStoppedForAGangThatWouldNotBeWhole) {
   GangBehindBatch scenario({{"n-1", "a"}, {"n-2", "b"}});
-  EXPECT_EQ(scenario.fleet.pass().preempted, 0);
+  EXPECT_EQ(scenario.fleet.run_pass().preempted, 0);
 }
 
 }  // namespace
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -26,8 +26,8 @@
   PlacedPriorities placed;
 
   FullMachine() {
-    fleet.pass();
-    fleet.written(victim);
+    fleet.run_pass();
+    fleet.mark_written(victim);
     victim.placements[0].running_since = 1;
     victim.placements[1].running_since = 50;
     placed.add(victim);
@@ -86,7 +86,7 @@
 /// What a job lacks when nothing is placed in the fleet.
 Shortfall shortfall_of(Fleet& fleet, const Job& job) {
   CandidateSet candidates(fleet.cluster);
-  ShortfallEstimator estimator(candidates, fleet.refused, kNow);
+  ShortfallEstimator estimator(candidates, fleet.refused_until, kNow);
   estimator.add_pending(job);
   return estimator.take();
 }
@@ -125,11 +125,11 @@
   const Job& job = fleet.add(std::move(spot));
   const auto kind = [&] { return shortfall_of(fleet, job).wanted.begin()->first; };
   EXPECT_EQ(kind(), (MachineKind{"g8", "a", true}));
-  fleet.refused[{"g8", "a", true}] = kNow + 1;
+  fleet.refused_until[{"g8", "a", true}] = kNow + 1;
   EXPECT_EQ(kind(), (MachineKind{"g8", "b", true}));
-  fleet.refused[{"g8", "b", true}] = kNow + 1;
+  fleet.refused_until[{"g8", "b", true}] = kNow + 1;
   EXPECT_EQ(kind(), (MachineKind{"g8", "a", false}));
-  fleet.refused[{"g8", "a", true}] = kNow;  // the time is over
+  fleet.refused_until[{"g8", "a", true}] = kNow;  // the time is over
   EXPECT_EQ(kind(), (MachineKind{"g8", "a", true}));
 }
 
--- a/tests/quota_policy_test.cpp
+++ b/tests/quota_policy_test.cpp
@@ -111,14 +111,14 @@
   FixedShares shares;
   fleet.cluster.set_team_shares(&shares);
   auto& job = fleet.add(testing::make_job("j-1", wire::JobKind::job_array, 8, 1));
-  fleet.pass();
+  fleet.run_pass();
   EXPECT_EQ(job.live(), 0U) << "a share of nothing is not a team without a limit";
   EXPECT_FALSE(job.guaranteed);
   shares.gpus = 3;
-  fleet.pass();
+  fleet.run_pass();
   EXPECT_EQ(job.live(), 3U);
   shares.gpus = 8;
-  fleet.pass();
+  fleet.run_pass();
   EXPECT_EQ(job.live(), 8U);
   EXPECT_TRUE(job.guaranteed);
 }
--- a/tests/randomized_cluster_test.cpp
+++ b/tests/randomized_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Short runs of clusters in which faults overlap at random, the same ones for a seed every time.
-// The rule checker of each watches all rules; afterwards every job must end.
+// Short cluster runs with random overlapping faults, reproducible by seed. The rule checker of each
+// cluster checks all rules, and every job must end after the faults.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -10,14 +10,15 @@
 
 using wire::JobKind;
 
-constexpr double kFaultPhase = 90;      ///< seconds during which faults begin
-constexpr double kRecoveryPhase = 150;  ///< seconds after which every job must have ended
+constexpr double kFaultPhaseS = 90;      ///< seconds during which faults begin
+constexpr double kRecoveryPhaseS = 150;  ///< seconds after which every job must have ended
 
-/// A cluster, and dice that decide what happens to it. The order of the draws decides what a seed
-/// plays.
+/// A cluster with random jobs and faults. The order of the random draws determines what a seed
+/// does, so it must not change.
 class RandomizedCluster {
  public:
-  explicit RandomizedCluster(unsigned seed) : dice_(seed), cluster(3, zones(seed), settings(seed)) {
+  explicit RandomizedCluster(unsigned seed)
+      : random_(seed), cluster(3, zones(seed), settings(seed)) {
     cluster.random.seed(seed);
     cluster.run_s = 4 + static_cast<double>(seed % 3) * 8;
     if (seed % 4 == 1) cluster.list_delay_s = 6;
@@ -25,20 +26,21 @@
     if (seed % 3 == 2) cluster.replay_delay_s = 2;
   }
 
-  /// Runs jobs and faults, ends the faults, and expects that all jobs end.
-  void play() {
+  /// Submits jobs, injects faults, ends the faults, and expects all jobs to end.
+  void run() {
     cluster.run(1);
-    while (cluster.reactor.now() < kFaultPhase) {
+    while (cluster.reactor.now() < kFaultPhaseS) {
       if (submitted_ < kMaxJobs && draw() < 0.35) add_job();
       if (active_faults_.size() < kMaxFaults && draw() < 0.25) inject_fault();
       cluster.run(1);
       end_faults(false);
     }
     end_faults(true);
-    // The stages of a pipeline are served one after the other.
-    const double recovery_s = pipelines ? 1.5 * kRecoveryPhase : kRecoveryPhase;
-    for (double t = 0; t < recovery_s && ended_jobs() < submitted_; ++t) cluster.run(1);
-    EXPECT_EQ(ended_jobs(), submitted_) << "not served:" << unfinished_records();
+    // The stages of a pipeline run one after the other.
+    const double recovery_s = pipelines ? 1.5 * kRecoveryPhaseS : kRecoveryPhaseS;
+    for (double waited_s = 0; waited_s < recovery_s && ended_jobs() < submitted_; ++waited_s)
+      cluster.run(1);
+    EXPECT_EQ(ended_jobs(), submitted_) << "jobs not ended:" << unfinished_records();
   }
 
   /// Schedules the end of a fault that has just been injected.
@@ -52,30 +54,30 @@
   static constexpr int kMaxJobs = 25;
   static constexpr std::size_t kMaxFaults = 4;
 
-  /// In the order in which a draw chooses them.
+  /// Chosen by index with a random draw, so the order matters.
   enum class FaultKind {
     state_outage,
     node_refused_by_state,
     node_cut_from_state,
     node_cut_from_workers,
     node_crash,
-    node_crash_again,  ///< twice as likely as the others
+    node_crash_again,  ///< second entry, so that crashes are twice as likely
     all_nodes_crash,
     late_writes,
     lost_write_responses,
     late_heartbeats,
     hung_worker,
-    deaf_worker,
-    mute_worker,
+    worker_cannot_receive,
+    worker_cannot_send,
     late_commands,
     zone_cut,
     slow_services
   };
   static constexpr int kFaultKinds = 16;
 
-  /// A fault that ends by itself.
+  /// A fault with a scheduled end.
   struct ActiveFault {
-    double until;
+    double ends_at;
     std::function<void()> end;
   };
 
@@ -106,52 +108,52 @@
   }
 
   /// A random number from 0 to 1.
-  double draw() { return std::uniform_real_distribution<>(0, 1)(dice_); }
-  /// A random number from 0 to n - 1.
-  int pick(int n) { return static_cast<int>(draw() * n) % n; }
+  double draw() { return std::uniform_real_distribution<>(0, 1)(random_); }
+  /// A random number from 0 to limit - 1.
+  int random_below(int limit) { return static_cast<int>(draw() * limit) % limit; }
 
   // ---- faults ----
 
   TestCluster::Worker* random_worker() {
     std::vector<TestCluster::Worker*> candidates;
     for (auto& [id, worker] : cluster.workers) {
-      if (!worker->gone) candidates.push_back(worker.get());
+      if (!worker->is_deleted) candidates.push_back(worker.get());
     }
     if (candidates.empty()) return nullptr;
-    return candidates[static_cast<std::size_t>(pick(static_cast<int>(candidates.size())))];
+    return candidates[static_cast<std::size_t>(random_below(static_cast<int>(candidates.size())))];
   }
 
   void inject_fault() {
-    const double span = 1 + draw() * 1.2 * cluster.base_settings.lease_s;
-    const int node = draw() < 0.6 && cluster.leader() >= 0 ? cluster.leader() : pick(3);
+    const double duration_s = 1 + draw() * 1.2 * cluster.base_settings.lease_s;
+    const int node = draw() < 0.6 && cluster.leader() >= 0 ? cluster.leader() : random_below(3);
     TestCluster::Worker* worker = random_worker();
-    const auto kind = static_cast<FaultKind>(pick(kFaultKinds));
-    if (kind <= FaultKind::all_nodes_crash) return inject_node_fault(kind, node, span);
+    const auto kind = static_cast<FaultKind>(random_below(kFaultKinds));
+    if (kind <= FaultKind::all_nodes_crash) return inject_node_fault(kind, node, duration_s);
     if (kind < FaultKind::hung_worker || kind > FaultKind::late_commands) {
-      return inject_cluster_fault(kind, span);
+      return inject_cluster_fault(kind, duration_s);
     }
-    if (worker != nullptr) inject_worker_fault(kind, *worker, span);
+    if (worker != nullptr) inject_worker_fault(kind, *worker, duration_s);
   }
 
-  void inject_node_fault(FaultKind kind, int node, double span) {
+  void inject_node_fault(FaultKind kind, int node, double duration_s) {
     switch (kind) {
       case FaultKind::state_outage:
         cluster.state_down = true;
-        return end_after(draw() < 0.2 ? cluster.base_settings.cancel_s * 1.2 : span,
+        return end_after(draw() < 0.2 ? cluster.base_settings.cancel_s * 1.2 : duration_s,
                          [this] { cluster.state_down = false; });
       case FaultKind::node_refused_by_state:
         cluster.refused_by_state.insert(node);
-        return end_after(span, [this, node] { cluster.refused_by_state.erase(node); });
+        return end_after(duration_s, [this, node] { cluster.refused_by_state.erase(node); });
       case FaultKind::node_cut_from_state:
         cluster.cut_from_state.insert(node);
         if (draw() < 0.5) cluster.cut_from_peers.insert(node);
-        return end_after(span, [this, node] {
+        return end_after(duration_s, [this, node] {
           cluster.cut_from_state.erase(node);
           cluster.cut_from_peers.erase(node);
         });
       case FaultKind::node_cut_from_workers:
         cluster.cut_from_workers.insert(node);
-        return end_after(span, [this, node] { cluster.cut_from_workers.erase(node); });
+        return end_after(duration_s, [this, node] { cluster.cut_from_workers.erase(node); });
       case FaultKind::node_crash:
       case FaultKind::node_crash_again:
         if (!cluster.is_up(node)) return;
@@ -169,51 +171,51 @@
     if (!cluster.is_up(node)) cluster.start_node(node);
   }
 
-  void inject_cluster_fault(FaultKind kind, double span) {
+  void inject_cluster_fault(FaultKind kind, double duration_s) {
     constexpr double kShare = 0.4;
     switch (kind) {
       case FaultKind::late_writes:
         cluster.late_write_share = kShare;
-        return end_after(span, [this] { cluster.late_write_share = 0; });
+        return end_after(duration_s, [this] { cluster.late_write_share = 0; });
       case FaultKind::lost_write_responses:
         cluster.lost_write_response_share = kShare;
-        return end_after(span, [this] { cluster.lost_write_response_share = 0; });
+        return end_after(duration_s, [this] { cluster.lost_write_response_share = 0; });
       case FaultKind::late_heartbeats:
         cluster.late_heartbeat_share = kShare;
-        return end_after(span, [this] { cluster.late_heartbeat_share = 0; });
+        return end_after(duration_s, [this] { cluster.late_heartbeat_share = 0; });
       case FaultKind::zone_cut:
-        cluster.cut_zones = {draw() < 0.5 ? "a" : "b"};
-        return end_after(span, [this] { cluster.cut_zones.clear(); });
+        cluster.isolated_zones = {draw() < 0.5 ? "a" : "b"};
+        return end_after(duration_s, [this] { cluster.isolated_zones.clear(); });
       default:
-        cluster.state_slow_s = 0.5;
+        cluster.max_state_delay_s = 0.5;
         cluster.cloud_down = draw() < 0.5;
-        return end_after(span, [this] {
-          cluster.state_slow_s = 0;
+        return end_after(duration_s, [this] {
+          cluster.max_state_delay_s = 0;
           cluster.cloud_down = false;
         });
     }
   }
 
-  void inject_worker_fault(FaultKind kind, TestCluster::Worker& worker, double span) {
+  void inject_worker_fault(FaultKind kind, TestCluster::Worker& worker, double duration_s) {
     switch (kind) {
       case FaultKind::hung_worker:
         worker.is_hung = true;
-        return end_after(span, [this, &worker] { cluster.resume_worker(worker); });
-      case FaultKind::deaf_worker:
+        return end_after(duration_s, [this, &worker] { cluster.resume_worker(worker); });
+      case FaultKind::worker_cannot_receive:
         worker.cannot_receive = true;
-        return end_after(span, [&worker] { worker.cannot_receive = false; });
-      case FaultKind::mute_worker:
+        return end_after(duration_s, [&worker] { worker.cannot_receive = false; });
+      case FaultKind::worker_cannot_send:
         worker.cannot_send = true;
-        return end_after(span, [&worker] { worker.cannot_send = false; });
+        return end_after(duration_s, [&worker] { worker.cannot_send = false; });
       default:
-        worker.commands_late_s = 1 + 6 * draw();
-        return end_after(span, [&worker] { worker.commands_late_s = 0; });
+        worker.command_delay_s = 1 + 6 * draw();
+        return end_after(duration_s, [&worker] { worker.command_delay_s = 0; });
     }
   }
 
   void end_faults(bool all) {
     for (std::size_t i = 0; i < active_faults_.size();) {
-      if (!all && active_faults_[i].until > cluster.reactor.now()) {
+      if (!all && active_faults_[i].ends_at > cluster.reactor.now()) {
         ++i;
         continue;
       }
@@ -225,16 +227,16 @@
 
   // ---- jobs ----
 
-  /// Up to three jobs that were accepted before; never services, which users do not depend on.
+  /// Adds up to three accepted jobs as dependencies; not services, which run until cancelled.
   void add_dependencies(wire::JobSpec& job) {
     std::vector<std::string> candidates;
-    for (const auto& id : cluster.rules.accepted()) {
+    for (const auto& id : cluster.rules.accepted_jobs()) {
       if (cluster.rules.spec(id)->kind == JobKind::job_array) candidates.push_back(id);
     }
-    for (int i = pick(3); i >= 0 && !candidates.empty(); --i) {
-      // Mostly the latest, so that chains come about.
+    for (int i = random_below(3); i >= 0 && !candidates.empty(); --i) {
+      // Prefers the latest job, so that dependency chains form.
       const int last = static_cast<int>(candidates.size()) - 1;
-      const int chosen = draw() < 0.6 ? last : pick(last + 1);
+      const int chosen = draw() < 0.6 ? last : random_below(last + 1);
       job.dependencies.push_back(candidates[static_cast<std::size_t>(chosen)]);
       candidates.erase(candidates.begin() + chosen);
     }
@@ -244,10 +246,10 @@
     const bool array = draw() < 0.6;
     auto job = make_job("j-" + std::to_string(100'000 + submitted_++),
                         array ? JobKind::job_array : JobKind::service,
-                        1 + static_cast<std::uint32_t>(pick(3)), 1 + 3 * pick(2),
+                        1 + static_cast<std::uint32_t>(random_below(3)), 1 + 3 * random_below(2),
                         draw() < 0.5 ? "red" : "blue")
                    .spec;
-    const int constraint = pick(6);
+    const int constraint = random_below(6);
     if (constraint == 0) job.one_zone = true;
     if (constraint == 1) job.spread = true;
     if (constraint == 2) job.zone = draw() < 0.5 ? "a" : "b";
@@ -264,7 +266,7 @@
 
   int ended_jobs() const {
     int ended = 0;
-    for (const auto& id : cluster.rules.accepted()) {
+    for (const auto& id : cluster.rules.accepted_jobs()) {
       ended += cluster.rules.outcome(id).empty() ? 0 : 1;
     }
     return ended;
@@ -272,14 +274,14 @@
 
   std::string unfinished_records() {
     std::string records;
-    for (const auto& id : cluster.rules.accepted()) {
+    for (const auto& id : cluster.rules.accepted_jobs()) {
       if (!cluster.rules.outcome(id).empty()) continue;
       records += "\n" + cluster.state_service.values["jobs/" + id].data;
     }
     return records;
   }
 
-  std::mt19937 dice_;
+  std::mt19937 random_;
   std::vector<ActiveFault> active_faults_;
   int submitted_ = 0;
 
@@ -287,9 +289,9 @@
   TestCluster cluster;
 };
 
-class Overlap : public ::testing::TestWithParam<unsigned> {
+class OverlappingFaults : public ::testing::TestWithParam<unsigned> {
  protected:
-  // Only what is wrong is worth reading of so many clusters, unless one is looked at by itself.
+  // Logs errors only, as there are many clusters; a test that runs alone logs at debug level.
   void SetUp() override {
     const bool alone = ::testing::UnitTest::GetInstance()->test_to_run_count() == 1;
     spdlog::set_level(alone ? spdlog::level::debug : spdlog::level::err);
@@ -297,26 +299,28 @@
   void TearDown() override { spdlog::set_level(spdlog::level::info); }
 };
 
-TEST_P(Overlap, BreaksNoRuleAndAllIsServed) {
-  RandomizedCluster run(GetParam());
-  run.play();
+TEST_P(OverlappingFaults, ViolatesNoRuleAndEndsAllJobs) {
+  RandomizedCluster randomized(GetParam());
+  randomized.run();
 }
 
-INSTANTIATE_TEST_SUITE_P(Seed, Overlap, ::testing::Range(1U, 151U));
+INSTANTIATE_TEST_SUITE_P(Seed, OverlappingFaults, ::testing::Range(1U, 151U));
 
-class OverlapWithPipelines : public Overlap {};
+class OverlappingFaultsWithPipelines : public OverlappingFaults {};
 
-// Half of the jobs depend on others, and the limits of the state service fall in the middle.
-TEST_P(OverlapWithPipelines, BreaksNoRuleAndAllIsServed) {
-  RandomizedCluster run(GetParam());
-  run.pipelines = true;
-  run.cluster.state_service.limits_writes = true;
-  run.end_after(kFaultPhase / 2, [&run] { run.cluster.state_service.limits = {2048, 4, 21}; });
-  run.play();
-  EXPECT_EQ(run.cluster.state_service.refused_as_too_large, 0);
+// Half of the jobs depend on others, and the state service lowers its limits halfway.
+TEST_P(OverlappingFaultsWithPipelines, ViolatesNoRuleAndEndsAllJobs) {
+  RandomizedCluster randomized(GetParam());
+  randomized.pipelines = true;
+  randomized.cluster.state_service.enforces_write_rate = true;
+  randomized.end_after(kFaultPhaseS / 2, [&randomized] {
+    randomized.cluster.state_service.limits = {2048, 4, 21};
+  });
+  randomized.run();
+  EXPECT_EQ(randomized.cluster.state_service.refused_as_too_large, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seed, OverlapWithPipelines, ::testing::Range(1001U, 1121U));
+INSTANTIATE_TEST_SUITE_P(Seed, OverlappingFaultsWithPipelines, ::testing::Range(1001U, 1121U));
 
 }  // namespace
 }  // namespace cranklock::testing
--- a/tests/regions_cluster_test.cpp
+++ b/tests/regions_cluster_test.cpp
@@ -16,7 +16,7 @@
   EXPECT_DOUBLE_EQ(all.held(all.west), 8);
   all.west.submit(0, all.service("j-000001", 13));
   all.run(6);
-  EXPECT_EQ(all.west.running("j-000001"), 13);
+  EXPECT_EQ(all.west.running_tasks("j-000001"), 13);
   EXPECT_DOUBLE_EQ(all.held(all.east) + all.held(all.west), kLimit);
 }
 
@@ -27,11 +27,11 @@
   all.west.submit(0, all.service("j-000001", 13));
   all.east.submit(0, all.service("j-000002", 3));
   all.run(30);  // three worker leases
-  EXPECT_EQ(all.west.running("j-000001"), 8);
-  EXPECT_EQ(all.east.running("j-000002"), 3);
+  EXPECT_EQ(all.west.running_tasks("j-000001"), 8);
+  EXPECT_EQ(all.east.running_tasks("j-000002"), 3);
   all.apart = false;
   all.run(10);
-  EXPECT_EQ(all.west.running("j-000001"), 13);
+  EXPECT_EQ(all.west.running_tasks("j-000001"), 13);
 }
 
 TEST(RegionClusters, ShareUnderWayOutlivesTheLeadersOfBothRegions) {
@@ -43,7 +43,7 @@
   all.run(0.3);
   all.west.crash_node(all.west.leader());
   all.run(15);
-  EXPECT_EQ(all.west.running("j-000001"), 13);
+  EXPECT_EQ(all.west.running_tasks("j-000001"), 13);
   EXPECT_DOUBLE_EQ(all.held(all.east) + all.held(all.west), kLimit);
 }
 
@@ -53,10 +53,10 @@
   all.east.state_down = true;
   all.west.submit(0, all.service("j-000001", 13));
   all.run(3);
-  EXPECT_EQ(all.west.running("j-000001"), 8);
+  EXPECT_EQ(all.west.running_tasks("j-000001"), 8);
   all.east.state_down = false;
   all.run(12);
-  EXPECT_EQ(all.west.running("j-000001"), 13);
+  EXPECT_EQ(all.west.running_tasks("j-000001"), 13);
 }
 
 // As after a roll-back of one controller: it would use the whole of each limit.
@@ -82,7 +82,7 @@
   cluster.run(3);
   cluster.submit(0, TwoRegionClusters::service("j-000001", 2));
   cluster.run(3);
-  EXPECT_EQ(cluster.running("j-000001"), 2);
+  EXPECT_EQ(cluster.running_tasks("j-000001"), 2);
   for (const auto& [key, value] : cluster.state_service.values) {
     EXPECT_FALSE(key.starts_with(regions::kRegionsPrefix)) << key;
   }
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -51,7 +51,7 @@
   held.waiting.done.add(0);
   // Without the reservation both would be on n-1.
   held.hold({held.for_moved()});
-  held.fleet.pass();
+  held.fleet.run_pass();
   EXPECT_EQ(held.machine_of(held.moved, 1), "n-2");
 }
 
@@ -65,7 +65,7 @@
     }
     held.fleet.cluster.add_placement(held.moved, 1, 1, "n-1", 0);
     if (reserved) held.hold({held.for_moved()});
-    held.fleet.pass();
+    held.fleet.run_pass();
     EXPECT_EQ(held.machine_of(held.moved, 0), reserved ? "" : "n-2");
   }
 }
@@ -76,13 +76,13 @@
   held.hold({held.for_waiting()});
   held.waiting.retry.backoff_until = 10;  // it can't start yet
   auto& other = held.add(kOther, JobKind::service, 2, 5, "blue");
-  held.fleet.pass(1);
+  held.fleet.run_pass(1);
   EXPECT_EQ(other.live(), 1U);
   EXPECT_EQ(held.machine_of(other, 0), "n-2");
   // It is free at once when the plan is over.
   held.hold({});
   EXPECT_TRUE(held.fleet.cluster.take_changed());
-  held.fleet.pass(2);
+  held.fleet.run_pass(2);
   EXPECT_EQ(other.live(), 2U);
 }
 
@@ -94,7 +94,7 @@
   auto urgent = make_job(kOther, JobKind::service, 2, 5, "blue");
   urgent.spec.priority = wire::Priority::production;
   auto& placed = held.fleet.add(std::move(urgent));
-  held.fleet.pass(1);
+  held.fleet.run_pass(1);
   EXPECT_EQ(placed.live(), 2U);
 }
 
@@ -102,7 +102,7 @@
   Held held;
   held.moved.done.add_range({0, 2});
   held.hold({held.for_waiting()});
-  held.fleet.pass(1);
+  held.fleet.run_pass(1);
   EXPECT_EQ(held.machine_of(held.waiting, 0), "n-1");
   // It is not counted beside what has come.
   EXPECT_FALSE(held.fleet.cluster.in_force(held.for_waiting()));
@@ -118,7 +118,7 @@
     auto reservation = held.for_moved();
     if (yields) reservation.yields_to = kWaiting;
     held.hold({reservation});
-    held.fleet.pass(1);
+    held.fleet.run_pass(1);
     EXPECT_EQ(held.machine_of(held.waiting, 0), yields ? "n-2" : "");
   }
 }
@@ -130,7 +130,7 @@
     held.moved.done.add(0);
     held.hold({held.for_moved()});
     change(held);
-    held.fleet.pass(1);
+    held.fleet.run_pass(1);
     return held.machine_of(held.moved, 1) == "n-2";
   };
   EXPECT_TRUE(is_placed([](Held&) {}));
@@ -152,7 +152,7 @@
         testing::heartbeat("n-3", 1, 1, {}, testing::kFencingToken, "b"), true, 0);
     held.fleet.cluster.add_placement(held.moved, 0, 1, "n-3", 0);
     held.hold({held.for_moved()});
-    held.fleet.pass(1);
+    held.fleet.run_pass(1);
     EXPECT_EQ(held.machine_of(held.moved, 1), one_zone ? "n-3" : "n-2");
   }
 }
@@ -175,7 +175,7 @@
   other.created_ms = 2000;
   Job& of_other_team = held.fleet.add(std::move(other));
   for (auto& [id, job] : held.fleet.cluster.jobs()) job.ready_ms = job.created_ms;
-  held.fleet.pass(1);
+  held.fleet.run_pass(1);
   EXPECT_EQ(held.machine_of(of_own_team, 0), "");
   EXPECT_EQ(held.machine_of(of_other_team, 0), "n-1");
 }
@@ -187,9 +187,9 @@
     auto& full = held.add(std::string("j-00001") + id[2], JobKind::service, 1, 4, "blue");
     held.fleet.cluster.add_placement(full, 0, 1, id, 0);
   }
-  EXPECT_FALSE(held.fleet.pass(1).shortfall.wanted.empty());
+  EXPECT_FALSE(held.fleet.run_pass(1).shortfall.wanted.empty());
   held.hold({held.for_waiting()});
-  EXPECT_TRUE(held.fleet.pass(2).shortfall.wanted.empty());
+  EXPECT_TRUE(held.fleet.run_pass(2).shortfall.wanted.empty());
 }
 
 }  // namespace
--- a/tests/router_stand_in.hpp
+++ b/tests/router_stand_in.hpp
@@ -1,5 +1,5 @@
-// A router in front of replicas: it spreads chats over them, keeps each chat at its replica, and
-// drains replicas where it is asked to (docs/defragmentation.md). No I/O, time passed in.
+// A router in front of replicas: distributes chats over them, keeps each chat at its replica, and
+// drains replicas on request (docs/defragmentation.md). No I/O, time passed in.
 #pragma once
 
 #include <cstddef>
@@ -23,48 +23,48 @@
     std::string machine, address;
   };
 
-  /// `max_chats` is what one replica carries.
+  /// `max_chats`: capacity of one replica.
   explicit RouterStandIn(std::size_t max_chats) : max_chats_(max_chats) {}
 
-  /// All replicas that run now.
+  /// Sets the replicas that are running.
   void set_replicas(std::vector<Replica> replicas, double now);
 
-  /// Answers a request of the drain interface.
+  /// Handles a request to the drain endpoint.
   net::Response handle(const net::Request& request, double now);
 
-  /// Where the chat's next request goes, which is open from now on; nothing: no replica serves. A
-  /// chat stays at its replica until that is gone or has to be drained in time.
+  /// Opens a request of the chat and returns its replica; nullopt if no replica is available. A
+  /// chat stays at its replica until the replica is gone or its drain deadline has passed.
   std::optional<Replica> begin_request(int chat, const std::string& job, double now);
   void end_request(int chat);
   void end_chat(int chat);
 
   bool is_drained(const wire::TaskName& task, double now) const;
-  int carried_over() const { return carried_over_; }
-  int drains_asked() const { return drains_asked_; }
+  int reassigned_chats() const { return reassigned_chats_; }
+  int drain_requests() const { return drain_requests_; }
   int drains_refused() const { return drains_refused_; }
 
  private:
   struct Chat {
-    wire::TaskName at;
+    wire::TaskName replica;
     std::uint64_t attempt = 0;
     bool open = false;
   };
   struct Drain {
     std::uint64_t attempt = 0;
-    double until = 0, carry_over_at = 0;
+    double until = 0, reassign_at = 0;
   };
-  defrag::DrainState drain(const defrag::DrainRequest& request, double now);
+  defrag::DrainState handle_drain(const defrag::DrainRequest& request, double now);
   const Replica* find(const wire::TaskName& task) const;
   const Replica* least_busy(const std::string& job, double now) const;
   std::size_t chats_at(const wire::TaskName& task, bool open_only) const;
-  bool others_can_carry(const wire::TaskName& task, double now) const;
-  bool must_leave(const Chat& chat, double now) const;
+  bool others_have_capacity(const wire::TaskName& task, double now) const;
+  bool must_be_reassigned(const Chat& chat, double now) const;
 
   std::size_t max_chats_;
   std::vector<Replica> replicas_;
   std::map<int, Chat> chats_;
   std::map<wire::TaskName, Drain> drains_;
-  int carried_over_ = 0, drains_asked_ = 0, drains_refused_ = 0;
+  int reassigned_chats_ = 0, drain_requests_ = 0, drains_refused_ = 0;
 };
 
 }  // namespace cranklock::testing
--- a/tests/rule_checker.cpp
+++ b/tests/rule_checker.cpp
@@ -4,19 +4,19 @@
 
 namespace cranklock::testing {
 
-void RuleChecker::breaks(const std::string& rule, const std::string& how) {
-  broken.try_emplace(rule, how);
+void RuleChecker::report_violation(const std::string& rule, const std::string& how) {
+  violations.try_emplace(rule, how);
 }
 
 const wire::JobSpec* RuleChecker::spec(const std::string& job) const {
   const auto it = jobs_.find(job);
-  return it == jobs_.end() || !it->second.described ? nullptr : &it->second.spec;
+  return it == jobs_.end() || !it->second.has_spec ? nullptr : &it->second.spec;
 }
 
-std::vector<std::string> RuleChecker::accepted() const {
+std::vector<std::string> RuleChecker::accepted_jobs() const {
   std::vector<std::string> out;
   for (const auto& [id, job] : jobs_) {
-    if (job.told > 0) out.push_back(id);
+    if (job.reported > 0) out.push_back(id);
   }
   return out;
 }
@@ -35,137 +35,150 @@
   std::set<std::string> out;
   std::vector<std::string> next{job};
   while (!next.empty()) {
-    const auto* described = spec(next.back());
+    const auto* job_spec = spec(next.back());
     next.pop_back();
-    if (described == nullptr) continue;
-    for (const auto& needed : described->dependencies) {
-      if (out.insert(needed).second) next.push_back(needed);
+    if (job_spec == nullptr) continue;
+    for (const auto& dependency : job_spec->dependencies) {
+      if (out.insert(dependency).second) next.push_back(dependency);
     }
   }
   return out;
 }
 
-double RuleChecker::orphaned_at(const std::string& job) const {
+double RuleChecker::dependency_cancelled_at(const std::string& job) const {
   double first = -1;
-  for (const auto& needed : ancestors(job)) {
-    const double at = cancelled_at(needed);
+  for (const auto& dependency : ancestors(job)) {
+    const double at = cancelled_at(dependency);
     if (at >= 0 && (first < 0 || at < first)) first = at;
   }
   return first;
 }
 
-bool RuleChecker::cancel_asked(const std::string& job) const {
+bool RuleChecker::cancel_requested(const std::string& job) const {
   auto candidates = ancestors(job);
   candidates.insert(job);
   return std::any_of(candidates.begin(), candidates.end(), [&](const std::string& id) {
     const auto it = jobs_.find(id);
-    return it != jobs_.end() && it->second.cancel_asked;
+    return it != jobs_.end() && it->second.cancel_requested;
   });
 }
 
 void RuleChecker::check_dependencies_done(const std::string& job, const std::string& task) {
-  for (const auto& needed : spec(job)->dependencies) {
-    const auto* described = spec(needed);
-    const bool done = described != nullptr && jobs_.at(needed).done.size() == described->tasks;
-    if (!done) breaks("too_early", task + " before " + needed);
+  for (const auto& dependency : spec(job)->dependencies) {
+    const auto* needed = spec(dependency);
+    const bool done =
+        needed != nullptr && jobs_.at(dependency).completed_tasks.size() == needed->tasks;
+    if (!done) report_violation("too_early", task + " started before " + dependency + " was done");
   }
 }
 
-RuleChecker::Question RuleChecker::ask(const std::string& method, const std::string& path,
-                                       const std::string& body) {
-  Question q;
+RuleChecker::UserRequest RuleChecker::on_request(const std::string& method, const std::string& path,
+                                                 const std::string& body) {
+  UserRequest request;
   const std::string jobs = "/v1/jobs", cancel = "/withdraw";
   if (method == "POST" && path == jobs) {
     const wire::JsonDocument document(body);
-    if (!document.is_object()) return q;
-    q.kind = Question::Kind::submit;
-    q.job = wire::read_text(document.root(), "Id").value_or("");
-    Job& job = jobs_[q.job];
+    if (!document.is_object()) return request;
+    request.kind = UserRequest::Kind::submit;
+    request.job = wire::read_text(document.root(), "Id").value_or("");
+    Job& job = jobs_[request.job];
     job.submitted = true;
     auto parsed = wire::parse_job(document.root());
-    if (!job.described && parsed) {
+    if (!job.has_spec && parsed) {
       job.spec = *parsed;
-      job.described = true;
+      job.has_spec = true;
     }
   } else if (path.starts_with(jobs + "/")) {
-    q.job = path.substr(jobs.size() + 1);
-    q.kind = Question::Kind::status;
-    if (q.job.ends_with(cancel)) {
-      q.job.resize(q.job.size() - cancel.size());
-      q.kind = Question::Kind::cancel;
-      jobs_[q.job].cancel_asked = true;
+    request.job = path.substr(jobs.size() + 1);
+    request.kind = UserRequest::Kind::status;
+    if (request.job.ends_with(cancel)) {
+      request.job.resize(request.job.size() - cancel.size());
+      request.kind = UserRequest::Kind::cancel;
+      jobs_[request.job].cancel_requested = true;
     }
   }
-  if (const auto it = jobs_.find(q.job); it != jobs_.end()) {
-    q.told = it->second.told;
-    q.outcome = it->second.outcome;
+  if (const auto it = jobs_.find(request.job); it != jobs_.end()) {
+    request.reported = it->second.reported;
+    request.outcome = it->second.outcome;
   }
-  return q;
+  return request;
 }
 
-void RuleChecker::answered(const Question& q, int status, const std::string& body, double now) {
-  if (q.kind == Question::Kind::other) return;
-  Job& job = jobs_[q.job];
-  if (status == 404 && q.told > 0) breaks("forgotten", q.job + " got 404");
-  const bool repeat = q.kind == Question::Kind::submit && q.told > 0;
-  if (repeat && (status == 400 || status == 422)) breaks("forgotten", q.job + " was refused");
-  // What was refused describes no job: its user may submit another under that id.
-  const bool refused = q.kind == Question::Kind::submit && (status == 400 || status == 422);
-  if (refused && job.told == 0) job.described = false;
+void RuleChecker::on_response(const UserRequest& request, int status, const std::string& body,
+                              double now) {
+  if (request.kind == UserRequest::Kind::other) return;
+  Job& job = jobs_[request.job];
+  if (status == 404 && request.reported > 0)
+    report_violation("forgotten", request.job + " was accepted and is answered with 404");
+  const bool repeat = request.kind == UserRequest::Kind::submit && request.reported > 0;
+  if (repeat && (status == 400 || status == 422))
+    report_violation("forgotten", request.job + " was accepted and its resubmission is refused");
+  // A refused submission defines no job: the user may submit another one with that id.
+  const bool refused =
+      request.kind == UserRequest::Kind::submit && (status == 400 || status == 422);
+  if (refused && job.reported == 0) job.has_spec = false;
   if (status != 200 && status != 201) return;
-  if (!job.submitted) return breaks("invented", q.job);
+  if (!job.submitted) return report_violation("invented", request.job + " was never submitted");
   const wire::JsonDocument document(body);
   const auto state = wire::read_text(document.root(), "Stance").value_or("?");
   const bool over = state == "done" || state == "withdrawn";
-  if (q.told == 2 && state != q.outcome) {
-    breaks("went_back", q.job + " was " + q.outcome + " and is called " + state);
+  if (request.reported == 2 && state != request.outcome) {
+    report_violation("went_back",
+                     request.job + " was reported as " + request.outcome + " and now as " + state);
   }
-  if (over && job.told == 2 && job.outcome != state) {
-    breaks("went_back", q.job + " is called both done and withdrawn");
+  if (over && job.reported == 2 && job.outcome != state) {
+    report_violation("went_back", request.job + " is reported as done and as withdrawn");
   }
-  const double orphaned = orphaned_at(q.job);
-  if (!over && orphaned >= 0 && now - orphaned > settings_.cancel_s) {
-    breaks("orphaned", q.job + " is called " + state + " at " + std::to_string(now));
+  const double cancelled_dependency_at = dependency_cancelled_at(request.job);
+  if (!over && cancelled_dependency_at >= 0 && now - cancelled_dependency_at > settings_.cancel_s) {
+    report_violation("orphaned", request.job + " is reported as " + state +
+                                     " after a dependency's cancellation, at " +
+                                     std::to_string(now));
   }
-  if (state == "withdrawn" && !cancel_asked(q.job)) {
-    breaks("went_back", q.job + " is called withdrawn, and nobody asked for it");
+  if (state == "withdrawn" && !cancel_requested(request.job)) {
+    report_violation("went_back",
+                     request.job + " is reported as withdrawn without a cancellation request");
   }
-  if (state == "done" && job.done.size() < job.spec.tasks) {
-    breaks("not_done", q.job + ": " + std::to_string(job.done.size()) + " tasks are");
+  if (state == "done" && job.completed_tasks.size() < job.spec.tasks) {
+    report_violation("not_done", request.job + " is reported as done; tasks completed: " +
+                                     std::to_string(job.completed_tasks.size()));
   }
   if (state == "withdrawn" && job.cancelled_at < 0) job.cancelled_at = now;
-  if (over && job.told < 2) job.outcome = state;
-  job.told = std::max(job.told, over ? 2 : 1);
+  if (over && job.reported < 2) job.outcome = state;
+  job.reported = std::max(job.reported, over ? 2 : 1);
 }
 
 void RuleChecker::on_start_command(const std::string& id, double now) {
   const double at = cancelled_at(id);
   if (at < 0) return;
   ++late_starts;
-  latest_start = std::max(latest_start, now - at);
+  max_start_delay_s = std::max(max_start_delay_s, now - at);
 }
 
-void RuleChecker::starts(const HeldTask& task, const std::vector<HeldTask>& others, double now) {
+void RuleChecker::on_task_started(const HeldTask& task, const std::vector<HeldTask>& others,
+                                  double now) {
   const auto* job = spec(task.job);
-  if (job == nullptr) return breaks("invented", task.job + " runs and was never submitted");
+  if (job == nullptr) return report_violation("invented", task.job + " runs without a submission");
   const std::string name = task.job + "/" + std::to_string(task.task);
   check_dependencies_done(task.job, name);
-  if (!sched::allows(*job, task.kind)) breaks("wrong_place", name + " in " + task.kind.zone);
-  std::uint32_t here = 1;
+  if (!sched::allows(*job, task.kind))
+    report_violation("wrong_place", name + " in " + task.kind.zone);
+  std::uint32_t tasks_in_zone = 1;
   for (const auto& other : others) {
     if (other.job != task.job) continue;
     if (other.task == task.task && other.machine != task.machine) {
-      breaks("ran_twice",
-             name + " on " + other.machine + " and " + task.machine + " at " + std::to_string(now));
+      report_violation("ran_twice", name + " on " + other.machine + " and " + task.machine +
+                                        " at " + std::to_string(now));
     }
     if (other.task == task.task) continue;
     if (other.kind.zone == task.kind.zone) {
-      ++here;
+      ++tasks_in_zone;
     } else if (job->one_zone) {
-      breaks("wrong_place", name + ": its job is in " + other.kind.zone + " too");
+      report_violation("wrong_place", name + ": one_zone job also runs in " + other.kind.zone);
     }
   }
-  if (job->spread && here > (job->tasks + 1) / 2) breaks("wrong_place", name + ": too many there");
+  if (job->spread && tasks_in_zone > (job->tasks + 1) / 2)
+    report_violation("wrong_place", name + ": too many tasks of a spread job in one zone");
 }
 
 void RuleChecker::check_held_tasks(const std::vector<HeldTask>& held, double now) {
@@ -176,8 +189,8 @@
     if (task.has_image) use[it->second.spec.team] += it->second.spec.resources;
     const double at = it->second.cancelled_at;
     if (at >= 0 && now - at > settings_.cancel_s) {
-      breaks("ran_cancelled", task.job + "/" + std::to_string(task.task) + " on " + task.machine +
-                                  " at " + std::to_string(now));
+      report_violation("ran_cancelled", task.job + "/" + std::to_string(task.task) + " on " +
+                                            task.machine + " at " + std::to_string(now));
     }
   }
   for (const auto& [name, resources] : use) {
@@ -188,8 +201,8 @@
         if (jobs_.at(task.job).spec.team != name) continue;
         tasks += " " + task.job + "/" + std::to_string(task.task) + " on " + task.machine;
       }
-      breaks("quota", name + ": " + std::to_string(resources.gpus) + " at " + std::to_string(now) +
-                          ":" + tasks);
+      report_violation("quota", name + ": " + std::to_string(resources.gpus) + " at " +
+                                    std::to_string(now) + ":" + tasks);
     }
   }
 }
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -1,5 +1,5 @@
-// Proves that the rule checker of every cluster notices each broken rule: each of these clusters
-// breaks one.
+// The rule checker detects each kind of violation: each test cluster here violates one rule on
+// purpose.
 #include <gtest/gtest.h>
 
 #include "test_cluster.hpp"
@@ -14,136 +14,138 @@
   return make_job(id, wire::JobKind::service, tasks, 4).spec;
 }
 
-/// A cluster with one job that runs on a machine of zone a, and another machine beside it.
-struct Broken : TestCluster {
-  explicit Broken(const std::string& rule) : TestCluster(3) {
-    expected_broken = {rule};
+/// A cluster with a job that runs on a machine of zone a, and a second machine in zone b. Expects a
+/// violation of the given rule.
+struct BrokenCluster : TestCluster {
+  explicit BrokenCluster(const std::string& rule) : TestCluster(3) {
+    expected_violations = {rule};
     run_s = 1000;
     add_worker("a");
     add_worker("b");
     run(3);
-    auto s = spec("j-000001");
-    s.zone = "a";
-    submit(0, s);
-    s = spec("j-000009");
-    s.zone = "b";  // so that both machines are kept
-    submit(0, s);
+    auto job_spec = spec("j-000001");
+    job_spec.zone = "a";
+    submit(0, job_spec);
+    job_spec = spec("j-000009");
+    job_spec.zone = "b";  // keeps the second machine in use, so that it isn't deleted
+    submit(0, job_spec);
     run(4);
   }
-  Worker& beside() { return *workers.at("n-2"); }
-  void smuggle(Worker& to, const std::string& task) {
+  Worker& second_machine() { return *workers.at("n-2"); }
+  void plant_task(Worker& to, const std::string& task) {
     to.tasks[task] = {99, TaskState::fetching, ExitReason::none, reactor.now() - 1};
   }
 };
 
-TEST(RuleChecker, NoticesATaskThatStartsWhileItIsElsewhere) {
-  Broken w("ran_twice");
-  w.expected_broken.insert("wrong_place");  // the other machine is in another zone
-  w.smuggle(w.beside(), "j-000001/0");
-  w.run(0.5);
+TEST(RuleChecker, DetectsATaskThatRunsOnTwoMachines) {
+  BrokenCluster cluster("ran_twice");
+  cluster.expected_violations.insert("wrong_place");  // the other machine is in another zone
+  cluster.plant_task(cluster.second_machine(), "j-000001/0");
+  cluster.run(0.5);
 }
 
-TEST(RuleChecker, NoticesAStartInAZoneThatTheJobDoesNotAllow) {
-  Broken w("wrong_place");
-  auto s = spec("j-000002");
-  s.zone = "a";
-  w.workers.at("n-1")->is_hung = true;
-  w.submit(0, s);
-  w.smuggle(w.beside(), "j-000002/0");
-  w.run(0.5);
+TEST(RuleChecker, DetectsAStartInAZoneThatTheJobDoesNotAllow) {
+  BrokenCluster cluster("wrong_place");
+  auto job_spec = spec("j-000002");
+  job_spec.zone = "a";
+  cluster.workers.at("n-1")->is_hung = true;
+  cluster.submit(0, job_spec);
+  cluster.plant_task(cluster.second_machine(), "j-000002/0");
+  cluster.run(0.5);
 }
 
-TEST(RuleChecker, NoticesOneZoneAndApartBroken) {
+TEST(RuleChecker, DetectsViolatedOneZoneAndSpreadConstraints) {
   for (const bool one_zone : {true, false}) {
-    Broken w("wrong_place");
-    auto s = spec("j-000002", 2);
-    s.resources = {1, 1, 8};
-    s.one_zone = one_zone;
-    s.spread = !one_zone;
-    w.submit(0, s);
-    w.run(5);
-    ASSERT_GE(w.running("j-000002"), 1);
-    // The task that is in the other zone, or in none yet, comes to be where the first one is not,
-    // or is.
-    std::string here, first, second;
-    for (auto& [id, worker] : w.workers) {
+    BrokenCluster cluster("wrong_place");
+    auto job_spec = spec("j-000002", 2);
+    job_spec.resources = {1, 1, 8};
+    job_spec.one_zone = one_zone;
+    job_spec.spread = !one_zone;
+    cluster.submit(0, job_spec);
+    cluster.run(5);
+    ASSERT_GE(cluster.running_tasks("j-000002"), 1);
+    // For one_zone, plants the second task on the machines of the other zone; for spread, on those
+    // of the first task's zone.
+    std::string zone_of_first, first, second;
+    for (auto& [id, worker] : cluster.workers) {
       for (const char* task : {"j-000002/0", "j-000002/1"}) {
         if (!worker->tasks.contains(task) || !first.empty()) continue;
         first = task;
-        here = worker->kind.zone;
+        zone_of_first = worker->kind.zone;
       }
     }
     second = first.ends_with("0") ? "j-000002/1" : "j-000002/0";
-    for (auto& [id, worker] : w.workers) {
-      if ((worker->kind.zone == here) != one_zone) w.smuggle(*worker, second);
+    for (auto& [id, worker] : cluster.workers) {
+      if ((worker->kind.zone == zone_of_first) != one_zone) cluster.plant_task(*worker, second);
     }
-    if (w.running("j-000002") == 2) w.expected_broken.insert("ran_twice");
-    w.run(0.5);
+    if (cluster.running_tasks("j-000002") == 2) cluster.expected_violations.insert("ran_twice");
+    cluster.run(0.5);
   }
 }
 
-TEST(RuleChecker, NoticesATeamBeyondItsLimit) {
-  Broken w("quota");
-  w.run(1);
-  w.submit(0, spec("j-000002", 4));
-  for (int i = 0; i < 4; ++i) w.smuggle(w.beside(), "j-000002/" + std::to_string(i));
-  w.run(0.5);
+TEST(RuleChecker, DetectsATeamAboveItsQuota) {
+  BrokenCluster cluster("quota");
+  cluster.run(1);
+  cluster.submit(0, spec("j-000002", 4));
+  for (int i = 0; i < 4; ++i)
+    cluster.plant_task(cluster.second_machine(), "j-000002/" + std::to_string(i));
+  cluster.run(0.5);
 }
 
-TEST(RuleChecker, NoticesACancelledTaskThatIsStillThere) {
-  Broken w("ran_cancelled");
-  w.cancel(1, "j-000001");
-  w.run(w.base_settings.cancel_s + 1);
-  w.beside().cannot_send = true;  // or it would be told to stop
-  w.smuggle(w.beside(), "j-000001/0");
-  w.expected_broken.insert("wrong_place");
-  w.run(1);
-  EXPECT_EQ(w.rules.late_starts, 0);
-  w.rules.on_start_command("j-000001", w.reactor.now());
-  EXPECT_EQ(w.rules.late_starts, 1);
+TEST(RuleChecker, DetectsACancelledTaskThatStillRuns) {
+  BrokenCluster cluster("ran_cancelled");
+  cluster.cancel(1, "j-000001");
+  cluster.run(cluster.base_settings.cancel_s + 1);
+  cluster.second_machine().cannot_send = true;  // otherwise the leader would stop the task
+  cluster.plant_task(cluster.second_machine(), "j-000001/0");
+  cluster.expected_violations.insert("wrong_place");
+  cluster.run(1);
+  EXPECT_EQ(cluster.rules.late_starts, 0);
+  cluster.rules.on_start_command("j-000001", cluster.reactor.now());
+  EXPECT_EQ(cluster.rules.late_starts, 1);
 }
 
-TEST(RuleChecker, NoticesAnAcceptedJobThatIsForgottenOrRefused) {
-  for (const bool asks : {true, false}) {
-    Broken w("forgotten");
-    w.state_service.values.erase("jobs/j-000001");
-    if (asks) {
-      EXPECT_EQ(w.ask(1, "GET", "/v1/jobs/j-000001").status, 404);
+TEST(RuleChecker, DetectsAnAcceptedJobThatIsForgottenOrRefused) {
+  for (const bool queries : {true, false}) {
+    BrokenCluster cluster("forgotten");
+    cluster.state_service.values.erase("jobs/j-000001");
+    if (queries) {
+      EXPECT_EQ(cluster.send_request(1, "GET", "/v1/jobs/j-000001").status, 404);
     } else {
-      EXPECT_EQ(w.ask(1, "POST", "/v1/jobs", R"({"Id":"j-000001"})").status, 400);
+      EXPECT_EQ(cluster.send_request(1, "POST", "/v1/jobs", R"({"Id":"j-000001"})").status, 400);
     }
   }
 }
 
-TEST(RuleChecker, NoticesAJobThatNobodySubmitted) {
-  Broken w("invented");
-  w.state_service.values["ended/j-000777"] = {R"({"s":"done","n":1})", 1, 0};
-  EXPECT_EQ(w.ask(1, "GET", "/v1/jobs/j-000777").status, 200);
+TEST(RuleChecker, DetectsAJobThatWasNeverSubmitted) {
+  BrokenCluster cluster("invented");
+  cluster.state_service.values["ended/j-000777"] = {R"({"s":"done","n":1})", 1, 0};
+  EXPECT_EQ(cluster.send_request(1, "GET", "/v1/jobs/j-000777").status, 200);
 }
 
-TEST(RuleChecker, NoticesAJobThatIsCalledDoneTooEarly) {
-  Broken w("not_done");
-  w.state_service.values.erase("jobs/j-000001");
-  w.state_service.values["ended/j-000001"] = {R"({"s":"done","n":1})", 1, 0};
-  EXPECT_EQ(w.state_of(1, "j-000001"), "done");
+TEST(RuleChecker, DetectsAJobReportedDoneTooEarly) {
+  BrokenCluster cluster("not_done");
+  cluster.state_service.values.erase("jobs/j-000001");
+  cluster.state_service.values["ended/j-000001"] = {R"({"s":"done","n":1})", 1, 0};
+  EXPECT_EQ(cluster.state_of(1, "j-000001"), "done");
 }
 
-TEST(RuleChecker, NoticesAnswersThatGoBack) {
-  Broken w("went_back");
-  const auto record = w.state_service.values.at("jobs/j-000001");
-  w.cancel(1, "j-000001");
-  w.run(5);
-  ASSERT_TRUE(w.state_service.values.contains("ended/j-000001"));
-  w.state_service.values.erase("ended/j-000001");
-  w.state_service.values["jobs/j-000001"] = record;
-  EXPECT_EQ(w.state_of(2, "j-000001"), "running");
+TEST(RuleChecker, DetectsStatesThatGoBack) {
+  BrokenCluster cluster("went_back");
+  const auto record = cluster.state_service.values.at("jobs/j-000001");
+  cluster.cancel(1, "j-000001");
+  cluster.run(5);
+  ASSERT_TRUE(cluster.state_service.values.contains("ended/j-000001"));
+  cluster.state_service.values.erase("ended/j-000001");
+  cluster.state_service.values["jobs/j-000001"] = record;
+  EXPECT_EQ(cluster.state_of(2, "j-000001"), "running");
 }
 
-TEST(RuleChecker, NoticesACancellationThatNobodyAskedFor) {
-  Broken w("went_back");
-  w.state_service.values.erase("jobs/j-000001");
-  w.state_service.values["ended/j-000001"] = {R"({"s":"withdrawn","n":0})", 1, 0};
-  EXPECT_EQ(w.state_of(1, "j-000001"), "withdrawn");
+TEST(RuleChecker, DetectsACancellationWithoutARequest) {
+  BrokenCluster cluster("went_back");
+  cluster.state_service.values.erase("jobs/j-000001");
+  cluster.state_service.values["ended/j-000001"] = {R"({"s":"withdrawn","n":0})", 1, 0};
+  EXPECT_EQ(cluster.state_of(1, "j-000001"), "withdrawn");
 }
 
 }  // namespace
--- a/tests/scaler_test.cpp
+++ b/tests/scaler_test.cpp
@@ -144,10 +144,10 @@
 TEST(Scaler, WhatBootsAlreadyIsNotRentedAgain) {
   testing::Fleet fleet;
   fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
-  auto result = fleet.pass();
+  auto result = fleet.run_pass();
   EXPECT_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).missing, 1);
   fleet.cluster.upsert_machine("n-2", {"g8", "a", false}, 1);
-  result = fleet.pass();
+  result = fleet.run_pass();
   EXPECT_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).missing, 0);
 }
 
@@ -160,7 +160,7 @@
 TEST(Scaler, APoolWithNothingReadyAndWorkWaitingIsAboveHigh) {
   testing::Fleet fleet({});
   fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
-  const auto result = fleet.pass();
+  const auto result = fleet.run_pass();
   const auto readings = read_pools(fleet.cluster, result.shortfall, 0.9);
   EXPECT_GT(readings.at({"g8", false}).score, 0.9);
   EXPECT_EQ(readings.at({"g8", false}).wanted, 1);
@@ -169,10 +169,10 @@
 TEST(Scaler, TheScoreIsBookedRoomPlusWaitingRoom) {
   testing::Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
   fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
-  auto result = fleet.pass();
+  auto result = fleet.run_pass();
   EXPECT_DOUBLE_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).score, 0.5);
   fleet.add(testing::make_job("j-000002", wire::JobKind::service, 2, 8, "blue"));
-  result = fleet.pass();
+  result = fleet.run_pass();
   // Both machines full and a third one's worth waiting on two.
   EXPECT_DOUBLE_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).score, 1.5);
 }
@@ -184,7 +184,7 @@
   auto batch = testing::make_job("j-000001", wire::JobKind::job_array, 2, 4);
   batch.spec.spot = true;
   fleet.add(std::move(batch));
-  EXPECT_EQ(fleet.pass().placed, 2);  // both on one machine
+  EXPECT_EQ(fleet.run_pass().placed, 2);  // both on one machine
   auto readings = read_pools(fleet.cluster, {}, 0.9);
   EXPECT_EQ(readings.at({"g8", true}).missing, 2);  // a machine and its headroom
   EXPECT_GT(readings.at({"g8", true}).score, 0.9);
--- a/tests/state_stand_in.cpp
+++ b/tests/state_stand_in.cpp
@@ -17,57 +17,57 @@
 
 constexpr std::size_t kMaxEvents = 10'000;
 
-Response answer(int status, std::string body = "{}") {
+Response respond(int status, std::string body = "{}") {
   return control::make_response(status, std::move(body));
 }
 
-void write_row(JsonWriter& w, const std::string& key, const StateStandIn::Stored& stored) {
-  w.begin().key("K").text(key).key("Data").raw(stored.data);
-  w.key("Mark").count(stored.revision).end();
+void write_row(JsonWriter& writer, const std::string& key, const StateStandIn::Stored& stored) {
+  writer.begin().key("K").text(key).key("Data").raw(stored.data);
+  writer.key("Mark").count(stored.revision).end();
 }
 
 }  // namespace
 
 Response StateStandIn::handle(const Request& request) {
   ++requests;
-  expire();
-  if (request.path.starts_with("/store/")) return read(request.path.substr(7));
-  if (request.path == "/store") return range(request);
-  if (request.path == "/follow") return changes(request);
-  if (request.path == "/leases") return grant_lease(request);
-  if (request.path.starts_with("/leases/")) return use_lease(request);
-  return transact(request);
+  expire_leases();
+  if (request.path.starts_with("/store/")) return read_value(request.path.substr(7));
+  if (request.path == "/store") return read_range(request);
+  if (request.path == "/follow") return read_changes(request);
+  if (request.path == "/leases") return create_lease(request);
+  if (request.path.starts_with("/leases/")) return renew_or_revoke_lease(request);
+  return execute_transaction(request);
 }
 
-Response StateStandIn::read(const std::string& key) const {
-  JsonWriter w;
+Response StateStandIn::read_value(const std::string& key) const {
+  JsonWriter writer;
   const auto found = values.find(key);
   if (found == values.end()) {
-    w.begin().key("LedgerTurn").count(revision).end();
-    return answer(404, w.take());
+    writer.begin().key("LedgerTurn").count(revision).end();
+    return respond(404, writer.take());
   }
-  write_row(w, found->first, found->second);
-  return answer(200, w.take());
+  write_row(writer, found->first, found->second);
+  return respond(200, writer.take());
 }
 
-Response StateStandIn::range(const Request& request) const {
+Response StateStandIn::read_range(const Request& request) const {
   const std::string prefix = net::query_field(request.query, "Under");
   const std::string since = net::query_field(request.query, "Since");
   const std::string max_text = net::query_field(request.query, "Most");
-  const std::size_t most = max_text.empty() ? 1000 : std::stoul(max_text);
+  const std::size_t max_rows = max_text.empty() ? 1000 : std::stoul(max_text);
   auto next = since.empty() ? values.lower_bound(prefix) : values.upper_bound(since);
-  JsonWriter w;
-  w.begin().key("Rows").list();
-  for (std::size_t rows = 0; rows < most && next != values.end(); ++rows, ++next) {
+  JsonWriter writer;
+  writer.begin().key("Rows").list();
+  for (std::size_t rows = 0; rows < max_rows && next != values.end(); ++rows, ++next) {
     if (!next->first.starts_with(prefix)) break;
-    write_row(w, next->first, next->second);
+    write_row(writer, next->first, next->second);
   }
-  const bool more = next != values.end() && next->first.starts_with(prefix);
-  w.list_end().key("HasNext").flag(more).key("LedgerTurn").count(revision).end();
-  return answer(200, w.take());
+  const bool has_next = next != values.end() && next->first.starts_with(prefix);
+  writer.list_end().key("HasNext").flag(has_next).key("LedgerTurn").count(revision).end();
+  return respond(200, writer.take());
 }
 
-std::deque<StateStandIn::Event>::const_iterator StateStandIn::first_after(
+std::deque<StateStandIn::Event>::const_iterator StateStandIn::first_event_after(
     std::uint64_t since) const {
   return std::upper_bound(
       events_.begin(), events_.end(), since,
@@ -77,51 +77,51 @@
 bool StateStandIn::has_changes(const Request& watch) const {
   const auto since = std::stoull(net::query_field(watch.query, "Since"));
   const std::string prefix = net::query_field(watch.query, "Under");
-  return std::any_of(first_after(since), events_.end(),
+  return std::any_of(first_event_after(since), events_.end(),
                      [&](const Event& event) { return event.key.starts_with(prefix); });
 }
 
-Response StateStandIn::changes(const Request& watch) const {
+Response StateStandIn::read_changes(const Request& watch) const {
   const auto since = std::stoull(net::query_field(watch.query, "Since"));
   const std::string prefix = net::query_field(watch.query, "Under");
-  if (since < forgotten_) return answer(410);
-  JsonWriter w;
-  w.begin().key("LedgerTurn").count(revision).key("News").list();
-  for (auto event = first_after(since); event != events_.end(); ++event) {
+  if (since < compacted_revision_) return respond(410);
+  JsonWriter writer;
+  writer.begin().key("LedgerTurn").count(revision).key("News").list();
+  for (auto event = first_event_after(since); event != events_.end(); ++event) {
     if (!event->key.starts_with(prefix)) continue;
-    w.begin().key(event->data.empty() ? "Remove" : "Write").text(event->key);
-    if (!event->data.empty()) w.key("Data").raw(event->data);
-    w.key("Mark").count(event->revision).end();
+    writer.begin().key(event->data.empty() ? "Remove" : "Write").text(event->key);
+    if (!event->data.empty()) writer.key("Data").raw(event->data);
+    writer.key("Mark").count(event->revision).end();
   }
-  w.list_end().end();
-  return answer(200, w.take());
+  writer.list_end().end();
+  return respond(200, writer.take());
 }
 
 // ---- leases ----
 
-Response StateStandIn::grant_lease(const Request& request) {
+Response StateStandIn::create_lease(const Request& request) {
   const JsonDocument document(request.body);
-  const double life = *wire::read_amount(document.root(), "LifeMs") / 1000;
-  leases_[++next_lease_] = {life, reactor_.now() + life};
-  JsonWriter w;
-  w.begin().key("Hold").count(next_lease_).end();
-  return answer(200, w.take());
+  const double ttl_s = *wire::read_amount(document.root(), "LifeMs") / 1000;
+  leases_[++next_lease_] = {ttl_s, reactor_.now() + ttl_s};
+  JsonWriter writer;
+  writer.begin().key("Hold").count(next_lease_).end();
+  return respond(200, writer.take());
 }
 
-Response StateStandIn::use_lease(const Request& request) {
+Response StateStandIn::renew_or_revoke_lease(const Request& request) {
   const auto lease = leases_.find(std::stoull(request.path.substr(8)));
-  if (lease == leases_.end()) return answer(404);
-  auto& [life, end] = lease->second;
-  end = request.method == "DELETE" ? 0 : reactor_.now() + life;
-  expire();
-  return answer(200);
+  if (lease == leases_.end()) return respond(404);
+  auto& [ttl_s, expires_at] = lease->second;
+  expires_at = request.method == "DELETE" ? 0 : reactor_.now() + ttl_s;
+  expire_leases();
+  return respond(200);
 }
 
 void StateStandIn::extend_leases() {
-  for (auto& [id, life] : leases_) life.second = reactor_.now() + life.first;
+  for (auto& [id, lease] : leases_) lease.second = reactor_.now() + lease.first;
 }
 
-void StateStandIn::expire() {
+void StateStandIn::expire_leases() {
   for (auto it = leases_.begin(); it != leases_.end();) {
     if (it->second.second > reactor_.now()) {
       ++it;
@@ -139,23 +139,23 @@
 
 // ---- transactions ----
 
-void StateStandIn::note(Event event) {
+void StateStandIn::record_event(Event event) {
   events_.push_back(std::move(event));
   if (events_.size() <= kMaxEvents) return;
-  forgotten_ = events_.front().revision;
+  compacted_revision_ = events_.front().revision;
   events_.pop_front();
 }
 
 void StateStandIn::put(const std::string& key, const std::string& data, std::uint64_t lease) {
   values[key] = {data, revision, lease};
-  note({key, data, revision});
+  record_event({key, data, revision});
 }
 
 void StateStandIn::erase(const std::string& key) {
-  if (values.erase(key) > 0) note({key, "", revision});
+  if (values.erase(key) > 0) record_event({key, "", revision});
 }
 
-bool StateStandIn::too_large(const Json& changes) const {
+bool StateStandIn::exceeds_limits(const Json& changes) const {
   if (limits.txn_changes > 0 && changes.Size() > limits.txn_changes) return true;
   for (const auto& change : changes.GetArray()) {
     if (limits.value_bytes == 0 || change.HasMember("Remove")) continue;
@@ -164,19 +164,19 @@
   return false;
 }
 
-bool StateStandIn::take_writes(double count) {
-  if (!limits_writes) return true;
-  const double rate = limits.write_rps > 0 ? limits.write_rps : usual_write_rps;
+bool StateStandIn::take_write_tokens(double count) {
+  if (!enforces_write_rate) return true;
+  const double rate = limits.write_rps > 0 ? limits.write_rps : default_write_rps;
   const double now = reactor_.now();
-  if (write_level_at_ == 0) write_level_ = rate;
-  write_level_ = std::min(rate, write_level_ + (now - write_level_at_) * rate);
-  write_level_at_ = now;
-  if (write_level_ < count) return false;
-  write_level_ -= count;
+  if (write_tokens_at_ == 0) write_tokens_ = rate;
+  write_tokens_ = std::min(rate, write_tokens_ + (now - write_tokens_at_) * rate);
+  write_tokens_at_ = now;
+  if (write_tokens_ < count) return false;
+  write_tokens_ -= count;
   return true;
 }
 
-void StateStandIn::carry_out(const Json& changes) {
+void StateStandIn::apply_changes(const Json& changes) {
   ++revision;
   writes += changes.Size();
   for (const auto& change : changes.GetArray()) {
@@ -189,36 +189,36 @@
   }
 }
 
-Response StateStandIn::transact(const Request& request) {
+Response StateStandIn::execute_transaction(const Request& request) {
   const JsonDocument document(request.body);
   const Json& changes = document.root()["Then"];
-  if (too_large(changes)) {
+  if (exceeds_limits(changes)) {
     ++refused_as_too_large;
-    return answer(400, R"({"error":"too large"})");
+    return respond(400, R"({"error":"too large"})");
   }
-  if (!take_writes(changes.Size())) {
+  if (!take_write_tokens(changes.Size())) {
     ++refused_writes;
-    return answer(429);
+    return respond(429);
   }
   for (const auto& change : changes.GetArray()) {
     const auto lease = wire::read_count(change, "Hold").value_or(0);
-    if (lease != 0 && !leases_.contains(lease)) return answer(400, R"({"error":"no such lease"})");
+    if (lease != 0 && !leases_.contains(lease)) return respond(400, R"({"error":"no such lease"})");
   }
-  JsonWriter w;
-  w.begin();
+  JsonWriter writer;
+  writer.begin();
   bool failed = false;
-  w.key("failed").list();
+  writer.key("failed").list();
   for (const auto& condition : document.root()["If"].GetArray()) {
     const auto found = values.find(condition["K"].GetString());
     const std::uint64_t stored = found == values.end() ? 0 : found->second.revision;
     if (stored == condition["Mark"].GetUint64()) continue;
-    w.text(condition["K"].GetString());
+    writer.text(condition["K"].GetString());
     failed = true;
   }
-  w.list_end();
-  if (!failed && changes.Size() > 0) carry_out(changes);
-  w.key("LedgerTurn").count(revision).end();
-  return answer(failed ? 409 : 200, w.take());
+  writer.list_end();
+  if (!failed && changes.Size() > 0) apply_changes(changes);
+  writer.key("LedgerTurn").count(revision).end();
+  return respond(failed ? 409 : 200, writer.take());
 }
 
 }  // namespace cranklock::testing
--- a/tests/state_stand_in.hpp
+++ b/tests/state_stand_in.hpp
@@ -1,5 +1,5 @@
-// A state service in memory, as PROTOCOL describes it. Whoever serves it decides when it is down,
-// slow or cut off.
+// An in-memory state service as specified in PROTOCOL. Outages, delays and partitions are simulated
+// by the caller.
 #pragma once
 
 #include <cstdint>
@@ -24,23 +24,23 @@
   std::map<std::string, Stored> values;
   std::uint64_t revision = 0;
 
-  /// What it takes, where it isn't without limit.
+  /// Limits of requests; 0: unlimited.
   struct Limits {
-    std::size_t value_bytes = 0, txn_changes = 0;  ///< 400 above
-    double write_rps = 0;  ///< for limits_writes, instead of usual_write_rps
+    std::size_t value_bytes = 0, txn_changes = 0;  ///< 400 if exceeded
+    double write_rps = 0;                          ///< replaces default_write_rps if above 0
   };
   Limits limits;
-  bool limits_writes = false;  ///< 429 above so many changes a second
-  double usual_write_rps = 0;
+  bool enforces_write_rate = false;  ///< 429 above the write rate, in changes/s
+  double default_write_rps = 0;
   int refused_writes = 0;
   int refused_as_too_large = 0;
-  std::uint64_t requests = 0, writes = 0;  ///< that were answered, and changes carried out
+  std::uint64_t requests = 0, writes = 0;  ///< requests handled, changes applied
 
-  /// Answers at once; a watch without changes is answered as if its time were over.
+  /// Responds at once; a watch without changes gets the response that it gets on its timeout.
   net::Response handle(const net::Request& request);
-  /// Whether a watch with this query would be answered with changes.
+  /// Whether the response to this watch would contain changes.
   bool has_changes(const net::Request& watch) const;
-  /// After an outage every lease has its full time again.
+  /// Renews every lease, as the state service does after an outage.
   void extend_leases();
 
  private:
@@ -48,27 +48,27 @@
     std::string key, data;
     std::uint64_t revision;
   };
-  net::Response read(const std::string& key) const;
-  net::Response range(const net::Request& request) const;
-  net::Response changes(const net::Request& watch) const;
-  net::Response grant_lease(const net::Request& request);
-  net::Response use_lease(const net::Request& request);
-  net::Response transact(const net::Request& request);
-  bool too_large(const wire::Json& changes) const;
-  bool take_writes(double count);
-  void carry_out(const wire::Json& changes);
+  net::Response read_value(const std::string& key) const;
+  net::Response read_range(const net::Request& request) const;
+  net::Response read_changes(const net::Request& watch) const;
+  net::Response create_lease(const net::Request& request);
+  net::Response renew_or_revoke_lease(const net::Request& request);
+  net::Response execute_transaction(const net::Request& request);
+  bool exceeds_limits(const wire::Json& changes) const;
+  bool take_write_tokens(double count);
+  void apply_changes(const wire::Json& changes);
   void put(const std::string& key, const std::string& data, std::uint64_t lease);
   void erase(const std::string& key);
-  void note(Event event);
-  void expire();
-  std::deque<Event>::const_iterator first_after(std::uint64_t since) const;
+  void record_event(Event event);
+  void expire_leases();
+  std::deque<Event>::const_iterator first_event_after(std::uint64_t since) const;
 
   const net::Reactor& reactor_;
-  std::deque<Event> events_;     ///< the last ones, in the order of their revisions
-  std::uint64_t forgotten_ = 0;  ///< revision of the newest one that was dropped
-  std::map<std::uint64_t, std::pair<double, double>> leases_;  ///< life and end
+  std::deque<Event> events_;              ///< the most recent, ordered by revision
+  std::uint64_t compacted_revision_ = 0;  ///< revision of the newest dropped event
+  std::map<std::uint64_t, std::pair<double, double>> leases_;  ///< time to live, expiry time
   std::uint64_t next_lease_ = 0;
-  double write_level_ = 0, write_level_at_ = 0;
+  double write_tokens_ = 0, write_tokens_at_ = 0;
 };
 
 }  // namespace cranklock::testing
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -8,7 +8,7 @@
 namespace cranklock::control {
 namespace {
 
-using testing::name;
+using testing::job_id;
 
 class StatusCacheTest : public testing::StoredJobsTest {
  protected:
@@ -23,12 +23,12 @@
 
 TEST_F(StatusCacheTest, ManyRequestsAtOnceShareOneSync) {
   constexpr int kJobs = 50;
-  for (int i = 0; i < kJobs; ++i) store_job(name(i));
-  ASSERT_TRUE(find(name(0)));
+  for (int i = 0; i < kJobs; ++i) store_job(job_id(i));
+  ASSERT_TRUE(find(job_id(0)));
   const int calls_before = transport_.calls;
   std::vector<net::Task<Status>> requests;
   for (int i = 0; i < kJobs; ++i) {
-    requests.push_back(cache_.find(name(i)));
+    requests.push_back(cache_.find(job_id(i)));
     requests.back().start();
   }
   run(1);
@@ -101,8 +101,8 @@
   constexpr int kJobs = 500;
   constexpr int kFurtherPages = 3;
   constexpr int kMoreWritesThanAreRemembered = 10'500;
-  for (int i = 0; i < kJobs; ++i) store_job(name(i));
-  const auto last = name(kJobs - 1);
+  for (int i = 0; i < kJobs; ++i) store_job(job_id(i));
+  const auto last = job_id(kJobs - 1);
   EXPECT_EQ(find(last).error(), StatusMiss::not_cached);  // not read yet: it is looked up
   for (int i = 0; i < kFurtherPages; ++i) (void)find(last);
   EXPECT_TRUE(find(last));
--- a/tests/task_reconciler_test.cpp
+++ b/tests/task_reconciler_test.cpp
@@ -10,7 +10,7 @@
 
 using testing::heartbeat;
 using testing::make_job;
-using testing::task;
+using testing::task_status;
 using wire::ExitReason;
 using wire::JobKind;
 using wire::TaskState;
@@ -20,7 +20,7 @@
 
   void report(TaskState state, ExitReason reason = ExitReason::none, bool token = true,
               double now = 1) {
-    const auto message = heartbeat("n-1", 1, 2, {task("j-000001", 0, 1, state, reason)});
+    const auto message = heartbeat("n-1", 1, 2, {task_status("j-000001", 0, 1, state, reason)});
     tasks.reconcile_reported(machine, message, token, now);
   }
   void absent(std::uint64_t epoch, std::uint64_t sequence) {
@@ -44,10 +44,11 @@
 TEST_F(TaskReconcilerTest, TasksWithoutAPlacementHereAreCounted) {
   place(0, 1).machine = "n-2";
   changes.take();
-  const auto message = heartbeat(
-      "n-1", 1, 2,
-      {task("j-000001", 0, 1, TaskState::running), task("j-000001", 1, 2, TaskState::running),
-       task("j-000009", 0, 1, TaskState::running), task("j-000009", 1, 2, TaskState::exited)});
+  const auto message = heartbeat("n-1", 1, 2,
+                                 {task_status("j-000001", 0, 1, TaskState::running),
+                                  task_status("j-000001", 1, 2, TaskState::running),
+                                  task_status("j-000009", 0, 1, TaskState::running),
+                                  task_status("j-000009", 1, 2, TaskState::exited)});
   tasks.reconcile_reported(machine, message, true, 1);
   EXPECT_EQ(machine.agent.unknown_tasks, 3);
   EXPECT_TRUE(changes.take());
@@ -72,7 +73,7 @@
   Job& cancelled = jobs.put(make_job("j-000002", JobKind::job_array, 1, 1));
   placements.add(cancelled, 0, 1, "n-1", 0);
   cancelled.cancelled_at_ms = 1;
-  const auto exited = task("j-000002", 0, 1, TaskState::exited, ExitReason::error);
+  const auto exited = task_status("j-000002", 0, 1, TaskState::exited, ExitReason::error);
   tasks.reconcile_reported(machine, heartbeat("n-1", 1, 3, {exited}), true, 1);
   EXPECT_TRUE(cancelled.retry.failed_machines.empty());
   EXPECT_TRUE(cancelled.placements[0].ended);
@@ -102,7 +103,7 @@
   Job& gang = jobs.put(make_job("j-000002", JobKind::gang, 2, 1));
   placements.add(gang, 0, 1, "n-1", 0);
   placements.add(gang, 1, 1, "n-2", 0);
-  const auto exited = task("j-000002", 0, 1, TaskState::exited, ExitReason::stopped);
+  const auto exited = task_status("j-000002", 0, 1, TaskState::exited, ExitReason::stopped);
   tasks.reconcile_reported(machine, heartbeat("n-1", 1, 2, {exited}), true, 1);
   EXPECT_TRUE(gang.placements[1].stop);
 }
@@ -111,7 +112,7 @@
   Job& service = jobs.put(make_job("j-000002", JobKind::service, 1, 1));
   placements.add(service, 0, 1, "n-1", 0);
   service.retry.failed_machines = {"n-2"};
-  const auto message = heartbeat("n-1", 1, 2, {task("j-000002", 0, 1, TaskState::running)});
+  const auto message = heartbeat("n-1", 1, 2, {task_status("j-000002", 0, 1, TaskState::running)});
   tasks.reconcile_reported(machine, message, true, 1);
   EXPECT_FALSE(service.retry.failed_machines.empty());
   tasks.reconcile_reported(machine, message, true, 1.1 + settings.lease_s);
@@ -179,11 +180,11 @@
 TEST_F(TaskReconcilerTest, ANamedTaskIsNotAbsent) {
   Placement& placement = place(0, 1);
   placement.seen = true;
-  const auto message = heartbeat("n-1", 1, 2, {task("j-000001", 0, 1, TaskState::running)});
+  const auto message = heartbeat("n-1", 1, 2, {task_status("j-000001", 0, 1, TaskState::running)});
   tasks.reconcile_absent(machine, message, 1);
   EXPECT_FALSE(placement.ended);
   // Another attempt of it is another task start.
-  const auto other = heartbeat("n-1", 1, 3, {task("j-000001", 0, 2, TaskState::running)});
+  const auto other = heartbeat("n-1", 1, 3, {task_status("j-000001", 0, 2, TaskState::running)});
   tasks.reconcile_absent(machine, other, 1);
   EXPECT_TRUE(placement.ended);
 }
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -1,4 +1,4 @@
-// The nodes of the test cluster: how they start, crash, pause and are asked by tests.
+// The nodes of the test cluster: starting, crashing, pausing, and requests from tests.
 #include "test_cluster.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
       rules(base_settings),
       environment_(std::make_unique<AgentEnvironment>(*this)),
       zones_(std::move(zones)) {
-  state_service.usual_write_rps = base_settings.state_write_rps;
+  state_service.default_write_rps = base_settings.state_write_rps;
   base_settings.cloud = "cloud";
   base_settings.state = "state";
   base_settings.list_lag_s = 2;
@@ -40,15 +40,15 @@
   }
   base_settings.nodes = nodes;
   for (int i = 0; i < nodes; ++i) start_node(i);
-  scope_.spawn(watch_over());
+  scope_.spawn(run_periodic_checks());
 }
 
 TestCluster::~TestCluster() {
-  for (const auto& [rule, how] : rules.broken) {
-    EXPECT_TRUE(expected_broken.contains(rule)) << rule << ": " << how;
+  for (const auto& [rule, how] : rules.violations) {
+    EXPECT_TRUE(expected_violations.contains(rule)) << rule << ": " << how;
   }
-  for (const auto& rule : expected_broken) {
-    EXPECT_TRUE(rules.broken.contains(rule)) << rule << " was not noticed";
+  for (const auto& rule : expected_violations) {
+    EXPECT_TRUE(rules.violations.contains(rule)) << rule << " was expected and not detected";
   }
   hosts_.clear();
   scope_.clear();
@@ -71,7 +71,7 @@
   if (host->settings.operators.regions.enabled()) host->node.set_region_network(region_network);
   if (zones_.empty()) return;
   host->node.set_send_frame([this, node](const std::string& to, const peer::Frame& frame) {
-    scope_.spawn(deliver(node, to[1] - '0', frame));
+    scope_.spawn(deliver_peer_frame(node, to[1] - '0', frame));
   });
   host->scope.spawn(send_peer_heartbeats(node));
 }
@@ -110,37 +110,37 @@
   return zones_.empty() ? "a" : zones_[static_cast<std::size_t>(node)];
 }
 
-bool TestCluster::apart(const std::string& zone, const std::string& other) const {
-  return zone != other && (cut_zones.contains(zone) || cut_zones.contains(other));
+bool TestCluster::are_partitioned(const std::string& zone, const std::string& other) const {
+  return zone != other && (isolated_zones.contains(zone) || isolated_zones.contains(other));
 }
 
 // ---- requests of tests ----
 
-Response TestCluster::ask(int node, const std::string& method, const std::string& path,
-                          const std::string& body) {
-  const auto question = rules.ask(method, path, body);
+Response TestCluster::send_request(int node, const std::string& method, const std::string& path,
+                                   const std::string& body) {
+  const auto user_request = rules.on_request(method, path, body);
   auto task = handle(node, {method, path, "", body, true});
   task.start();
   for (int i = 0; i < 1000 && !task.done(); ++i) run(0.01);
-  EXPECT_TRUE(task.done()) << "an answer was held back";
+  EXPECT_TRUE(task.done()) << method << " " << path << ": no response within 10 s";
   if (!task.done()) return {};
   auto response = task.take();
-  rules.answered(question, response.status, response.body, reactor.now());
+  rules.on_response(user_request, response.status, response.body, reactor.now());
   return response;
 }
 
 void TestCluster::submit(int node, const wire::JobSpec& spec) {
-  const auto response = ask(node, "POST", "/v1/jobs", to_json(spec));
+  const auto response = send_request(node, "POST", "/v1/jobs", to_json(spec));
   ASSERT_EQ(response.status, 201) << response.body;
 }
 
 void TestCluster::cancel(int node, const std::string& id) {
-  ASSERT_EQ(ask(node, "POST", "/v1/jobs/" + id + "/withdraw").status, 200);
+  ASSERT_EQ(send_request(node, "POST", "/v1/jobs/" + id + "/withdraw").status, 200);
   ASSERT_EQ(rules.outcome(id), "withdrawn");
 }
 
 std::string TestCluster::state_of(int node, const std::string& id) {
-  const auto response = ask(node, "GET", "/v1/jobs/" + id);
+  const auto response = send_request(node, "GET", "/v1/jobs/" + id);
   if (response.status != 200) return std::to_string(response.status);
   const wire::JsonDocument document(response.body);
   return wire::read_text(document.root(), "Stance").value_or("?");
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -1,9 +1,9 @@
 // A small cluster in simulated time: state service, cloud, agents, users and controllers in one
-// process, without sockets. Tests set the faults of each outside system; a rule checker counts what
-// breaks the rules of PROTOCOL.
+// process, without sockets. Tests inject faults into each outside system; a rule checker records
+// violations of PROTOCOL's rules.
 //
 // One file per outside system: test_cluster_state_service.cpp, _cloud.cpp, _agents.cpp, _users.cpp,
-// _peers.cpp; _network.cpp passes the calls; test_cluster.cpp starts and stops the nodes.
+// _peers.cpp; _network.cpp delivers messages; test_cluster.cpp starts and stops the nodes.
 #pragma once
 
 #include <algorithm>
@@ -26,29 +26,31 @@
 
 namespace cranklock::testing {
 
-/// How a user deals with a job: submits it until it is accepted, then asks about it at random nodes
-/// about twice a second until it has ended.
+/// What a simulated user does with its job. It submits the job until a node accepts it, then
+/// queries its state at random nodes about twice a second until the job has ended.
 struct UserBehavior {
-  /// Seconds after which the user cancels the job; below 0: never.
+  /// Seconds from submission to cancellation; negative: never cancelled.
   double cancel_after_s = -1;
-  /// Cancels the job at the moment when one of its tasks ends.
+  /// Cancels the job when one of its tasks ends.
   bool cancel_at_end = false;
-  /// Within milliseconds after each change of state, asks all nodes and submits the job again.
+  /// After each state change, queries all nodes and resubmits the job within milliseconds.
   bool queries_all_nodes = false;
 };
 
-/// Nodes, and the outside systems around them, in one process.
+/// Controllers and the outside systems that they use, in one process.
 class TestCluster {
  public:
-  /// Called with the traffic of every cluster in the process. Clusters send as soon as they are
-  /// made, so it is set before and not for a single one.
+  /// Receives the traffic of every cluster in the process. Static, because a cluster sends messages
+  /// from its constructor on, before a callback of its own could be set.
   static inline std::function<void(const TrafficEvent&)> on_traffic;
 
-  /// Nodes are told apart by zones only when these are given, one each; then they are linked too.
+  /// `zones` names one zone per node. Without it all nodes are in zone "a" and exchange no peer
+  /// frames.
   explicit TestCluster(int nodes = 3, std::vector<std::string> zones = {},
                        base::Settings settings = small_settings(),
                        regions::RegionNetwork* network = nullptr);
-  /// Fails the test if a rule was broken that it did not expect.
+  /// Fails the test on a violation that is not in `expected_violations`, or on one there that did
+  /// not occur.
   ~TestCluster();
   TestCluster(const TestCluster&) = delete;
   TestCluster& operator=(const TestCluster&) = delete;
@@ -58,146 +60,150 @@
   // ---- nodes ----
   void start_node(int node);
   void crash_node(int node);
-  /// None of the node's timers, answers or requests comes through, as when its machine is
-  /// suspended. It resumes with all that it believed, and receives then what waits for it.
+  /// Stops the node's timers, requests and responses, as when its machine is suspended. When
+  /// resumed it continues with its old state and receives the messages that are pending.
   void pause_node(int node);
   void resume_node(int node);
   bool is_paused(int node) const;
-  /// The index of the node that serves as leader, or -1. A paused node does not.
+  /// The index of the leader, or -1. Paused nodes are not counted.
   int leader() const;
-  /// The node's leader term; nullptr while it does not lead.
+  /// The node's leader term; nullptr while it is not the leader.
   control::LeaderTerm* term(int node);
   int nodes() const { return static_cast<int>(hosts_.size()); }
   bool is_up(int node) const { return hosts_[static_cast<std::size_t>(node)] != nullptr; }
 
   // ---- users ----
-  /// A user's request to one node; runs the cluster until it is answered.
-  net::Response ask(int node, const std::string& method, const std::string& path,
-                    const std::string& body = "");
-  /// Submits to a node and expects that the job is accepted.
+  /// Sends a user's request to one node and runs the cluster until the response arrives.
+  net::Response send_request(int node, const std::string& method, const std::string& path,
+                             const std::string& body = "");
+  /// Submits a job to a node and expects 201.
   void submit(int node, const wire::JobSpec& spec);
-  /// The state of a job as the node tells it; the HTTP status where that is not 200.
+  /// The job's state as reported by the node; the HTTP status code if that is not 200.
   std::string state_of(int node, const std::string& id);
-  /// Cancels at a node and expects that this is confirmed.
+  /// Cancels a job at a node and expects the cancellation to be confirmed.
   void cancel(int node, const std::string& id);
-  /// Adds a user who goes on by itself while the cluster runs.
+  /// Adds a user that acts on its own while the cluster runs.
   void add_user(const wire::JobSpec& spec, UserBehavior behavior = {});
 
   // ---- agents ----
-  /// Adds a machine that sends heartbeats, after it has booted.
-  void add_worker(const std::string& zone = "a", double boots_for = 0);
-  /// Tasks of the job that run.
-  int running(const std::string& job) const;
-  /// Tasks of the job on machines that may still go on: in any state but exited.
+  /// Adds a machine, which sends heartbeats once it has booted.
+  void add_worker(const std::string& zone = "a", double boot_duration_s = 0);
+  /// The number of the job's tasks in state running.
+  int running_tasks(const std::string& job) const;
+  /// The number of the job's tasks that have not exited, on machines that are not deleted and whose
+  /// lease has not expired.
   int live_tasks(const std::string& job) const;
 
-  /// Delivers to all nodes what the leader of another region sends.
+  /// Delivers a frame from the leader of another region to all nodes.
   void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
 
   FakeReactor reactor;
   base::Settings base_settings;
-  /// Limits of the state service as single nodes know them, where they differ from base_settings.
+  /// State service limits that single nodes are configured with, where they differ from
+  /// base_settings.
   struct KnownLimits {
     double write_rps = 0, value_kb = 0;
     int txn_ops = 0;
   };
   std::map<int, KnownLimits> known_limits;
-  /// Nodes that carry out no moves, as those of an older version do; set before they start.
+  /// Nodes that execute no moves, like those of an older version; set before they start.
   std::set<int> nodes_without_moves;
-  /// Of all nodes, where the settings name regions; set before they start.
+  /// Used by all nodes if the settings name regions; set before they start.
   regions::RegionNetwork* region_network = nullptr;
   RuleChecker rules;
-  std::set<std::string> expected_broken;  ///< rules that this cluster is made to break
+  std::set<std::string> expected_violations;  ///< rules that this test violates on purpose
   std::mt19937 random{1};
 
   // ---- the state service and its faults ----
   StateStandIn state_service{reactor};
   bool state_down = false;
-  double state_slow_s = 0;         ///< requests take up to so long
-  int state_requests = 0;          ///< by nodes, a watch counted once
-  std::set<int> refused_by_state;  ///< nodes that get 503; their watches hang
-  std::set<int> hanging_watches;   ///< nodes whose watches hang while all else is served
-  std::set<int> cut_from_state;    ///< nodes whose requests get no answer and are not executed
-  int lost_write_responses = 0;    ///< the next transactions that are executed and not answered
-  double lost_write_response_share = 0;  ///< of transactions: executed at once and not answered
-  double late_write_share = 0;     ///< of transactions: executed 2 to 12 s later and not answered
-  std::set<int> late_write_nodes;  ///< whose writes may be late; empty: those of all
+  double max_state_delay_s = 0;          ///< upper bound of the random delay of requests
+  int state_requests = 0;                ///< from nodes; a watch counts once
+  std::set<int> refused_by_state;        ///< nodes that receive 503; their watches hang
+  std::set<int> hanging_watches;         ///< nodes whose watches hang; other requests are served
+  std::set<int> cut_from_state;          ///< nodes whose requests are lost
+  int lost_write_responses = 0;          ///< the next transactions whose responses are lost
+  double lost_write_response_share = 0;  ///< share of transactions with lost responses
+  double late_write_share = 0;           ///< share executed 2 to 12 s late, responses lost
+  std::set<int> late_write_nodes;        ///< nodes whose writes may be late; empty: all nodes
 
   // ---- the network ----
   std::set<int> cut_from_peers;
-  std::set<int> cut_from_workers;         ///< agents are refused at once
-  std::set<int> unresponsive_to_workers;  ///< agents wait for these nodes until their timeout
-  std::set<std::string> cut_zones;        ///< cut off from everything outside, and working inside
+  std::set<int> cut_from_workers;         ///< no traffic with agents; connections refused
+  std::set<int> unresponsive_to_workers;  ///< no traffic with agents; their requests time out
+  std::set<std::string> isolated_zones;   ///< cut off from everything outside; traffic within works
 
-  /// Answers what is sent to the address "router"; nothing: no answer.
+  /// Handles requests to the address "router"; nullopt: no response.
   std::function<std::optional<net::Response>(const net::Request&)> router;
 
   // ---- the cloud and its faults ----
   int machines_created = 0;
   bool cloud_down = false;
-  bool cloud_without_capacity = false;  ///< it refuses every scale-out request
-  int lost_scale_out_responses = 0;     ///< the next requests that are executed and not answered
-  double list_delay_s = 0;              ///< new machines are missing in the list for so long
-  std::vector<double> deletion_requests_at;                ///< when they came
-  std::map<std::string, std::string> scale_out_responses;  ///< by request name
-  double boot_s = 0;                            ///< of machines that are requested from now on
-  std::set<std::string> zones_that_never_boot;  ///< machines requested there never come up
-  std::vector<std::string> deleted;             ///< machines, in the order of their deletion
-  std::set<std::string> undeletable;            ///< a deletion that names one of them is malformed
+  bool cloud_without_capacity = false;       ///< the cloud refuses every scale-out request
+  int lost_scale_out_responses = 0;          ///< the next scale-outs whose responses are lost
+  double list_delay_s = 0;                   ///< delay until new machines appear in the list
+  std::vector<double> deletion_requests_at;  ///< arrival times
+  std::map<std::string, std::string> scale_out_responses;  ///< response bodies by request name
+  double boot_s = 0;                            ///< boot time of machines requested from now on
+  std::set<std::string> zones_that_never_boot;  ///< machines requested there never boot
+  std::vector<std::string> deleted_machines;    ///< in the order of deletion
+  std::set<std::string> undeletable_machines;   ///< a deletion request with one of them gets 400
   int list_requests = 0;
 
   // ---- agents and their faults ----
-  /// A machine with its agent.
+  /// A machine and its agent.
   struct Worker : WorkerStandIn {
-    int target = 0;        ///< node that gets its next heartbeat
-    int connected_to = 0;  ///< run of the node that holds its connection; 0: none does
-    /// The last heartbeat was not answered with 200; the next one follows within a second.
+    int next_node = 0;           ///< node that receives its next heartbeat
+    int connected_node_run = 0;  ///< Host::run of the node it is connected to; 0: none
+    /// The last heartbeat was not answered with 200; the next one is sent within a second.
     bool last_heartbeat_failed = false;
-    bool gone = false;               ///< deleted
-    double up_at = 0;                ///< until then it boots
+    bool is_deleted = false;         ///< deleted by the cloud
+    double boot_ends_at = 0;         ///< end of booting
     bool is_hung = false;            ///< neither sends heartbeats nor executes commands
     bool cannot_receive = false;     ///< heartbeats arrive; responses and commands do not
-    bool cannot_send = false;        ///< reaches no node, and executes commands
-    int lost_command_responses = 0;  ///< the next commands that are executed and not answered
-    /// Commands arrive so much later and are answered to nobody.
-    double commands_late_s = 0;
-    /// Arrived while it was hung; executed when it resumes.
+    bool cannot_send = false;        ///< its heartbeats are lost; commands arrive and are executed
+    int lost_command_responses = 0;  ///< the next commands whose responses are lost
+    /// Delay of commands, whose responses are lost; 0: commands arrive at once and are answered.
+    double command_delay_s = 0;
+    /// Commands that arrived while the machine was hung; executed when it resumes.
     std::vector<net::Request> queued_commands;
   };
   std::map<std::string, std::unique_ptr<Worker>> workers;
-  /// Ends a hang: the lease may end first, then the queued commands are executed.
+  /// Ends a hang: ends the lease if it has expired, then executes the queued commands.
   void resume_worker(Worker& worker);
-  /// Share of their interval by which heartbeats come sooner or later; the first one at random.
+  /// Random variation of the heartbeat interval, as a share of it. If not 0, the first heartbeat is
+  /// sent at a random time within the interval.
   double heartbeat_spread = 0;
-  /// Connections that agents could not open, or that were closed under them unannounced.
+  /// Connections that nodes refused to agents, and idle ones that nodes closed for a new agent.
   int refused_connections = 0, broken_connections = 0;
-  /// Connections of agents to this node.
+  /// Open connections of agents to this node.
   std::size_t connections(int node) const;
-  double run_s = 5;                        ///< run time of tasks
-  std::map<std::string, double> run_s_of;  ///< of single tasks, where it differs
-  std::set<std::string> broken_jobs;       ///< their tasks fail on every machine
-  std::set<std::string> faulty_machines;   ///< every task fails there
-  /// Share of heartbeats that come once more, from 2 s to one and a half leases later.
+  double run_s = 5;                             ///< run time of tasks
+  std::map<std::string, double> run_s_by_task;  ///< of tasks that differ from run_s
+  std::set<std::string> broken_jobs;            ///< jobs whose tasks fail on every machine
+  std::set<std::string> faulty_machines;        ///< machines on which every task fails
+  /// Share of heartbeats that are delivered a second time, 2 s to 1.5 leases later.
   double late_heartbeat_share = 0;
-  /// When a new leader begins, all nodes get a copy of each machine's first heartbeat since the
-  /// last change of leader, `replay_delay_s` later.
+  /// After each leader change, delivers each machine's first heartbeat since the previous change to
+  /// all nodes again, `replay_delay_s` later.
   bool replays_heartbeats = false;
   double replay_delay_s = 0;
-  int ran_twice = 0;                                 ///< starts of a task that runs elsewhere
-  int calls_in_flight = 0, max_calls_in_flight = 0;  ///< to agents, from all nodes
-  std::map<std::string, int> starts;                 ///< by task
+  int duplicate_starts = 0;  ///< starts of tasks that run on another machine
+  int calls_in_flight = 0, max_calls_in_flight = 0;  ///< calls to agents from all nodes
+  std::map<std::string, int> start_counts;           ///< by task
 
-  // ---- for the nodes' transports and for routines of tests ----
-  /// Passes an event of one of its nodes to `on_traffic`, with its time and region filled in.
+  // ---- for the nodes' transports and for coroutines of tests ----
+  /// Passes an event to `on_traffic`, with time and region filled in.
   void observe(TrafficEvent event) const;
-  /// A node's call to one of the outside systems.
+  /// A call from a node to an outside system.
   net::Task<net::Reply> call(int node, std::string address, net::Request request, double timeout_s);
-  /// A request to a node's public address that outlives the node; nothing if it is not answered.
+  /// Sends a request to a node's public address; nullopt on a timeout or if the node is down. The
+  /// caller may outlive the node.
   net::Task<std::optional<net::Response>> exchange(int node, net::Request request,
                                                    double timeout_s);
-  /// The same for a user, with the rule checker listening.
-  net::Task<std::optional<net::Response>> user_asks(int node, std::string method, std::string path,
-                                                    std::string body);
+  /// Sends a user's request and reports it and its response to the rule checker.
+  net::Task<std::optional<net::Response>> send_user_request(int node, std::string method,
+                                                            std::string path, std::string body);
   /// A random number from 0 to 1.
   double random_fraction() { return std::uniform_real_distribution<>(0, 1)(random); }
   int random_node() { return static_cast<int>(random_fraction() * nodes()) % nodes(); }
@@ -210,11 +216,11 @@
 
   // test_cluster.cpp
   std::string zone_of(int node) const;
-  bool apart(const std::string& zone, const std::string& other) const;
+  bool are_partitioned(const std::string& zone, const std::string& other) const;
 
   // test_cluster_network.cpp
-  /// Waits, and answers as if the response were lost.
-  net::Task<net::Reply> lose(double timeout_s);
+  /// Waits for the timeout and returns a reply without a response.
+  net::Task<net::Reply> time_out(double timeout_s);
   net::Task<net::Reply> call_router(net::Request request, double timeout_s);
   net::Task<net::Response> handle(int node, net::Request request);
   net::Task<void> serve(int node, net::Request request, std::shared_ptr<Exchange> exchange);
@@ -224,7 +230,7 @@
   // test_cluster_state_service.cpp
   net::Task<net::Reply> call_state_service(int node, net::Request request, double timeout_s);
   bool state_refuses(int node) const { return state_down || refused_by_state.contains(node); }
-  bool write_comes_late(int node);
+  bool is_write_delayed(int node);
   bool write_response_is_lost();
   net::Task<void> apply_late(net::Request request, double delay_s);
 
@@ -238,27 +244,27 @@
   net::Response list_machines(const net::Request& request);
 
   // test_cluster_agents.cpp
-  bool lease_over(const Worker& worker) const;
+  bool is_lease_expired(const Worker& worker) const;
   double run_time(const std::string& task) const;
   std::vector<HeldTask> tasks_on_machines() const;
-  void progress(Worker& worker);
+  void advance_tasks(Worker& worker);
   net::Task<net::Reply> call_agent(int node, std::string address, net::Request request,
                                    double timeout_s);
-  bool commands_arrive(int node, const Worker& worker) const;
+  bool can_receive_commands(int node, const Worker& worker) const;
   net::Task<void> execute_late(Worker& worker, net::Request request, double delay_s);
-  /// Opens a connection to the node, or takes the one that is open; false when it has no room.
+  /// Opens a connection to the node or reuses the open one; false if the node is at its limit.
   bool connect(Worker& worker, int node);
-  /// What the node does with the connection after an answer.
-  void keep_or_close(Worker& worker, int node, bool answered);
+  /// After a response: keeps the connection open and idle, or closes it, as the node decides.
+  void release_connection(Worker& worker, int node, bool answered);
   net::Task<void> boot_and_send_heartbeats(Worker& worker);
   net::Task<void> send_heartbeats(Worker& worker);
   net::Task<void> send_heartbeat(Worker& worker);
-  /// Draws whether the heartbeat comes once more later, and records it for replay.
+  /// Decides at random whether to deliver the heartbeat again later, and records it for replay.
   void copy_heartbeat(const Worker& worker, const std::string& body);
   void on_heartbeat_response(Worker& worker, const net::Response& response, double sent);
   net::Task<void> deliver_late_heartbeat(int node, std::string body, double delay_s);
-  /// Ends leases, lets tasks go on, and has the rules checked.
-  net::Task<void> watch_over();
+  /// Periodically ends expired leases, advances tasks and checks the rules.
+  net::Task<void> run_periodic_checks();
   void on_leader_change();
 
   // test_cluster_users.cpp
@@ -269,18 +275,18 @@
 
   // test_cluster_peers.cpp
   net::Task<void> send_peer_heartbeats(int node);
-  net::Task<void> deliver(int from, int to, peer::Frame frame);
+  net::Task<void> deliver_peer_frame(int from, int to, peer::Frame frame);
 
   std::unique_ptr<AgentEnvironment> environment_;
   std::vector<std::string> zones_;
   std::vector<std::unique_ptr<Host>> hosts_;
   std::map<std::string, std::string> recorded_heartbeats_;  ///< by machine
   int last_leader_ = -1;
-  int last_run_ = 0;  ///< of any node
+  int last_run_ = 0;  ///< number of the last Host::run, over all nodes
   net::Scope scope_;
 };
 
-/// Runs until the condition holds; false when that takes too long.
+/// Runs the cluster until the condition holds; false on a timeout.
 template <typename Condition>
 bool wait_for(TestCluster& cluster, double timeout_s, Condition condition) {
   constexpr double kStep = 0.25;
@@ -288,15 +294,15 @@
   return condition();
 }
 
-/// Whether every accepted job has ended, as users were told.
+/// Whether users have seen the end of every accepted job.
 inline bool all_jobs_ended(const TestCluster& cluster) {
-  const auto accepted = cluster.rules.accepted();
+  const auto accepted = cluster.rules.accepted_jobs();
   return std::all_of(accepted.begin(), accepted.end(),
                      [&](const std::string& id) { return !cluster.rules.outcome(id).empty(); });
 }
 
-/// Ids of jobs by number.
-inline std::string name(int i) {
+/// The job id for a number.
+inline std::string job_id(int i) {
   return "j-" + std::to_string(100'000 + i);
 }
 
--- a/tests/test_cluster_cloud.cpp
+++ b/tests/test_cluster_cloud.cpp
@@ -1,5 +1,5 @@
-// The cloud of the test cluster: machine types, machines that are requested, listed and deleted,
-// and its faults.
+// The cloud of the test cluster: machine types, scale-out, listing and deletion of machines, and
+// faults.
 #include <algorithm>
 
 #include "test_cluster_internals.hpp"
@@ -25,16 +25,17 @@
 net::Task<Reply> TestCluster::call_cloud(Request request, double timeout_s) {
   const bool scales_out = request.path == "/rentals" && request.method == "POST";
   if (cloud_down) {
-    co_return Reply{Reply::Kind::answered, response_of(503, R"({"error":"trouble"})")};
+    co_return Reply{Reply::Kind::answered, make_stand_in_response(503, R"({"error":"trouble"})")};
   }
   if (cloud_without_capacity && scales_out) {
-    co_return Reply{Reply::Kind::answered, response_of(503, R"({"error":"no capacity"})")};
+    co_return Reply{Reply::Kind::answered,
+                    make_stand_in_response(503, R"({"error":"no capacity"})")};
   }
   Response response = handle_cloud_request(request);
   if (scales_out && lost_scale_out_responses > 0) {
     --lost_scale_out_responses;
-    auto losing = lose(timeout_s);
-    co_return co_await losing;
+    auto timeout = time_out(timeout_s);
+    co_return co_await timeout;
   }
   co_return Reply{Reply::Kind::answered, response};
 }
@@ -43,7 +44,7 @@
   if (request.path == "/machine_types") {
     JsonWriter types;
     wire::write_machine_types(types, {machine_type()});
-    return response_of(200, types.take());
+    return make_stand_in_response(200, types.take());
   }
   const JsonDocument document(request.body.empty() ? "{}" : request.body);
   if (request.path == "/rentals/delete") return delete_machines(document.root());
@@ -54,16 +55,16 @@
 Response TestCluster::delete_machines(const wire::Json& request) {
   deletion_requests_at.push_back(reactor.now());
   for (const auto& machine : request["Rigs"].GetArray()) {
-    if (undeletable.contains(machine.GetString())) return response_of(400);
+    if (undeletable_machines.contains(machine.GetString())) return make_stand_in_response(400);
   }
   for (const auto& machine : request["Rigs"].GetArray()) {
     const auto it = workers.find(machine.GetString());
     if (it == workers.end()) continue;
-    it->second->is_hung = it->second->gone = true;
+    it->second->is_hung = it->second->is_deleted = true;
     it->second->tasks.clear();
-    deleted.emplace_back(machine.GetString());
+    deleted_machines.emplace_back(machine.GetString());
   }
-  return response_of(200);
+  return make_stand_in_response(200);
 }
 
 Response TestCluster::create_machines(const wire::Json& request) {
@@ -72,17 +73,17 @@
   if (is_new) {
     const std::string zone = request["Yard"].GetString();
     constexpr double kNever = 1e9;
-    const double boots_for = zones_that_never_boot.contains(zone) ? kNever : boot_s;
+    const double boot_duration_s = zones_that_never_boot.contains(zone) ? kNever : boot_s;
     JsonWriter writer;
     writer.begin().key("Rigs").list();
     for (int i = 0; i < request["Count"].GetInt(); ++i) {
-      add_worker(zone, boots_for);
+      add_worker(zone, boot_duration_s);
       writer.text("n-" + std::to_string(machines_created));
     }
     writer.list_end().end();
     it->second = writer.take();
   }
-  return response_of(200, it->second);
+  return make_stand_in_response(200, it->second);
 }
 
 Response TestCluster::list_machines(const Request& request) {
@@ -94,15 +95,15 @@
   writer.begin().key("Rigs").list();
   for (; next != workers.end() && listed < max_listed; ++next) {
     const auto& [id, worker] = *next;
-    if (worker->gone || reactor.now() - worker->began < list_delay_s) continue;
+    if (worker->is_deleted || reactor.now() - worker->created_at < list_delay_s) continue;
     ++listed;
     writer.begin().key("Id").text(id).key("Address").text(worker->address);
     writer.key("Frame").text("g8").key("Yard").text(worker->kind.zone).key("Loaners").flag(false);
-    writer.key("Stance").text(reactor.now() < worker->up_at ? "booting" : "running");
-    writer.key("HeldS").amount(reactor.now() - worker->began).end();
+    writer.key("Stance").text(reactor.now() < worker->boot_ends_at ? "booting" : "running");
+    writer.key("HeldS").amount(reactor.now() - worker->created_at).end();
   }
   writer.list_end().key("HasNext").flag(next != workers.end()).end();
-  return response_of(200, writer.take());
+  return make_stand_in_response(200, writer.take());
 }
 
 }  // namespace cranklock::testing
--- a/tests/test_cluster_internals.hpp
+++ b/tests/test_cluster_internals.hpp
@@ -1,5 +1,5 @@
-// What the files of the test cluster share and tests do not need: the node with all that belongs to
-// it, calls that outlive their callers, and the agents' view of the cluster.
+// Internals shared by the test_cluster_*.cpp files: a running node with its clients, calls that
+// outlive their callers, and the agents' task environment.
 #pragma once
 
 #include <list>
@@ -11,11 +11,11 @@
 
 namespace cranklock::testing {
 
-inline constexpr double kMessageDelay = 0.003;  ///< seconds that a message takes one way
+inline constexpr double kMessageDelay = 0.003;  ///< seconds, one way
 inline constexpr double kPausePollDelay =
     0.02;  ///< seconds between checks whether a node is paused
 
-/// A node's transport: passes calls to the cluster and reports them as traffic.
+/// A node's transport: forwards calls to the cluster and reports them as traffic.
 struct NodeTransport : net::Transport {
   TestCluster& cluster;
   int node;
@@ -23,7 +23,7 @@
   net::Task<net::Reply> call(std::string address, net::Request request, double timeout_s) override;
 };
 
-/// One run of a node with its clients, from its start until it crashes.
+/// A running node with its clients, from start to crash.
 struct TestCluster::Host {
   base::Settings settings;
   FakeReactor::Loop reactor;
@@ -31,29 +31,29 @@
   store::Client store;
   cloud::Client cloud;
   control::Node node;
-  int run;  ///< a new number each time a node starts
+  int run;  ///< unique number of this run, over all nodes
   net::ConnectionBudget connections;
-  std::list<Worker*> idle;  ///< connected agents, the longest idle first
-  net::Scope scope;         ///< last, so that its routines end before what they use
+  std::list<Worker*> idle;  ///< agents with an idle connection, longest idle first
+  net::Scope scope;         ///< last member: its coroutines are destroyed before what they use
 
   Host(TestCluster& cluster, int index, base::Settings node_settings, int run_number);
 };
 
-/// A request to a node's public address; the caller may stop waiting before it is answered.
+/// A request to a node's public address; the caller may time out before the response.
 struct TestCluster::Exchange {
   explicit Exchange(net::Reactor& reactor) : answered(reactor) {}
   net::Signal answered;
   std::optional<net::Response> response;
 };
 
-/// A node's call to the cloud; it is executed though the node has given up waiting.
+/// A node's call to the cloud; it is executed even if the node has timed out.
 struct TestCluster::CloudCall {
   explicit CloudCall(net::Reactor& reactor) : answered(reactor) {}
   net::Signal answered;
   net::Reply reply;
 };
 
-/// What the agents' tasks are part of: run times, faults and the rule checker of the cluster.
+/// Connects the agents' tasks to the cluster: run times, faults and the rule checker.
 class TestCluster::AgentEnvironment : public WorkerStandIn::TaskEnvironment {
  public:
   explicit AgentEnvironment(TestCluster& cluster) : cluster_(cluster) {}
@@ -68,25 +68,25 @@
   void on_start_command(const wire::TaskName& task) override {
     cluster_.rules.on_start_command(task.job, cluster_.reactor.now());
   }
-  bool starts(const WorkerStandIn& worker, const wire::TaskName& task) override;
-  bool gang_complete(const wire::TaskName&, std::uint64_t) const override { return true; }
-  bool fails(const WorkerStandIn& worker, const wire::TaskName& task) const override {
+  bool on_image_fetched(const WorkerStandIn& worker, const wire::TaskName& task) override;
+  bool is_gang_ready(const wire::TaskName&, std::uint64_t) const override { return true; }
+  bool must_fail(const WorkerStandIn& worker, const wire::TaskName& task) const override {
     return cluster_.broken_jobs.contains(task.job) || cluster_.faulty_machines.contains(worker.id);
   }
-  void completed(const wire::TaskName& task) override {
-    cluster_.rules.completed(task.job, task.index);
+  void on_task_completed(const wire::TaskName& task) override {
+    cluster_.rules.on_task_completed(task.job, task.index);
   }
 
  private:
   TestCluster& cluster_;
 };
 
-/// A stand-in's response.
-inline net::Response response_of(int status, std::string body = "{}") {
+/// A response of one of the cluster's stand-ins.
+inline net::Response make_stand_in_response(int status, std::string body = "{}") {
   return control::make_response(status, std::move(body));
 }
 
-/// The body of a submission.
+/// The request body of a job submission.
 inline std::string to_json(const wire::JobSpec& spec) {
   wire::JsonWriter writer;
   wire::write_job(writer, spec);
--- a/tests/test_cluster_network.cpp
+++ b/tests/test_cluster_network.cpp
@@ -1,5 +1,5 @@
-// How calls pass between nodes and the stand-ins: delays, cuts between zones, paused nodes, and the
-// record of the traffic.
+// Message delivery between nodes and stand-ins: delays, partitions between zones, paused nodes, and
+// traffic events.
 #include "test_cluster_internals.hpp"
 
 namespace cranklock::testing {
@@ -14,7 +14,7 @@
 net::Task<Reply> NodeTransport::call(std::string address, Request request, double timeout_s) {
   TrafficEvent event;
   event.node = node;
-  // The request is moved away below, before the views of the event are used again.
+  // Copies, because the request is moved below and the event's views are used again after that.
   const std::string to = address;
   const std::string method = request.method;
   const std::string path = request.path;
@@ -40,9 +40,9 @@
 
 net::Task<Reply> TestCluster::call(int node, std::string address, Request request,
                                    double timeout_s) {
-  const bool cut_off = cut_zones.contains(zone_of(node));
+  const bool cut_off = isolated_zones.contains(zone_of(node));
   if (address == "cloud" && !cut_off) {
-    // The request arrives though the node may stop waiting meanwhile.
+    // The cloud executes the request even if the node times out first.
     auto pending = std::make_shared<CloudCall>(reactor);
     scope_.spawn(serve_cloud(std::move(request), timeout_s, pending));
     net::Signal::Wait wait(pending->answered, timeout_s + kMessageDelay);
@@ -51,9 +51,9 @@
   }
   Sleep transfer(reactor, kMessageDelay);
   co_await transfer;
-  if (address == "cloud" || (address == "state" && cut_zones.contains(zone_of(node)))) {
-    auto losing = lose(timeout_s);
-    co_return co_await losing;
+  if (address == "cloud" || (address == "state" && isolated_zones.contains(zone_of(node)))) {
+    auto timeout = time_out(timeout_s);
+    co_return co_await timeout;
   }
   if (address == "state") {
     auto calling = call_state_service(node, std::move(request), timeout_s);
@@ -67,7 +67,7 @@
   co_return co_await calling;
 }
 
-net::Task<Reply> TestCluster::lose(double timeout_s) {
+net::Task<Reply> TestCluster::time_out(double timeout_s) {
   Sleep wait(reactor, timeout_s);
   co_await wait;
   co_return Reply{};
@@ -76,13 +76,13 @@
 net::Task<Reply> TestCluster::call_router(Request request, double timeout_s) {
   const auto response = router ? router(request) : std::nullopt;
   if (response) co_return Reply{Reply::Kind::answered, *response};
-  auto losing = lose(timeout_s);
-  co_return co_await losing;
+  auto timeout = time_out(timeout_s);
+  co_return co_await timeout;
 }
 
 void TestCluster::observe(TrafficEvent event) const {
   if (!on_traffic) return;
-  event.at_s = reactor.now();
+  event.time_s = reactor.now();
   event.region = base_settings.operators.regions.self;
   on_traffic(event);
 }
@@ -103,7 +103,7 @@
   observe(event);
   auto handling = hosts_[static_cast<std::size_t>(node)]->node.handle(std::move(request));
   auto response = co_await handling;
-  event.kind = TrafficEvent::Kind::public_answer;
+  event.kind = TrafficEvent::Kind::public_response;
   event.response = &response;
   event.body = response.body;
   observe(event);
--- a/tests/test_cluster_peers.cpp
+++ b/tests/test_cluster_peers.cpp
@@ -13,14 +13,14 @@
     }
     const auto peer_heartbeat = hosts_[static_cast<std::size_t>(node)]->node.peer_heartbeat();
     for (int other = 0; other < static_cast<int>(hosts_.size()); ++other) {
-      if (other != node) scope_.spawn(deliver(node, other, peer_heartbeat));
+      if (other != node) scope_.spawn(deliver_peer_frame(node, other, peer_heartbeat));
     }
     Sleep pause(reactor, control::Node::peer_heartbeat_interval(base_settings));
     co_await pause;
   }
 }
 
-net::Task<void> TestCluster::deliver(int from, int to, peer::Frame frame) {
+net::Task<void> TestCluster::deliver_peer_frame(int from, int to, peer::Frame frame) {
   const std::string packed = peer::pack(frame);
   const std::string receiver = "n" + std::to_string(to);
   TrafficEvent event;
@@ -37,7 +37,7 @@
   }
   const auto& host = hosts_[static_cast<std::size_t>(to)];
   if (cut_from_peers.contains(from) || cut_from_peers.contains(to)) co_return;
-  if (host && !apart(zone_of(from), zone_of(to))) {
+  if (host && !are_partitioned(zone_of(from), zone_of(to))) {
     host->node.on_peer_frame("n" + std::to_string(from), frame);
   }
 }
--- a/tests/test_cluster_state_service.cpp
+++ b/tests/test_cluster_state_service.cpp
@@ -1,5 +1,5 @@
-// The state service as nodes of the test cluster reach it: outages, refusals, slow and late writes,
-// and responses that are lost.
+// Calls of the test cluster's nodes to the state service, with its faults: outages, refusals,
+// delays, late writes and lost responses.
 #include "test_cluster_internals.hpp"
 
 namespace cranklock::testing {
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr double kWatchPollDelay = 0.02;  ///< seconds between checks whether a watch has changes
+constexpr double kWatchPollDelay = 0.02;  ///< seconds between polls of a watch
 
-/// Whether a watch was answered without changes.
+/// Whether this response to a watch contains no changes.
 bool has_no_changes(const Response& response) {
   return response.status == 200 && response.body.find("News\":[]") != std::string::npos;
 }
@@ -27,23 +27,23 @@
   const double opened = reactor.now();
   const double until = opened + timeout_s;
   const double hold_s = watch ? std::stod(net::query_field(request.query, "HoldMs")) / 1000 : 0;
-  if (state_slow_s > 0) {
-    Sleep slowness(reactor, state_slow_s * random_fraction());
+  if (max_state_delay_s > 0) {
+    Sleep slowness(reactor, max_state_delay_s * random_fraction());
     co_await slowness;
   }
   if (state_refuses(node) && !cut_from_state.contains(node)) {
-    co_return Reply{Reply::Kind::answered, response_of(503)};
+    co_return Reply{Reply::Kind::answered, make_stand_in_response(503)};
   }
   for (;;) {
     if (cut_from_state.contains(node)) {
-      auto losing = lose(until - reactor.now());
-      co_return co_await losing;
+      auto timeout = time_out(until - reactor.now());
+      co_return co_await timeout;
     }
-    if (write && write_comes_late(node)) {
+    if (write && is_write_delayed(node)) {
       constexpr double kMinDelay = 2, kMaxExtraDelay = 10;
       scope_.spawn(apply_late(request, kMinDelay + kMaxExtraDelay * random_fraction()));
-      auto losing = lose(until - reactor.now());
-      co_return co_await losing;
+      auto timeout = time_out(until - reactor.now());
+      co_return co_await timeout;
     }
     const bool hangs = watch && (state_refuses(node) || hanging_watches.contains(node));
     if (hangs && reactor.now() >= until) co_return Reply{};
@@ -52,8 +52,8 @@
       const bool waits = watch && has_no_changes(response) && reactor.now() < opened + hold_s;
       if (!waits) {
         if (write && response.status == 200 && write_response_is_lost()) {
-          auto losing = lose(until - reactor.now());
-          co_return co_await losing;
+          auto timeout = time_out(until - reactor.now());
+          co_return co_await timeout;
         }
         co_return Reply{Reply::Kind::answered, response};
       }
@@ -63,7 +63,7 @@
   }
 }
 
-bool TestCluster::write_comes_late(int node) {
+bool TestCluster::is_write_delayed(int node) {
   const bool may_be_late = late_write_nodes.empty() || late_write_nodes.contains(node);
   return may_be_late && random_fraction() < late_write_share;
 }
--- a/tests/test_cluster_users.cpp
+++ b/tests/test_cluster_users.cpp
@@ -1,4 +1,4 @@
-// The users of the test cluster: they submit, ask and cancel as UserBehavior says.
+// The users of the test cluster, who submit, query and cancel jobs according to UserBehavior.
 #include "test_cluster_internals.hpp"
 
 namespace cranklock::testing {
@@ -7,13 +7,14 @@
 using net::Sleep;
 using wire::TaskState;
 
-net::Task<std::optional<Response>> TestCluster::user_asks(int node, std::string method,
-                                                          std::string path, std::string body) {
+net::Task<std::optional<Response>> TestCluster::send_user_request(int node, std::string method,
+                                                                  std::string path,
+                                                                  std::string body) {
   constexpr double kTimeout = 5;
-  const auto question = rules.ask(method, path, body);
+  const auto user_request = rules.on_request(method, path, body);
   auto asking = exchange(node, {method, path, "", body, true}, kTimeout);
   auto response = co_await asking;
-  if (response) rules.answered(question, response->status, response->body, reactor.now());
+  if (response) rules.on_response(user_request, response->status, response->body, reactor.now());
   co_return response;
 }
 
@@ -22,8 +23,8 @@
   Sleep delay(reactor, kMaxDelay * random_fraction());
   co_await delay;
   auto asking =
-      user_asks(node, submits ? "POST" : "GET", submits ? "/v1/jobs" : "/v1/jobs/" + spec.id,
-                submits ? to_json(spec) : "");
+      send_user_request(node, submits ? "POST" : "GET",
+                        submits ? "/v1/jobs" : "/v1/jobs/" + spec.id, submits ? to_json(spec) : "");
   co_await asking;
 }
 
@@ -41,18 +42,18 @@
 net::Task<void> TestCluster::follow_job(wire::JobSpec spec, UserBehavior behavior) {
   const double began = reactor.now();
   const auto path = "/v1/jobs/" + spec.id;
-  std::string known;  // the state that the user was told last; empty: not accepted yet
+  std::string known;  // the state in the last response; empty: not accepted yet
   for (;;) {
     const bool cancels =
         behavior.cancel_after_s >= 0 && reactor.now() - began >= behavior.cancel_after_s;
     std::optional<Response> response;
-    // A user who was not told that the job is accepted, or cancelled, asks again.
+    // A submission or cancellation without a confirmation is repeated.
     if (known.empty()) {
-      auto asking = user_asks(random_node(), "POST", "/v1/jobs", to_json(spec));
+      auto asking = send_user_request(random_node(), "POST", "/v1/jobs", to_json(spec));
       response = co_await asking;
     } else {
-      auto asking = user_asks(random_node(), cancels ? "POST" : "GET",
-                              cancels ? path + "/withdraw" : path, "");
+      auto asking = send_user_request(random_node(), cancels ? "POST" : "GET",
+                                      cancels ? path + "/withdraw" : path, "");
       response = co_await asking;
     }
     if (response && (response->status == 200 || response->status == 201)) {
@@ -74,7 +75,7 @@
   for (const auto& [id, worker] : workers) {
     for (const auto& [name, task] : worker->tasks) {
       const bool ends = task.state == TaskState::exited ||
-                        reactor.now() - task.since > run_time(name) - kShortBeforeEnd;
+                        reactor.now() - task.state_since > run_time(name) - kShortBeforeEnd;
       if (name.starts_with(job + "/") && ends) return true;
     }
   }
