--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -1,10 +1,10 @@
-// A digest of all that controllers send and are answered in fixed scenarios of the in-memory
-// cluster. Two versions whose lines agree have sent the same bytes at the same simulated times, as
-// a change that only renames or moves code has to. Not part of the tests:
+// Prints a digest of all messages of the controllers in fixed scenarios of the simulated cluster.
+// If the lines of two versions agree, the versions have sent the same bytes at the same simulated
+// times, as they must after a change that only renames or moves code. Not part of the tests:
 //   cmake -S . -B target-bench -DCRANKLOCK_TESTS=ON -DCRANKLOCK_TRAFFIC_DIGEST=ON
 //   cmake --build target-bench --target traffic_digest && target-bench/tests/traffic_digest
-// One line per scenario and seed: name, seed, messages, hash. With an argument, only scenarios
-// whose names contain it are played.
+// One line per scenario and seed: name, seed, messages, hash. With an argument, runs only scenarios
+// whose names contain it.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -22,8 +22,8 @@
 
 using wire::JobKind;
 
-/// The 64-bit hash FNV-1a of all fields added so far, each led by its length, so that the bounds
-/// between fields count too.
+/// The 64-bit FNV-1a hash of all fields added so far. Text is preceded by its length, so that field
+/// boundaries are hashed too.
 class FowlerNollVoHash {
  public:
   void add(std::uint64_t number) {
@@ -40,7 +40,7 @@
     constexpr std::uint64_t kPrime = 0x100000001b3;
     value_ = (value_ ^ byte) * kPrime;
   }
-  std::uint64_t value_ = 0xcbf29ce484222325;  // the offset basis that FNV-1a prescribes
+  std::uint64_t value_ = 0xcbf29ce484222325;  // the FNV-1a offset basis
 };
 
 class TrafficDigest {
@@ -49,7 +49,7 @@
     constexpr double kMicroseconds = 1e6;
     ++messages_;
     hash_.add(static_cast<std::uint64_t>(event.kind));
-    hash_.add(static_cast<std::uint64_t>(std::llround(event.at_s * kMicroseconds)));
+    hash_.add(static_cast<std::uint64_t>(std::llround(event.time_s * kMicroseconds)));
     hash_.add(event.region);
     hash_.add(static_cast<std::uint64_t>(event.node));
     for (const auto text : {event.address, event.method, event.path, event.query, event.body}) {
@@ -70,20 +70,20 @@
   FowlerNollVoHash hash_;
 };
 
-/// Makes runs of one scenario differ by seed: in when workers report and how long the state service
-/// takes, and in all that a scenario leaves to chance.
-void vary(TestCluster& cluster, unsigned seed) {
+/// Seeds the cluster's random numbers, and randomizes heartbeat times and the delays of the state
+/// service, so that runs of a scenario differ by seed.
+void randomize(TestCluster& cluster, unsigned seed) {
   cluster.random.seed(seed);
   cluster.heartbeat_spread = 0.2;
-  cluster.state_slow_s = 0.02;
+  cluster.max_state_delay_s = 0.02;
 }
 
 wire::JobSpec job(int number, std::uint32_t tasks, JobKind kind = JobKind::job_array,
                   double gpus = 4, const std::string& team = "red") {
-  return make_job(name(number), kind, tasks, gpus, team).spec;
+  return make_job(job_id(number), kind, tasks, gpus, team).spec;
 }
 
-/// The node that led, or -1 and a failure where none did.
+/// Crashes the leader and returns its index; -1 and a test failure if there is none.
 int crash_leader(TestCluster& cluster) {
   const int leader = cluster.leader();
   EXPECT_GE(leader, 0);
@@ -91,7 +91,7 @@
   return leader;
 }
 
-/// Four array jobs and a service, from both teams.
+/// Adds users with four array jobs and a service, from both teams.
 void add_usual_users(TestCluster& cluster) {
   for (int i = 0; i < 4; ++i) {
     cluster.add_user(job(i, 2, JobKind::job_array, 2, i % 2 == 0 ? "red" : "blue"));
@@ -105,7 +105,7 @@
 
 void play_leader_crash(unsigned seed) {
   TestCluster cluster(3, {"a", "a", "b"});
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.run_s = 12;
   cluster.run(1);
   add_usual_users(cluster);
@@ -122,7 +122,7 @@
 
 void play_paused_leader(unsigned seed) {
   TestCluster cluster(3, {"a", "a", "b"});
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.run_s = 30;
   cluster.run(1);
   add_usual_users(cluster);
@@ -139,7 +139,7 @@
 
 void play_zone_cut(unsigned seed) {
   TestCluster cluster(3, {"a", "a", "b"});
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.run_s = 1000;
   cluster.run(1);
   UserBehavior cancels;
@@ -153,9 +153,9 @@
   spread.spread = true;
   cluster.add_user(spread);
   cluster.run(25);
-  cluster.cut_zones = {"b"};
+  cluster.isolated_zones = {"b"};
   cluster.run(10 + 25 * seed);
-  cluster.cut_zones.clear();
+  cluster.isolated_zones.clear();
   cluster.cut_from_workers = {cluster.leader()};
   cluster.run(15);
   cluster.cut_from_workers.clear();
@@ -164,7 +164,7 @@
 
 void play_state_outage(unsigned seed) {
   TestCluster cluster(3, {"a", "a", "a"});
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.run_s = 20;
   cluster.run(1);
   add_usual_users(cluster);
@@ -185,19 +185,19 @@
 
 void play_late_messages(unsigned seed) {
   TestCluster cluster;
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.replays_heartbeats = true;
   cluster.replay_delay_s = 1;
-  cluster.state_service.limits_writes = true;
+  cluster.state_service.enforces_write_rate = true;
   cluster.run(1);
   cluster.late_heartbeat_share = 0.4;
   cluster.late_write_share = 0.3;
   cluster.lost_write_response_share = 0.2;
   for (int i = 0; i < 8; ++i) {
-    UserBehavior habits;
-    if (i % 3 == 0) habits.cancel_after_s = 2.0 * i;
-    habits.cancel_at_end = i % 3 == 1;
-    cluster.add_user(job(i, 1 + i % 2, JobKind::job_array, 2), habits);
+    UserBehavior behavior;
+    if (i % 3 == 0) behavior.cancel_after_s = 2.0 * i;
+    behavior.cancel_at_end = i % 3 == 1;
+    cluster.add_user(job(i, 1 + i % 2, JobKind::job_array, 2), behavior);
     cluster.run(0.5);
   }
   cluster.run(20);
@@ -212,10 +212,10 @@
 
 // ---- machines and the cloud ----
 
-/// The cloud takes two of six spot machines after a notice, and one without.
+/// The cloud preempts two of six spot machines with a notice, and one without.
 void play_spot_wave(unsigned seed) {
   TestCluster cluster(3, {"a", "a", "b"}, settings_with_moves());
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.run_s = 25;
   cluster.cloud_without_capacity = true;
   for (int i = 0; i < 8; ++i) {
@@ -236,33 +236,33 @@
   cluster.run(9 + 0.5 * seed);
   for (const char* taken : {"n-1", "n-2", "n-3"}) {
     auto& worker = *cluster.workers.at(taken);
-    worker.gone = worker.is_hung = true;
+    worker.is_deleted = worker.is_hung = true;
     worker.tasks.clear();
   }
   cluster.run(80);
-  EXPECT_EQ(cluster.rules.accepted().size(), 6U);
+  EXPECT_EQ(cluster.rules.accepted_jobs().size(), 6U);
 }
 
 void play_faults(unsigned seed) {
   TestCluster cluster;
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.faulty_machines = {"n-1"};
-  cluster.broken_jobs = {name(1)};
+  cluster.broken_jobs = {job_id(1)};
   for (int i = 0; i < 2; ++i) cluster.add_worker();
   cluster.run(2);
   for (int i = 0; i < 4; ++i) {
-    UserBehavior habits;
-    if (i == 1) habits.cancel_after_s = 50;
-    cluster.add_user(job(i, 2, JobKind::job_array, 4, i % 2 == 0 ? "red" : "blue"), habits);
+    UserBehavior behavior;
+    if (i == 1) behavior.cancel_after_s = 50;
+    cluster.add_user(job(i, 2, JobKind::job_array, 4, i % 2 == 0 ? "red" : "blue"), behavior);
   }
   cluster.run(20);
   auto& machine = *cluster.workers.at("n-2");
   machine.is_hung = true;
   cluster.run(4 + 5 * seed);
   cluster.resume_worker(machine);
-  machine.commands_late_s = 3;
+  machine.command_delay_s = 3;
   cluster.run(10);
-  machine.commands_late_s = 0;
+  machine.command_delay_s = 0;
   machine.cannot_receive = true;
   cluster.run(15);
   machine.cannot_receive = false;
@@ -271,7 +271,7 @@
 
 void play_cloud_trouble(unsigned seed) {
   TestCluster cluster(3, {}, settings_with_moves());
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.run_s = 20;
   cluster.boot_s = 30;
   cluster.list_delay_s = 5;
@@ -299,17 +299,17 @@
   settings.txn_ops = 4;
   settings.state_write_rps = 21;
   TestCluster cluster(3, {}, settings);
-  vary(cluster, seed);
-  cluster.state_service.limits_writes = true;
+  randomize(cluster, seed);
+  cluster.state_service.enforces_write_rate = true;
   cluster.run_s = 6;
   cluster.run(8);
   for (int i = 0; i < 14; ++i) {
     auto stage = job(i, 1, JobKind::job_array, 2);
-    if (i > 0) stage.dependencies.push_back(name((i - 1) / 2));
-    if (i > 4) stage.dependencies.push_back(name(i - 2));
-    UserBehavior habits;
-    if (i == 5) habits.cancel_after_s = 14.0 + seed;
-    cluster.add_user(stage, habits);
+    if (i > 0) stage.dependencies.push_back(job_id((i - 1) / 2));
+    if (i > 4) stage.dependencies.push_back(job_id(i - 2));
+    UserBehavior behavior;
+    if (i == 5) behavior.cancel_after_s = 14.0 + seed;
+    cluster.add_user(stage, behavior);
     cluster.run(0.4);
   }
   cluster.run(90);
@@ -317,19 +317,21 @@
 
 void play_read_storm(unsigned seed) {
   TestCluster cluster(3, {"a", "a", "b"});
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.run(1);
   for (int i = 0; i < 12; ++i) {
-    UserBehavior looks;
-    looks.queries_all_nodes = true;
-    cluster.add_user(job(i, 1, JobKind::job_array, 2, i % 2 == 0 ? "red" : "blue"), looks);
+    UserBehavior queries_all;
+    queries_all.queries_all_nodes = true;
+    cluster.add_user(job(i, 1, JobKind::job_array, 2, i % 2 == 0 ? "red" : "blue"), queries_all);
   }
-  std::vector<net::Task<std::optional<net::Response>>> questions;
+  std::vector<net::Task<std::optional<net::Response>>> queries;
   for (int round = 0; round < 60; ++round) {
     for (int i = 0; i < 20; ++i) {
-      const auto id = name(static_cast<int>(20 * cluster.random_fraction()));  // some are unknown
-      questions.push_back(cluster.user_asks(cluster.random_node(), "GET", "/v1/jobs/" + id, ""));
-      questions.back().start();
+      const auto id =
+          job_id(static_cast<int>(20 * cluster.random_fraction()));  // some ids are unknown
+      queries.push_back(
+          cluster.send_user_request(cluster.random_node(), "GET", "/v1/jobs/" + id, ""));
+      queries.back().start();
     }
     if (round == 30) crash_leader(cluster);
     cluster.run(0.25);
@@ -337,10 +339,10 @@
   cluster.run(20);
 }
 
-/// Two machines are full of arrays of the lowest priority when a gang of the highest needs both.
+/// Two machines are full of lowest-priority arrays when a gang of the highest priority needs both.
 void play_gang_preemption(unsigned seed) {
   TestCluster cluster(3, {"a", "a", "a"}, settings_with_moves());
-  vary(cluster, seed);
+  randomize(cluster, seed);
   cluster.run_s = 25;
   cluster.cloud_without_capacity = true;
   for (int i = 0; i < 2; ++i) cluster.add_worker();
@@ -358,14 +360,14 @@
   cluster.add_user(urgent);
   cluster.add_user(job(4, 3, JobKind::gang, 2, "blue"));
   cluster.run(15);
-  // A gang that loses a machine is stopped whole.
+  // All tasks of a gang are stopped when it loses a machine.
   auto& machine = *cluster.workers.at("n-1");
   machine.is_hung = true;
   cluster.run(15);
   cluster.resume_worker(machine);
   cluster.run(120);
-  EXPECT_GT(cluster.starts[name(0) + "/0"], 1);  // stopped for the urgent gang
-  EXPECT_GT(cluster.starts[name(3) + "/0"], 1);
+  EXPECT_GT(cluster.start_counts[job_id(0) + "/0"], 1);  // preempted by the urgent gang
+  EXPECT_GT(cluster.start_counts[job_id(3) + "/0"], 1);
 }
 
 // ---- moves ----
@@ -373,8 +375,8 @@
 void play_moves(unsigned seed) {
   Fragments fragments;
   auto& cluster = fragments.w;
-  vary(cluster, seed);
-  cluster.state_slow_s = 0.1;  // so that each step takes its time
+  randomize(cluster, seed);
+  cluster.max_state_delay_s = 0.1;  // so that the steps of a move take time
   EXPECT_TRUE(fragments.run_into_plan(0.4 * seed));
   const int old = crash_leader(cluster);
   fragments.run(5);
@@ -383,16 +385,16 @@
   fragments.run(10);
 }
 
-/// Replicas move behind a router, and each has chats whose requests stay open for a while.
+/// Replicas move behind a router, and their chats have requests that stay open for a while.
 void play_replica_moves(unsigned seed) {
   auto settings = settings_with_moves();
   settings.operators.defrag.drain = {"router", "/drains"};
   Fragments fragments(settings, 3, make_job(kSmall, JobKind::service, 4, 3).spec);
   auto& cluster = fragments.w;
-  vary(cluster, seed);
+  randomize(cluster, seed);
   constexpr int kChats = 12, kMaxChats = 20;
   RouterStandIn router{kMaxChats};
-  const auto look = [&] {
+  const auto update_replicas = [&] {
     std::vector<RouterStandIn::Replica> replicas;
     for (const auto& [id, worker] : cluster.workers) {
       for (const auto& [task_name, task] : worker->tasks) {
@@ -404,13 +406,13 @@
     router.set_replicas(std::move(replicas), cluster.reactor.now());
   };
   cluster.router = [&](const net::Request& request) -> std::optional<net::Response> {
-    look();
+    update_replicas();
     return router.handle(request, cluster.reactor.now());
   };
   fragments.run(1);
   fragments.ask_for_large();
   for (int round = 0; round < 200; ++round) {
-    look();
+    update_replicas();
     for (int chat = round % 2; chat < kChats; chat += 2) {
       router.end_request(chat);
       if (round % 7 == 0) router.end_chat(chat);
@@ -425,8 +427,8 @@
 
 void play_shared_limits(unsigned seed) {
   TwoRegionClusters regions;
-  vary(regions.east, seed);
-  vary(regions.west, seed);
+  randomize(regions.east, seed);
+  randomize(regions.west, seed);
   regions.run(4);
   regions.west.add_user(job(0, 13, JobKind::service, 1));
   regions.run(3 + 0.1 * seed);
@@ -482,7 +484,7 @@
     }
   }
   print("total", "", messages, total.value());
-  // A digest of runs that broke a rule or missed what they are about shows nothing.
+  // A digest is meaningless if a run violated a rule or failed one of its scenario's checks.
   return ::testing::UnitTest::GetInstance()->ad_hoc_test_result().Failed() ? 1 : 0;
 }
 
--- a/tests/traffic_event.hpp
+++ b/tests/traffic_event.hpp
@@ -1,4 +1,4 @@
-// What a node of a test cluster sends or receives, for those who record its traffic.
+// Messages that nodes of a test cluster send and receive, for recording their traffic.
 #pragma once
 
 #include <string_view>
@@ -7,26 +7,26 @@
 
 namespace cranklock::testing {
 
-/// A message that a node sends or is answered with, as the node sees it. The views are valid only
-/// during the call that passes the event on.
+/// A message that a node sends or receives, as the node sees it. The views are valid only during
+/// the call of the observer.
 struct TrafficEvent {
   enum class Kind {
-    request,         ///< the node calls the state service, the cloud, an agent or the router
-    reply,           ///< the result of that call
-    public_request,  ///< a user's request or an agent's heartbeat, received by the node
-    public_answer,   ///< the node's response to it
-    peer_frame,      ///< the node sends to another node of its region
-    region_frame     ///< the node receives from another region's leader
+    request,          ///< from the node to the state service, the cloud, an agent or the router
+    reply,            ///< the result of such a request
+    public_request,   ///< a user's request or an agent's heartbeat to the node
+    public_response,  ///< the node's response to it
+    peer_frame,       ///< from the node to another node of its region
+    region_frame      ///< to the node from another region's leader
   };
   Kind kind = Kind::request;
-  double at_s = 0;          ///< simulated time
-  std::string_view region;  ///< of the node; empty where regions share no limits
+  double time_s = 0;        ///< simulated time
+  std::string_view region;  ///< the node's region; empty if regions share no limits
   int node = 0;
-  std::string_view address;              ///< the other side; empty: a user or an agent that calls
+  std::string_view address;  ///< the remote side; empty for callers of the public address
   std::string_view method, path, query;  ///< of the request
-  /// Of a reply or an answer; null for a request, a frame, or a reply that never came.
+  /// Of a reply or public response; null for a request, a frame, or a reply without a response.
   const net::Response* response = nullptr;
-  std::string_view body;  ///< of a request or an answer; the packed bytes of a frame
+  std::string_view body;  ///< of the request or response; the packed bytes of a frame
 };
 
 }  // namespace cranklock::testing
--- a/tests/two_region_clusters.hpp
+++ b/tests/two_region_clusters.hpp
@@ -38,7 +38,7 @@
       }
       const auto used = [](TestCluster& cluster) {
         double gpus = 0;
-        for (const auto& id : cluster.rules.accepted()) {
+        for (const auto& id : cluster.rules.accepted_jobs()) {
           gpus += cluster.live_tasks(id) * cluster.rules.spec(id)->resources.gpus;
         }
         return gpus;
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -501,7 +501,7 @@
 
   ClusterOfUsers() { cluster.run(5); }
   Answer ask(const std::string& method, const std::string& path, const std::string& body = "") {
-    const auto response = cluster.ask(0, method, path, body);
+    const auto response = cluster.send_request(0, method, path, body);
     return {response.status, response.body};
   }
 };
--- a/tests/worker_stand_in.cpp
+++ b/tests/worker_stand_in.cpp
@@ -30,46 +30,51 @@
 
 }  // namespace
 
-void WorkerStandIn::end_lease(double lease_s, double now) {
-  if (!lease_over(lease_s, now)) return;
+void WorkerStandIn::end_expired_lease(double lease_s, double now) {
+  if (!is_lease_expired(lease_s, now)) return;
   ++agent_epoch;
   tasks.clear();
-  answered_sent = now;
+  last_answered_sent_at = now;
 }
 
-bool WorkerStandIn::progress(TaskEnvironment& environment, double now) {
+bool WorkerStandIn::advance_tasks(TaskEnvironment& environment, double now) {
   bool changed = false;
-  for (auto& [name, t] : tasks) {
+  for (auto& [name, held_task] : tasks) {
     const auto task = *wire::parse_task(name);
-    if (t.state == TaskState::fetching && now - t.since > environment.fetch_s(task)) {
+    if (held_task.state == TaskState::fetching &&
+        now - held_task.state_since > environment.fetch_s(task)) {
       if (environment.is_completed(task)) {
-        t = {t.attempt, TaskState::exited, ExitReason::completed, now};
+        held_task = {held_task.attempt, TaskState::exited, ExitReason::completed, now};
         changed = true;
         continue;
       }
-      const bool runs = environment.starts(*this, task);
-      t = {t.attempt, runs ? TaskState::running : TaskState::waiting, ExitReason::none, now};
+      const bool starts_now = environment.on_image_fetched(*this, task);
+      held_task = {held_task.attempt, starts_now ? TaskState::running : TaskState::waiting,
+                   ExitReason::none, now};
       changed = true;
     }
-    if (t.state == TaskState::waiting && environment.gang_complete(task, t.attempt)) {
-      t = {t.attempt, TaskState::running, ExitReason::none, now};
+    if (held_task.state == TaskState::waiting &&
+        environment.is_gang_ready(task, held_task.attempt)) {
+      held_task = {held_task.attempt, TaskState::running, ExitReason::none, now};
       changed = true;
     }
-    if (t.state == TaskState::running && environment.fails(*this, task)) {
-      t = {t.attempt, TaskState::exited, ExitReason::error, now};
+    if (held_task.state == TaskState::running && environment.must_fail(*this, task)) {
+      held_task = {held_task.attempt, TaskState::exited, ExitReason::error, now};
       changed = true;
       continue;
     }
-    if (t.state == TaskState::running && now - t.since > environment.run_s(task)) {
-      t = {t.attempt, TaskState::exited, ExitReason::completed, now};
-      environment.completed(task);
+    if (held_task.state == TaskState::running &&
+        now - held_task.state_since > environment.run_s(task)) {
+      held_task = {held_task.attempt, TaskState::exited, ExitReason::completed, now};
+      environment.on_task_completed(task);
       changed = true;
     }
   }
   return changed;
 }
 
-void WorkerStandIn::execute(const Json& commands, TaskEnvironment& environment, double now) {
+void WorkerStandIn::execute_commands(const Json& commands, TaskEnvironment& environment,
+                                     double now) {
   for (const auto& command : commands.GetArray()) {
     const std::string command_kind = command["Verb"].GetString(),
                       name = command["Tooth"].GetString();
@@ -87,39 +92,39 @@
   }
 }
 
-std::string WorkerStandIn::heartbeat() {
-  JsonWriter j;
-  j.begin().key("Rig").text(id).key("Address").text(address).key("Frame").text(kind.type);
-  j.key("Yard").text(kind.zone).key("Loaners").flag(kind.spot).key("Shift").count(agent_epoch);
-  j.key("Tick").count(++sequence).key("KeyTurn").count(fencing_token);
-  if (preemption_notice_s) j.key("WarningS").amount(*preemption_notice_s);
-  j.key("Teeth").list();
-  for (const auto& [name, t] : tasks) {
-    j.begin().key("Tooth").text(name).key("Crank").count(t.attempt);
-    j.key("Stance").text(state_name(t.state));
-    if (t.state == TaskState::exited) {
-      const bool failed = t.exit_reason == ExitReason::error;
-      j.key("Cause").text(t.exit_reason == ExitReason::completed ? "done"
-                          : failed                               ? "error"
-                                                                 : "halted");
+std::string WorkerStandIn::next_heartbeat() {
+  JsonWriter writer;
+  writer.begin().key("Rig").text(id).key("Address").text(address).key("Frame").text(kind.type);
+  writer.key("Yard").text(kind.zone).key("Loaners").flag(kind.spot).key("Shift").count(agent_epoch);
+  writer.key("Tick").count(++sequence).key("KeyTurn").count(fencing_token);
+  if (preemption_notice_s) writer.key("WarningS").amount(*preemption_notice_s);
+  writer.key("Teeth").list();
+  for (const auto& [name, held_task] : tasks) {
+    writer.begin().key("Tooth").text(name).key("Crank").count(held_task.attempt);
+    writer.key("Stance").text(state_name(held_task.state));
+    if (held_task.state == TaskState::exited) {
+      const bool failed = held_task.exit_reason == ExitReason::error;
+      writer.key("Cause").text(held_task.exit_reason == ExitReason::completed ? "done"
+                               : failed                                       ? "error"
+                                                                              : "halted");
     }
-    j.end();
+    writer.end();
   }
-  j.list_end().end();
-  return j.take();
+  writer.list_end().end();
+  return writer.take();
 }
 
-net::Response WorkerStandIn::commands(const net::Request& request, TaskEnvironment& environment,
-                                      double now) {
-  progress(environment, now);
+net::Response WorkerStandIn::handle_commands(const net::Request& request,
+                                             TaskEnvironment& environment, double now) {
+  advance_tasks(environment, now);
   const JsonDocument document(request.body);
-  const auto told = document.root()["KeyTurn"].GetUint64();
-  if (told < fencing_token || document.root()["Shift"].GetUint64() != agent_epoch) {
-    return control::make_response(409, heartbeat());
+  const auto received_token = document.root()["KeyTurn"].GetUint64();
+  if (received_token < fencing_token || document.root()["Shift"].GetUint64() != agent_epoch) {
+    return control::make_response(409, next_heartbeat());
   }
-  fencing_token = told;
-  execute(document.root()["Orders"], environment, now);
-  return control::make_response(200, heartbeat());
+  fencing_token = received_token;
+  execute_commands(document.root()["Orders"], environment, now);
+  return control::make_response(200, next_heartbeat());
 }
 
 }  // namespace cranklock::testing
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -1,5 +1,5 @@
-// An agent without computation: leases, agent epochs, images and tasks as PROTOCOL describes them.
-// The test cluster and the lab carry its messages and decide which faults it has.
+// An agent that simulates its tasks: leases, agent epochs, images and tasks as specified in
+// PROTOCOL. The test cluster and the lab transport its messages and inject its faults.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +21,10 @@
     std::uint64_t attempt;
     wire::TaskState state;
     wire::ExitReason exit_reason;
-    double since;
+    double state_since;
   };
 
-  /// What its tasks are part of.
+  /// Run times, faults and observers of the agents' tasks.
   class TaskEnvironment {
    public:
     TaskEnvironment() = default;
@@ -33,36 +33,39 @@
     virtual ~TaskEnvironment() = default;
     virtual double fetch_s(const wire::TaskName& task) const = 0;
     virtual double run_s(const wire::TaskName& task) const = 0;
-    /// Its result was kept: it is over as soon as it has its image.
+    /// The task's result is already stored: it completes as soon as its image is fetched.
     virtual bool is_completed(const wire::TaskName& task) const = 0;
     virtual void on_start_command(const wire::TaskName& task) = 0;
-    /// It has its image. False: it waits for the rest of its gang.
-    virtual bool starts(const WorkerStandIn& worker, const wire::TaskName& task) = 0;
-    /// Whether all of the gang have come to wait.
-    virtual bool gang_complete(const wire::TaskName& task, std::uint64_t attempt) const = 0;
-    virtual void completed(const wire::TaskName& task) = 0;
-    /// It was submitted with a mistake, or its machine is faulty: it ends with an error.
-    virtual bool fails(const WorkerStandIn&, const wire::TaskName&) const { return false; }
+    /// Called when the task's image is fetched; false if the task has to wait for its gang.
+    virtual bool on_image_fetched(const WorkerStandIn& worker, const wire::TaskName& task) = 0;
+    /// Whether all tasks of the gang have fetched their image.
+    virtual bool is_gang_ready(const wire::TaskName& task, std::uint64_t attempt) const = 0;
+    virtual void on_task_completed(const wire::TaskName& task) = 0;
+    /// Whether the task exits with an error because its job or the machine is faulty.
+    virtual bool must_fail(const WorkerStandIn&, const wire::TaskName&) const { return false; }
   };
 
   std::string id, address;
   sched::MachineKind kind{"g8", "a", false};
   std::uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
-  double answered_sent = 0;  ///< sending of the last heartbeat that was answered
-  double began = 0;
+  double last_answered_sent_at = 0;  ///< sending time of the last answered heartbeat
+  double created_at = 0;
   std::map<std::string, Task> tasks;
-  std::optional<double> preemption_notice_s;  ///< until the cloud takes it, as its heartbeats say
+  std::optional<double> preemption_notice_s;  ///< seconds until preemption, sent in heartbeats
 
-  /// Lets time pass: images arrive, tasks begin and complete. True when something has changed.
-  bool progress(TaskEnvironment& environment, double now);
-  bool lease_over(double lease_s, double now) const { return now - answered_sent > lease_s; }
-  /// Kills and forgets everything if its lease is over.
-  void end_lease(double lease_s, double now);
-  void execute(const wire::Json& commands, TaskEnvironment& environment, double now);
-  /// The next heartbeat's body.
-  std::string heartbeat();
-  /// Answers POST /commands.
-  net::Response commands(const net::Request& request, TaskEnvironment& environment, double now);
+  /// Applies the passage of time: images are fetched, tasks start and end. True if a task changed.
+  bool advance_tasks(TaskEnvironment& environment, double now);
+  bool is_lease_expired(double lease_s, double now) const {
+    return now - last_answered_sent_at > lease_s;
+  }
+  /// If the lease has expired, drops all tasks and begins a new agent epoch.
+  void end_expired_lease(double lease_s, double now);
+  void execute_commands(const wire::Json& commands, TaskEnvironment& environment, double now);
+  /// Increments the sequence number and returns the body of the next heartbeat.
+  std::string next_heartbeat();
+  /// Handles POST /commands.
+  net::Response handle_commands(const net::Request& request, TaskEnvironment& environment,
+                                double now);
 };
 
 }  // namespace cranklock::testing
