--- a/tests/moves_replicas_test.cpp
+++ b/tests/moves_replicas_test.cpp
@@ -207,12 +207,12 @@
     Chats chats;
     auto& w = chats.w;
     ASSERT_TRUE(chats.fragments.run_into_plan(at));
-    for (auto& [id, worker] : w.workers) worker->commands_late_s = 13;
+    for (auto& [id, worker] : w.workers) worker->command_delay_s = 13;
     const int first = w.leader();
     chats.fragments.run(2);
     w.crash_node(first);
     chats.fragments.run(20);
-    for (auto& [id, worker] : w.workers) worker->commands_late_s = 0;
+    for (auto& [id, worker] : w.workers) worker->command_delay_s = 0;
     w.start_node(first);
     EXPECT_TRUE(chats.fragments.recovers()) << at;
     EXPECT_EQ(chats.dropped, 0) << at;
@@ -243,7 +243,7 @@
     auto& w = chats.w;
     chats.fragments.ask_for_large();
     ASSERT_TRUE(chats.fragments.reach_plan());
-    for (auto& [id, worker] : w.workers) worker->commands_late_s = 4;
+    for (auto& [id, worker] : w.workers) worker->command_delay_s = 4;
     chats.fragments.run(at);
     w.cancel(w.leader(), kLarge);
     chats.fragments.run(10);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -229,7 +229,7 @@
 
 /// Spot machines of zone a.
 struct SpotFleet {
-  Fleet fleet{std::initializer_list<Fleet::Where>{}};
+  Fleet fleet{std::initializer_list<Fleet::MachineLocation>{}};
 
   void hear(const std::string& machine, std::uint64_t sequence, double now,
             std::optional<double> preemption_notice_s = std::nullopt) {
@@ -272,7 +272,7 @@
   Job& batch;
   Job* gang = nullptr;
 
-  GangBehindBatch(std::initializer_list<Fleet::Where> machines)
+  GangBehindBatch(std::initializer_list<Fleet::MachineLocation> machines)
       : fleet(machines), batch(add_batch(static_cast<std::uint32_t>(2 * machines.size()))) {
     EXPECT_EQ(fleet.run_pass().placed, static_cast<int>(batch.spec.tasks));
     fleet.mark_written(batch);
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -98,7 +98,7 @@
 }
 
 TEST(ShortfallEstimator, TasksArePackedIntoAsFewMachinesAsWillDo) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   const Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 4, 3));
   const Shortfall shortfall = shortfall_of(fleet, job);
   EXPECT_EQ(machines_in(shortfall), 2);
@@ -106,20 +106,20 @@
 }
 
 TEST(ShortfallEstimator, NothingIsWantedBeyondTheTeamsLimit) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   const Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 4, 8));
   EXPECT_EQ(machines_in(shortfall_of(fleet, job)), 2);  // 16 GPUs
 }
 
 TEST(ShortfallEstimator, WhatStartsIsUsedFirst) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   fleet.cluster.upsert_machine("n-1", {"g8", "a", false}, 0);
   const Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 2, 8));
   EXPECT_EQ(machines_in(shortfall_of(fleet, job)), 1);
 }
 
 TEST(ShortfallEstimator, TheCheapestKindThatWasNotRefusedIsWanted) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   Job spot = make_job("j-000001", JobKind::job_array, 1, 8);
   spot.spec.spot = true;
   const Job& job = fleet.add(std::move(spot));
@@ -134,7 +134,7 @@
 }
 
 TEST(ShortfallEstimator, AJobWhoseTasksFailLacksNoMachines) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 1, 8));
   job.retry.failed_rounds = 1;
   EXPECT_EQ(machines_in(shortfall_of(fleet, job)), 0);
--- a/tests/regions_cluster_test.cpp
+++ b/tests/regions_cluster_test.cpp
@@ -145,7 +145,7 @@
   if (wanted > kLimit) return;  // not all of it fits
   for (const auto& [cluster, id] : services) {
     ASSERT_NE(cluster->rules.spec(id), nullptr);
-    EXPECT_EQ(cluster->running(id), static_cast<int>(cluster->rules.spec(id)->tasks)) << id;
+    EXPECT_EQ(cluster->running_tasks(id), static_cast<int>(cluster->rules.spec(id)->tasks)) << id;
   }
 }
 
