--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -73,7 +73,7 @@
   int requested_machines(double now) {
     cluster.update_overdue_boots(now);
     int total = 0;
-    for (const auto& [kind, count] : pass(now).shortfall.wanted) total += count;
+    for (const auto& [kind, count] : run_pass(now).shortfall.wanted) total += count;
     return total;
   }
 };
@@ -91,7 +91,7 @@
   const double late_s = 2.3 * fleet.ready_s();
   fleet.cluster.reconcile_heartbeat(
       testing::heartbeat("n-9", 1, 1, {}, testing::kFencingToken, "a"), true, late_s);
-  EXPECT_EQ(fleet.pass(late_s).placed, 1);
+  EXPECT_EQ(fleet.run_pass(late_s).placed, 1);
   EXPECT_EQ(fleet.cluster.machine("n-9")->tasks.size(), 1U);
 }
 
@@ -122,7 +122,7 @@
   EXPECT_GT(fleet.cluster.expected_boot_s(*fleet.cluster.type("g8"), "a", slow_s), fleet.ready_s());
   EXPECT_EQ(fleet.requested_machines(slow_s + 1), 0);  // n-9 is not overdue yet
   fleet.add(testing::make_job("j-000002", wire::JobKind::service, 1, 8, "red"));
-  const auto result = fleet.pass(slow_s + 2);
+  const auto result = fleet.run_pass(slow_s + 2);
   ASSERT_EQ(result.shortfall.wanted.size(), 1U);
   EXPECT_EQ(result.shortfall.wanted.begin()->first.zone, "b");
 }
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -12,7 +12,7 @@
 using testing::heartbeat;
 using testing::kFencingToken;
 using testing::make_job;
-using testing::task;
+using testing::task_status;
 using wire::CommandKind;
 using wire::ExitReason;
 using wire::TaskState;
@@ -21,8 +21,8 @@
 struct PlacedFleet : Fleet {
   Job& job;
   PlacedFleet() : job(add(make_job("j-000001", wire::JobKind::service, 1, 4))) {
-    pass();
-    written(job);
+    run_pass();
+    mark_written(job);
   }
   Placement& placement() { return job.placements.at(0); }
   ClusterState::Freshness reconcile(const wire::Heartbeat& message, double now = 2) {
@@ -78,21 +78,21 @@
 TEST(ClusterState, ATaskWithAnIndeterminateStartIsNeverForgotten) {
   PlacedFleet fleet;
   fleet.cluster.machine("n-1")->agent.indeterminate_starts.insert({{"j-000001", 0}, 1});
-  const auto exited =
-      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
+  const auto exited = heartbeat(
+      "n-1", 1, 5, {task_status("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
   fleet.reconcile(exited);
-  fleet.written(fleet.job);
+  fleet.mark_written(fleet.job);
   EXPECT_TRUE(fleet.cluster.commands_for(exited, true, 3).empty());
 }
 
 TEST(ClusterState, DoneIsDurableBeforeForget) {
   PlacedFleet fleet;
-  const auto exited =
-      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
+  const auto exited = heartbeat(
+      "n-1", 1, 5, {task_status("j-000001", 0, 1, TaskState::exited, ExitReason::completed)});
   fleet.reconcile(exited);
   EXPECT_TRUE(fleet.job.complete());
   EXPECT_TRUE(fleet.cluster.commands_for(exited, true, 3).empty());
-  fleet.written(fleet.job);
+  fleet.mark_written(fleet.job);
   const auto commands = fleet.cluster.commands_for(exited, true, 3);
   ASSERT_EQ(commands.size(), 1u);
   EXPECT_EQ(commands[0].kind, CommandKind::forget);
@@ -113,11 +113,11 @@
   EXPECT_FALSE(fleet.placement().ended);
   report_without_task(4);
   EXPECT_TRUE(fleet.placement().ended);
-  fleet.written(fleet.job);
-  EXPECT_EQ(fleet.pass(5).placed, 0);
+  fleet.mark_written(fleet.job);
+  EXPECT_EQ(fleet.run_pass(5).placed, 0);
   // It is usable again after a lease.
   report_without_task(5 + static_cast<std::uint64_t>(fleet.settings.lease_s));
-  EXPECT_EQ(fleet.pass(20).placed, 1);
+  EXPECT_EQ(fleet.run_pass(20).placed, 1);
 }
 
 TEST(ClusterState, AMachineThatNeverSendsThisLeadersTokenGetsNoPlacements) {
@@ -128,7 +128,7 @@
                                       2);
     fleet.cluster.record_response("n-1", 2);
   }
-  EXPECT_EQ(fleet.pass(3).placed, 0);
+  EXPECT_EQ(fleet.run_pass(3).placed, 0);
 }
 
 // A direct start command without a response may still be executed.
@@ -179,7 +179,7 @@
   EXPECT_TRUE(stored.placements[0].ended);
   // If the machine reports again, the placement remains ended.
   fleet.cluster.reconcile_heartbeat(
-      heartbeat("n-1", 2, 1, {task("j-000001", 0, 1, wire::TaskState::running)}), true,
+      heartbeat("n-1", 2, 1, {task_status("j-000001", 0, 1, wire::TaskState::running)}), true,
       lease_end + 2);
   EXPECT_TRUE(stored.placements[0].ended);
 }
@@ -208,7 +208,7 @@
   PlacedFleet fleet;
   fleet.job.cancelled_at_ms = 99;
   EXPECT_TRUE(fleet.cluster.commands_for(heartbeat("n-1", 1, 2), true, 2).empty());
-  const auto running = heartbeat("n-1", 1, 3, {task("j-000001", 0, 1, TaskState::running)});
+  const auto running = heartbeat("n-1", 1, 3, {task_status("j-000001", 0, 1, TaskState::running)});
   fleet.reconcile(running);
   const auto commands = fleet.cluster.commands_for(running, true, 3);
   ASSERT_EQ(commands.size(), 1u);
@@ -217,8 +217,8 @@
 
 TEST(ClusterState, AReloadKeepsACompletionThatWasNotWritten) {
   PlacedFleet fleet;
-  fleet.reconcile(
-      heartbeat("n-1", 1, 5, {task("j-000001", 0, 1, TaskState::exited, ExitReason::completed)}));
+  fleet.reconcile(heartbeat(
+      "n-1", 1, 5, {task_status("j-000001", 0, 1, TaskState::exited, ExitReason::completed)}));
   // The write of `done` was lost; the stored record still contains the placement.
   auto stored = make_job("j-000001", wire::JobKind::service, 1, 4);
   stored.last_attempt = 1;
@@ -238,11 +238,11 @@
   for (const char* id : {"j-000001", "j-000002"}) {
     fleet.add(make_job(id, wire::JobKind::job_array, 1, 1));
   }
-  fleet.pass();
+  fleet.run_pass();
   std::vector<wire::TaskStatus> failed;
   for (const char* id : {"j-000001", "j-000002"}) {
-    fleet.written(*fleet.cluster.job(id));
-    failed.push_back(task(id, 0, 1, TaskState::exited, ExitReason::error));
+    fleet.mark_written(*fleet.cluster.job(id));
+    failed.push_back(task_status(id, 0, 1, TaskState::exited, ExitReason::error));
   }
   fleet.cluster.reconcile_heartbeat(heartbeat("n-1", 1, 2, failed), true, 2);
   EXPECT_TRUE(fleet.cluster.machine("n-1")->quarantined());
@@ -252,33 +252,34 @@
 TEST(ClusterState, AJobThatFailsOnSeveralMachinesBacksOff) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
   Job& job = fleet.add(make_job("j-000001", wire::JobKind::job_array, 2, 8));
-  fleet.pass();
-  fleet.written(job);
+  fleet.run_pass();
+  fleet.mark_written(job);
   for (auto& placement : job.placements) {
-    fleet.cluster.reconcile_heartbeat(heartbeat(placement.machine, 1, 2,
-                                                {task("j-000001", placement.task, placement.attempt,
-                                                      TaskState::exited, ExitReason::error)}),
-                                      true, 2);
+    fleet.cluster.reconcile_heartbeat(
+        heartbeat(placement.machine, 1, 2,
+                  {task_status("j-000001", placement.task, placement.attempt, TaskState::exited,
+                               ExitReason::error)}),
+        true, 2);
   }
   EXPECT_GT(job.retry.backoff_until, 2);
   EXPECT_FALSE(fleet.cluster.machine("n-1")->quarantined());
-  EXPECT_EQ(fleet.pass(2.1).placed, 0);
+  EXPECT_EQ(fleet.run_pass(2.1).placed, 0);
 }
 
 /// Runs a placement pass and reports an error for each placement of these jobs; returns the number
 /// of errors.
 int fail_all(Fleet& fleet, const std::set<std::string>& jobs, std::uint64_t sequence, double now) {
-  fleet.pass(now);
+  fleet.run_pass(now);
   std::map<std::string, std::vector<wire::TaskStatus>> reports;
   int failed = 0;
   for (auto& [id, job] : fleet.cluster.jobs()) {
-    fleet.written(job);
+    fleet.mark_written(job);
     for (const auto& placement : job.placements) {
       const bool fails = jobs.contains(id);
       failed += fails ? 1 : 0;
-      reports[placement.machine].push_back(task(id, placement.task, placement.attempt,
-                                                fails ? TaskState::exited : TaskState::running,
-                                                fails ? ExitReason::error : ExitReason::none));
+      reports[placement.machine].push_back(task_status(
+          id, placement.task, placement.attempt, fails ? TaskState::exited : TaskState::running,
+          fails ? ExitReason::error : ExitReason::none));
     }
   }
   for (const auto& [machine, tasks] : reports) {
@@ -304,7 +305,7 @@
   EXPECT_FALSE(fleet.cluster.machine("n-2")->quarantined());
   // With backoff: a few rounds of each job, then at most one every 32 heartbeat intervals.
   EXPECT_LE(failed, 3 * 4 * (5 + 200 / 32 + 1));
-  EXPECT_TRUE(fleet.pass(210).shortfall.wanted.empty());
+  EXPECT_TRUE(fleet.run_pass(210).shortfall.wanted.empty());
 }
 
 // A machine that fails a job which works elsewhere is quarantined even if another job fails on all
@@ -313,15 +314,15 @@
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
   Job& sound = fleet.add(make_job("j-000001", wire::JobKind::job_array, 6, 2));
   fleet.add(make_job("j-000002", wire::JobKind::job_array, 2, 2, "blue"));
-  fleet.pass(2);
-  for (auto& [id, job] : fleet.cluster.jobs()) fleet.written(job);
+  fleet.run_pass(2);
+  for (auto& [id, job] : fleet.cluster.jobs()) fleet.mark_written(job);
   std::map<std::string, std::vector<wire::TaskStatus>> reports;
   for (const auto& [id, job] : fleet.cluster.jobs()) {
     for (const auto& placement : job.placements) {
       const bool works = id == "j-000001" && placement.machine == "n-2";
-      reports[placement.machine].push_back(task(id, placement.task, placement.attempt,
-                                                TaskState::exited,
-                                                works ? ExitReason::completed : ExitReason::error));
+      reports[placement.machine].push_back(
+          task_status(id, placement.task, placement.attempt, TaskState::exited,
+                      works ? ExitReason::completed : ExitReason::error));
     }
   }
   ASSERT_EQ(reports.size(), 2U);
@@ -353,14 +354,15 @@
   Job& job = fleet.add(make_job("j-000001", wire::JobKind::job_array, 2, 8));
   ASSERT_EQ(fail_all(fleet, {"j-000001"}, 2, 2), 2);
   ASSERT_GT(job.retry.failed_rounds, 0);
-  fleet.pass(10);
-  fleet.written(job);
+  fleet.run_pass(10);
+  fleet.mark_written(job);
   ASSERT_EQ(job.live_count(), 2U);
   const auto placement = job.placements.front();
-  fleet.cluster.reconcile_heartbeat(heartbeat(placement.machine, 1, 3,
-                                              {task("j-000001", placement.task, placement.attempt,
-                                                    TaskState::exited, ExitReason::completed)}),
-                                    true, 11);
+  fleet.cluster.reconcile_heartbeat(
+      heartbeat(placement.machine, 1, 3,
+                {task_status("j-000001", placement.task, placement.attempt, TaskState::exited,
+                             ExitReason::completed)}),
+      true, 11);
   EXPECT_EQ(job.retry.failed_rounds, 0);
   EXPECT_TRUE(job.retry.failed_machines.empty());
 }
@@ -374,24 +376,24 @@
   fresh.last_attempt = 4;
   Job& backed_off = fleet.add(failing);
   fleet.add(fresh);
-  EXPECT_EQ(fleet.pass(1).placed, 4);
+  EXPECT_EQ(fleet.run_pass(1).placed, 4);
   EXPECT_EQ(backed_off.live_count(), 0U);
-  EXPECT_EQ(fleet.pass(0.1 + backed_off.retry.backoff_until).placed, 4);
+  EXPECT_EQ(fleet.run_pass(0.1 + backed_off.retry.backoff_until).placed, 4);
   EXPECT_GE(backed_off.retry.earlier_failed_rounds, 3);
 }
 
 TEST(ClusterState, AGangThatLosesATaskIsStoppedEntirely) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
   Job& job = fleet.add(make_job("j-000001", wire::JobKind::gang, 2, 8));
-  fleet.pass();
-  fleet.written(job);
+  fleet.run_pass();
+  fleet.mark_written(job);
   ASSERT_EQ(job.placements.size(), 2u);
   EXPECT_EQ(job.placements[0].attempt, job.placements[1].attempt);
   fleet.cluster.remove_machine("n-1", 3);
   for (const auto& placement : job.placements)
     EXPECT_TRUE(placement.ended || placement.stop_requested);
   // The next attempt is placed only after all tasks of the old one have ended.
-  EXPECT_EQ(fleet.pass(4).placed, 0);
+  EXPECT_EQ(fleet.run_pass(4).placed, 0);
 }
 
 // Guards against starting a task again while a forwarder in an unreachable zone may still renew the
@@ -399,7 +401,7 @@
 TEST(ClusterState, ALeaseLastsWhileAForwarderMayRenewIt) {
   Fleet fleet;
   fleet.add(make_job("j-000001", wire::JobKind::service, 1, 8));
-  ASSERT_EQ(fleet.pass().placed, 1);
+  ASSERT_EQ(fleet.run_pass().placed, 1);
   Machine& machine = *fleet.cluster.machine("n-1");
   machine.lease.delegated_until["n1"] = 25;
   EXPECT_TRUE(fleet.cluster.expire_leases(12).empty());  // last response at 0, the lease is 10 s
@@ -448,11 +450,11 @@
 TEST(ClusterState, CapacityForTasksInAnUnreachableZoneIsProvisionedElsewhere) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}, {"n-4", "b"}});
   fleet.add(make_job("j-000001", wire::JobKind::service, 2, 8));
-  ASSERT_EQ(fleet.pass().placed, 2);
-  ASSERT_TRUE(fleet.pass().shortfall.wanted.empty());
+  ASSERT_EQ(fleet.run_pass().placed, 2);
+  ASSERT_TRUE(fleet.run_pass().shortfall.wanted.empty());
   fleet.cluster.reconcile_heartbeat(heartbeat("n-4", 1, 2, {}, kFencingToken, "b"), true, 5);
   fleet.cluster.update_zone_reachability(5);
-  const auto wanted = fleet.pass(5).shortfall.wanted;  // one of the two fits on n-4
+  const auto wanted = fleet.run_pass(5).shortfall.wanted;  // one of the two fits on n-4
   ASSERT_EQ(wanted.size(), 1u);
   EXPECT_EQ(wanted.begin()->first.zone, "b");
   EXPECT_EQ(wanted.begin()->second, 1);
@@ -530,8 +532,8 @@
   const auto exited = wire::TaskState::exited;
   fleet.cluster.reconcile_heartbeat(
       heartbeat("n-7", 1, 9,
-                {task("j-000001", 0, 1, exited, wire::ExitReason::stopped),
-                 task("j-000001", 1, 2, exited, wire::ExitReason::completed)},
+                {task_status("j-000001", 0, 1, exited, wire::ExitReason::stopped),
+                 task_status("j-000001", 1, 2, exited, wire::ExitReason::completed)},
                 kFencingToken - 1),
       true, 1);
   EXPECT_EQ(job.live_count(), 2U);
@@ -560,10 +562,10 @@
   EXPECT_EQ(commands[1].kind, CommandKind::stop);
   EXPECT_TRUE(fleet.cluster.commands_for(heartbeat("n-1", 1, 3), false, 3).empty());
   const auto ended = heartbeat(
-      "n-1", 1, 4, {task("j-000001", 0, attempt, TaskState::exited, ExitReason::stopped)});
+      "n-1", 1, 4, {task_status("j-000001", 0, attempt, TaskState::exited, ExitReason::stopped)});
   fleet.reconcile(ended, 4);
   EXPECT_EQ(fleet.job.live_count(), 0U);
-  fleet.written(fleet.job);
+  fleet.mark_written(fleet.job);
   // No `forget` is sent in this agent epoch.
   EXPECT_TRUE(fleet.cluster.commands_for(ended, true, 4).empty());
 }
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -63,12 +63,12 @@
   Fleet fleet;
   fleet.add(dependent("j-000003", {"j-000001", "j-000002"}));
   EXPECT_EQ(fleet.cluster.unknown_outcomes(), (std::vector<std::string>{"j-000001", "j-000002"}));
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
   fleet.cluster.record_outcome("j-000001", done_at(2000));
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
   fleet.cluster.record_outcome("j-000002", done_at(3000));
   EXPECT_TRUE(fleet.cluster.unknown_outcomes().empty());
-  EXPECT_EQ(fleet.pass().placed, 1);
+  EXPECT_EQ(fleet.run_pass().placed, 1);
   EXPECT_EQ(fleet.cluster.job("j-000003")->ready_ms, 3000);
 }
 
@@ -79,9 +79,9 @@
   Job& first = fleet.add(make_job("j-000001", JobKind::job_array, 1, 1));
   fleet.add(dependent("j-000002", {"j-000001"}));
   first.done.add(0);
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
   fleet.cluster.remove_job("j-000001");
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
   EXPECT_EQ(fleet.cluster.unknown_outcomes(), std::vector<std::string>{"j-000001"});
 }
 
@@ -136,31 +136,31 @@
   }
   fleet.add(dependent("j-1", {"j-2"}));
   fleet.add(dependent("j-2", {"j-1"}));
-  EXPECT_EQ(fleet.pass().placed, 1);
+  EXPECT_EQ(fleet.run_pass().placed, 1);
   fleet.cluster.cancel(*fleet.cluster.job(id(0)), 5, 5);
   EXPECT_TRUE(fleet.cluster.job(id(kLength - 1))->cancelled());
   fleet.cluster.cancel(*fleet.cluster.job("j-1"), 5, 5);
   EXPECT_TRUE(fleet.cluster.job("j-2")->cancelled());
-  EXPECT_EQ(fleet.pass(2).placed, 0);
+  EXPECT_EQ(fleet.run_pass(2).placed, 0);
 }
 
 TEST(Dependencies, AJobWithUnmetDependenciesUsesNoGuaranteeAddsNoLoadAndPreemptsNothing) {
   Fleet fleet;
   fleet.settings.teams = {{"red", 0, 0, 8, 16}, {"blue", 0, 0, 8, 16}};
   Job& runs = fleet.add(make_job("j-000001", JobKind::service, 8, 1, "blue"));
-  EXPECT_EQ(fleet.pass().placed, 8);
-  fleet.written(runs);
+  EXPECT_EQ(fleet.run_pass().placed, 8);
+  fleet.mark_written(runs);
   Job waits = make_job("j-000002", JobKind::service, 8, 1);
   waits.spec.priority = Priority::production;
   waits.spec.dependencies = {"j-000009"};
   fleet.add(std::move(waits));
-  const auto result = fleet.pass(2);
+  const auto result = fleet.run_pass(2);
   EXPECT_EQ(result.preempted, 0);
   EXPECT_TRUE(result.shortfall.requested.empty());
   // If the job with unmet dependencies counted, it would use the whole guarantee, and this job
   // would not be guaranteed.
   Job& later = fleet.add(make_job("j-000003", JobKind::service, 1, 1));
-  fleet.pass(3);
+  fleet.run_pass(3);
   EXPECT_TRUE(later.guaranteed);
 }
 
@@ -179,7 +179,7 @@
   auto last = dependent("j-000003", {"j-000002"});
   last.spec.priority = Priority::high;
   fleet.add(std::move(last));
-  EXPECT_EQ(fleet.pass().placed, 1);  // only one job fits
+  EXPECT_EQ(fleet.run_pass().placed, 1);  // only one job fits
   EXPECT_EQ(fleet.cluster.job("j-000001")->placements.size(), 1U);
 }
 
@@ -195,7 +195,7 @@
   last.spec.estimate_s = 5;
   last.spec.deadline_s = 60;
   fleet.add(std::move(last));
-  fleet.pass();
+  fleet.run_pass();
   EXPECT_EQ(fleet.cluster.job("j-000003")->urgency.start_by_ms, 1000 + 55'000);
   EXPECT_EQ(fleet.cluster.job("j-000001")->urgency.start_by_ms, 1000 + 25'000);
 }
--- a/tests/fragments.hpp
+++ b/tests/fragments.hpp
@@ -44,7 +44,7 @@
     cluster.cloud_without_capacity = true;
     cluster.run_s = 1e6;
     for (int task = 0; task < 4; ++task)
-      cluster.run_s_of[std::string(kShortJob) + "/" + std::to_string(task)] = 8;
+      cluster.run_s_by_task[std::string(kShortJob) + "/" + std::to_string(task)] = 8;
     for (int i = 0; i < 4; ++i) cluster.add_worker();
     cluster.run(2);
     auto short_lived = array_of(kShortJob, 4, 5);
@@ -60,7 +60,7 @@
   }
 
   void submit_large_job() {
-    ASSERT_EQ(cluster.running(kSmallJob), 4);
+    ASSERT_EQ(cluster.running_tasks(kSmallJob), 4);
     ASSERT_EQ(cluster.live_tasks(kShortJob), 0);
     cluster.submit(1, large_spec());
   }
@@ -104,7 +104,9 @@
     return until(max_plan_time_s() + 2 * kBootS,
                  [this] { return is_large_job_running() && is_settled(); });
   }
-  bool is_large_job_running(const std::string& id = kLargeJob) { return cluster.running(id) == 2; }
+  bool is_large_job_running(const std::string& id = kLargeJob) {
+    return cluster.running_tasks(id) == 2;
+  }
   bool has_reservations() {
     const int node = rightful_leader();
     return node >= 0 && !cluster.term(node)->cluster().reservations().empty();
@@ -123,7 +125,7 @@
   }
   /// No plan, no reservations and no move in progress, and all small tasks run.
   bool is_settled() {
-    return !has_plan() && !has_reservations() && cluster.running(kSmallJob) == 4;
+    return !has_plan() && !has_reservations() && cluster.running_tasks(kSmallJob) == 4;
   }
   /// The maximum duration of a plan, and the time until all nodes have noticed its end.
   double max_plan_time_s() const {
--- a/tests/heartbeat_commands_test.cpp
+++ b/tests/heartbeat_commands_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using testing::heartbeat;
-using testing::task;
+using testing::task_status;
 using wire::CommandKind;
 using wire::TaskState;
 
@@ -23,7 +23,7 @@
   /// The kinds of the commands in the response to a report of the job's first task.
   std::vector<CommandKind> response_to(TaskState state, double now = 1) {
     std::vector<CommandKind> kinds;
-    for (const auto& command : respond({task("j-000001", 0, 1, state)}, false, now)) {
+    for (const auto& command : respond({task_status("j-000001", 0, 1, state)}, false, now)) {
       kinds.push_back(command.kind);
     }
     return kinds;
@@ -40,7 +40,7 @@
   EXPECT_EQ(started[0].task, (wire::TaskName{"j-000001", 0}));
   EXPECT_EQ(started[0].attempt, 1U);
   EXPECT_EQ(placement.last_start_sequence, (AgentSequence{1, 2}));
-  EXPECT_TRUE(respond({task("j-000001", 0, 1, TaskState::fetching)}).empty());
+  EXPECT_TRUE(respond({task_status("j-000001", 0, 1, TaskState::fetching)}).empty());
 }
 
 TEST_F(HeartbeatCommandsTest, NothingIsStartedWithoutPermission) {
@@ -84,13 +84,13 @@
 
 TEST_F(HeartbeatCommandsTest, AStopIsRepeatedWithoutGraceAfterTheGracePeriod) {
   place(0, 1).request_stop(8, 1);
-  const auto stopped = respond({task("j-000001", 0, 1, TaskState::running)}, false, 2);
+  const auto stopped = respond({task_status("j-000001", 0, 1, TaskState::running)}, false, 2);
   ASSERT_EQ(stopped.size(), 1U);
   EXPECT_EQ(stopped[0].grace_s, 8);
   EXPECT_EQ(response_to(TaskState::checkpointing, 2), Kinds{});
   const double overdue = 1 + 8 + 2 * settings.heartbeat_interval_s + 0.1;
   const auto final_stop =
-      respond({task("j-000001", 0, 1, TaskState::checkpointing)}, false, overdue);
+      respond({task_status("j-000001", 0, 1, TaskState::checkpointing)}, false, overdue);
   ASSERT_EQ(final_stop.size(), 1U);
   EXPECT_EQ(final_stop[0].grace_s, 0);
 }
--- a/tests/moves_cluster_test.cpp
+++ b/tests/moves_cluster_test.cpp
@@ -26,7 +26,7 @@
   // In less than a boot time, the minimum cost of waiting.
   EXPECT_TRUE(fragments.until(kBootS, [&] { return fragments.is_large_job_running(); }));
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); }));
-  EXPECT_EQ(cluster.ran_twice, 0);
+  EXPECT_EQ(cluster.duplicate_starts, 0);
   EXPECT_EQ(fragments.moves_begun(), 2);
 }
 
@@ -38,7 +38,7 @@
   fragments.cluster.run(3 * kBootS);
   EXPECT_FALSE(fragments.record());
   EXPECT_FALSE(fragments.is_large_job_running());
-  for (const auto& [task, starts] : fragments.cluster.starts) EXPECT_EQ(starts, 1) << task;
+  for (const auto& [task, starts] : fragments.cluster.start_counts) EXPECT_EQ(starts, 1) << task;
 }
 
 // ---- controller failures ----
@@ -74,7 +74,7 @@
     for (const double at : fault_times(successor_runs_s > 0 ? 0.1 : 0.02, 3.2)) {
       Fragments fragments;
       auto& cluster = fragments.cluster;
-      cluster.state_slow_s = 0.1;  // so that each step can be hit by a fault
+      cluster.max_state_delay_s = 0.1;  // so that each step can be hit by a fault
       ASSERT_TRUE(fragments.run_after_plan_stored(at));
       phases.insert(phase_of(fragments));
       const int first = cluster.leader();
@@ -92,7 +92,7 @@
           fragments.max_plan_time_s() + 2 * kBootS,
           [&] { return fragments.is_large_job_running() && fragments.is_settled(); }))
           << "leader crashed at " << at << ", successor after " << successor_runs_s;
-      EXPECT_EQ(cluster.ran_twice, 0);
+      EXPECT_EQ(cluster.duplicate_starts, 0);
     }
   }
   // The fault times covered all phases.
@@ -118,10 +118,10 @@
         return fragments.is_large_job_running() == !cancelled && fragments.is_settled();
       })) << at;
       fragments.run(30);
-      const auto starts = cluster.starts;
+      const auto starts = cluster.start_counts;
       cluster.resume_node(old);
       fragments.run(20);
-      EXPECT_EQ(cluster.starts, starts) << at;
+      EXPECT_EQ(cluster.start_counts, starts) << at;
       EXPECT_TRUE(fragments.is_settled()) << at;
     }
   }
@@ -141,7 +141,7 @@
     cluster.cut_from_state.clear();
     cluster.cut_from_peers.clear();
     EXPECT_TRUE(fragments.recovers()) << at;
-    EXPECT_EQ(cluster.ran_twice, 0);
+    EXPECT_EQ(cluster.duplicate_starts, 0);
   }
 }
 
@@ -182,7 +182,7 @@
           fragments.max_plan_time_s() + 2 * kBootS,
           [&] { return fragments.is_large_job_running() && fragments.is_settled(); }))
           << seed << (late ? " late" : " lost");
-      EXPECT_EQ(cluster.ran_twice, 0);
+      EXPECT_EQ(cluster.duplicate_starts, 0);
     }
   }
 }
@@ -206,7 +206,7 @@
     EXPECT_TRUE(fragments.until(20, [&] { return fragments.is_settled(); }));
     fragments.run(20);
     EXPECT_FALSE(fragments.has_plan());
-    for (const auto& [task, starts] : cluster.starts) EXPECT_EQ(starts, 1) << task;
+    for (const auto& [task, starts] : cluster.start_counts) EXPECT_EQ(starts, 1) << task;
   }
   EXPECT_GT(stored_late, 0);
 }
@@ -239,7 +239,7 @@
 void set_fault(TestCluster::Worker& worker, MachineFault fault, bool on) {
   switch (fault) {
     case MachineFault::crash:
-      worker.gone = worker.is_hung = true;
+      worker.is_deleted = worker.is_hung = true;
       worker.tasks.clear();
       break;
     case MachineFault::hang:
@@ -274,14 +274,14 @@
     set_fault(worker, fault, true);
     fragments.run(25);
     EXPECT_FALSE(fragments.has_plan()) << at;  // well before its timeout
-    if (fault == MachineFault::hang && !worker.gone) cluster.resume_worker(worker);
+    if (fault == MachineFault::hang && !worker.is_deleted) cluster.resume_worker(worker);
     if (fault != MachineFault::crash) set_fault(worker, fault, false);
     // With one machine less, the gang and all small tasks do not fit together.
     EXPECT_TRUE(fragments.until(fragments.max_plan_time_s() + kBootS, [&] {
       return !fragments.has_plan() && !fragments.has_reservations() &&
-             (cluster.running(kSmallJob) == 4 || fragments.is_large_job_running());
+             (cluster.running_tasks(kSmallJob) == 4 || fragments.is_large_job_running());
     })) << at;
-    EXPECT_EQ(cluster.ran_twice, 0);
+    EXPECT_EQ(cluster.duplicate_starts, 0);
   }
 }
 
@@ -310,7 +310,7 @@
     cluster.start_node(first);
     EXPECT_TRUE(fragments.recovers()) << seed;
     fragments.run(20);
-    EXPECT_EQ(cluster.ran_twice, 0);
+    EXPECT_EQ(cluster.duplicate_starts, 0);
     EXPECT_TRUE(fragments.is_large_job_running());
   }
 }
@@ -361,7 +361,7 @@
     cluster.submit(cluster.leader(), urgent);
     // A gang that is already placed is not stopped; then only two replicas fit beside it.
     EXPECT_TRUE(fragments.until(8, [&] {
-      return cluster.running(urgent.id) >= (cluster.live_tasks(kLargeJob) > 0 ? 2 : 4);
+      return cluster.running_tasks(urgent.id) >= (cluster.live_tasks(kLargeJob) > 0 ? 2 : 4);
     })) << at;
     EXPECT_TRUE(fragments.until(fragments.max_plan_time_s(), [&] {
       return !fragments.has_plan() && !fragments.has_reservations();
@@ -411,7 +411,7 @@
   second_source.is_hung = true;
   fragments.run(8);
   EXPECT_TRUE(cluster.workers.at(moves.front().source)->tasks.empty());
-  EXPECT_TRUE(cluster.deleted.empty());
+  EXPECT_TRUE(cluster.deleted_machines.empty());
   cluster.resume_worker(second_source);
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_large_job_running(); }));
 }
@@ -424,7 +424,8 @@
     cluster.cloud_without_capacity = true;
     cluster.run_s = 1e6;
     for (const char* zone : {"a", "a", "b", "b"}) cluster.add_worker(zone);
-    for (int task = 0; task < 4; ++task) cluster.run_s_of["j-000001/" + std::to_string(task)] = 8;
+    for (int task = 0; task < 4; ++task)
+      cluster.run_s_by_task["j-000001/" + std::to_string(task)] = 8;
     cluster.run(2);
     cluster.submit(0, array_of(kShortJob, 4, 5));
     cluster.run(4);
@@ -432,15 +433,15 @@
     small.spread = true;
     cluster.submit(0, small);
     cluster.run(16);
-    ASSERT_EQ(cluster.running(kSmallJob), 4);
+    ASSERT_EQ(cluster.running_tasks(kSmallJob), 4);
     auto large = Fragments::large_spec();
     if (in_one_zone)
       large.zone = "a";  // both machines of the zone: the tasks there would have to leave it
     cluster.submit(1, large);
     cluster.run(3 * kBootS);
-    EXPECT_EQ(cluster.running(kLargeJob), in_one_zone ? 0 : 2);
-    EXPECT_EQ(cluster.running(kSmallJob), 4);
-    for (const auto& [task, starts] : cluster.starts) {
+    EXPECT_EQ(cluster.running_tasks(kLargeJob), in_one_zone ? 0 : 2);
+    EXPECT_EQ(cluster.running_tasks(kSmallJob), 4);
+    for (const auto& [task, starts] : cluster.start_counts) {
       EXPECT_TRUE(starts == 1 || !in_one_zone) << task;
     }
   }
@@ -453,7 +454,7 @@
   fragments.submit_large_job();
   fragments.run(3 * kBootS);
   EXPECT_EQ(fragments.moves_begun(), 0);
-  EXPECT_EQ(fragments.cluster.running(kSmallJob), 4);
+  EXPECT_EQ(fragments.cluster.running_tasks(kSmallJob), 4);
 }
 
 // The moved task keeps its part of the team's limit, although the task is not placed for a moment
@@ -469,11 +470,11 @@
   auto waiting = make_job("j-000005", JobKind::job_array, 10, 1, "red").spec;
   waiting.deadline_s = 1;
   cluster.submit(1, waiting);
-  ASSERT_TRUE(fragments.until(10, [&] { return cluster.running("j-000005") == 8; }));
+  ASSERT_TRUE(fragments.until(10, [&] { return cluster.running_tasks("j-000005") == 8; }));
   ASSERT_TRUE(fragments.reach_plan());
-  EXPECT_TRUE(fragments.until(30, [&] { return cluster.running(kLargeJob) == 1; }));
+  EXPECT_TRUE(fragments.until(30, [&] { return cluster.running_tasks(kLargeJob) == 1; }));
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_settled(); }));
-  EXPECT_EQ(cluster.running("j-000005"), 8);
+  EXPECT_EQ(cluster.running_tasks("j-000005"), 8);
 }
 
 // Another job of the team fills the limit during the plan, so the plan no longer gains anything.
@@ -524,7 +525,7 @@
   for (const auto& move : moves) {
     // The tasks on the targets end, which frees one target entirely without its second move.
     for (const auto& [task, held] : cluster.workers.at(move.target)->tasks)
-      cluster.run_s_of[task] = 0;
+      cluster.run_s_by_task[task] = 0;
   }
   EXPECT_TRUE(fragments.until(10, [&] { return fragments.is_large_job_running(); }));
   EXPECT_TRUE(
@@ -625,7 +626,7 @@
       if (node != newer) cluster.crash_node(node);
     }
     EXPECT_TRUE(fragments.recovers()) << at;
-    EXPECT_EQ(cluster.ran_twice, 0);
+    EXPECT_EQ(cluster.duplicate_starts, 0);
   }
 }
 
--- a/tests/moves_property_test.cpp
+++ b/tests/moves_property_test.cpp
@@ -126,7 +126,7 @@
                          UserBehavior{0, false, false});
         break;
       case Action::end_task:
-        cluster.run_s_of[std::string(kSmallJob) + "/" + std::to_string(step.detail % 4)] = 0;
+        cluster.run_s_by_task[std::string(kSmallJob) + "/" + std::to_string(step.detail % 4)] = 0;
         break;
     }
     run(step.pause_ms / 1000.0);
@@ -167,13 +167,13 @@
     return faulty;
   }
   static void kill(TestCluster::Worker& worker) {
-    worker.gone = worker.is_hung = true;
+    worker.is_deleted = worker.is_hung = true;
     worker.tasks.clear();
   }
   static UserBehavior user_behavior(const Step& step) {
     return UserBehavior{step.detail % 3 == 0 ? 0.01 * step.detail : -1, false, false};
   }
-  std::string next_id() { return name(++submitted_jobs_); }
+  std::string next_id() { return job_id(++submitted_jobs_); }
 
   void run(double seconds) {
     constexpr double kCheckIntervalS = 0.05;
@@ -184,8 +184,8 @@
   }
   void check_invariants() {
     auto& cluster = fragments_.cluster;
-    RC_ASSERT(cluster.ran_twice == 0);
-    RC_ASSERT(cluster.rules.broken.empty());
+    RC_ASSERT(cluster.duplicate_starts == 0);
+    RC_ASSERT(cluster.rules.violations.empty());
     const auto record = fragments_.record();
     if (!record) return;
     max_moves_ = std::max(max_moves_, record->past.size());
--- a/tests/moves_replicas_test.cpp
+++ b/tests/moves_replicas_test.cpp
@@ -41,7 +41,8 @@
   bool is_running(const RouterStandIn::Replica& replica) const {
     const auto& worker = *cluster.workers.at(replica.machine);
     const auto task = worker.tasks.find(wire::to_string(replica.task));
-    return !worker.gone && task != worker.tasks.end() && task->second.attempt == replica.attempt &&
+    return !worker.is_deleted && task != worker.tasks.end() &&
+           task->second.attempt == replica.attempt &&
            task->second.state == wire::TaskState::running;
   }
   bool is_over() { return fragments.is_large_job_running() && fragments.is_settled(); }
@@ -123,7 +124,7 @@
   chats.fragments.submit_large_job();
   EXPECT_TRUE(chats.fragments.until(3 * kBootS, [&] { return chats.is_over(); }));
   EXPECT_EQ(chats.dropped, 0);
-  EXPECT_GT(chats.router.carried_over(), 0);
+  EXPECT_GT(chats.router.reassigned_chats(), 0);
 }
 
 TEST(MovesReplicas, ARefusingOrUnresponsiveRouterPreventsTheMove) {
@@ -135,7 +136,7 @@
     EXPECT_FALSE(chats.fragments.is_large_job_running());
     EXPECT_EQ(chats.dropped, 0);
     EXPECT_EQ(chats.router.drains_refused() > 0, answers);
-    for (const auto& [task, starts] : chats.cluster.starts) EXPECT_EQ(starts, 1) << task;
+    for (const auto& [task, starts] : chats.cluster.start_counts) EXPECT_EQ(starts, 1) << task;
     EXPECT_FALSE(chats.fragments.has_reservations());
   }
 }
@@ -208,12 +209,12 @@
     Chats chats;
     auto& cluster = chats.cluster;
     ASSERT_TRUE(chats.fragments.run_after_plan_stored(at));
-    for (auto& [id, worker] : cluster.workers) worker->commands_late_s = 13;
+    for (auto& [id, worker] : cluster.workers) worker->command_delay_s = 13;
     const int first = cluster.leader();
     chats.fragments.run(2);
     cluster.crash_node(first);
     chats.fragments.run(20);
-    for (auto& [id, worker] : cluster.workers) worker->commands_late_s = 0;
+    for (auto& [id, worker] : cluster.workers) worker->command_delay_s = 0;
     cluster.start_node(first);
     EXPECT_TRUE(chats.fragments.recovers()) << at;
     EXPECT_EQ(chats.dropped, 0) << at;
@@ -245,7 +246,7 @@
     auto& cluster = chats.cluster;
     chats.fragments.submit_large_job();
     ASSERT_TRUE(chats.fragments.reach_plan());
-    for (auto& [id, worker] : cluster.workers) worker->commands_late_s = 4;
+    for (auto& [id, worker] : cluster.workers) worker->command_delay_s = 4;
     chats.fragments.run(at);
     cluster.cancel(cluster.leader(), kLargeJob);
     chats.fragments.run(10);
@@ -263,8 +264,9 @@
       return !chats.fragments.has_plan() && !chats.fragments.has_reservations();
     })) << at;
     EXPECT_EQ(chats.dropped, 0) << at;
-    EXPECT_TRUE(chats.fragments.until(10, [&] { return chats.cluster.running(kSmallJob) == 4; }))
-        << at;
+    EXPECT_TRUE(chats.fragments.until(10, [&] {
+      return chats.cluster.running_tasks(kSmallJob) == 4;
+    })) << at;
   }
 }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -18,12 +18,12 @@
 TEST(Placement, ATeamNeverUsesMoreThanItsLimit) {
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}, {"n-3", "a"}});
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 24, 1));
-  EXPECT_EQ(fleet.pass().placed, 16);
+  EXPECT_EQ(fleet.run_pass().placed, 16);
   // Resources that are not proven free still count.
   job.placements[0].request_stop(0, 1);
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
   // No machines are requested for demand beyond the limit either.
-  EXPECT_TRUE(fleet.pass().shortfall.wanted.empty());
+  EXPECT_TRUE(fleet.run_pass().shortfall.wanted.empty());
 }
 
 TEST(Placement, OneZoneCountsOldAttemptsToo) {
@@ -31,8 +31,8 @@
   auto job = make_job("j-000001", JobKind::service, 2, 8);
   job.spec.one_zone = true;
   fleet.add(std::move(job));
-  EXPECT_EQ(fleet.pass().placed, 1);
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 1);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
 }
 
 TEST(Placement, SpreadPutsAtMostHalfRoundedUpInAZone) {
@@ -40,7 +40,7 @@
   auto spec = make_job("j-000001", JobKind::service, 5, 1);
   spec.spec.spread = true;
   fleet.add(std::move(spec));
-  const auto result = fleet.pass();
+  const auto result = fleet.run_pass();
   EXPECT_EQ(result.placed, 3);
   ASSERT_EQ(result.shortfall.wanted.size(), 1u);
   EXPECT_EQ(result.shortfall.wanted.begin()->first.zone, "b");
@@ -63,7 +63,7 @@
   Fleet fleet({{"n-1", "b"}, {"n-2", "a"}});  // the only controller is in a
   Job& service = fleet.add(make_job("j-000001", JobKind::service, 2, 4));
   Job& batch = fleet.add(make_job("j-000002", JobKind::job_array, 2, 4));
-  EXPECT_EQ(fleet.pass().placed, 4);
+  EXPECT_EQ(fleet.run_pass().placed, 4);
   for (const auto& placement : service.placements) EXPECT_EQ(placement.machine, "n-2");
   for (const auto& placement : batch.placements) EXPECT_EQ(placement.machine, "n-1");
 }
@@ -96,7 +96,7 @@
       EXPECT_DOUBLE_EQ(machine.allocated.gpus, static_cast<double>(held)) << id;
     }
   };
-  fleet.pass();
+  fleet.run_pass();
   recount();
   fleet.cluster.upsert_machine("n-9", {"g8", "a", false}, 1);  // a job record has already named it
   recount();
@@ -105,7 +105,7 @@
   fleet.cluster.upsert_job(stored, 2);
   recount();
   fleet.cluster.remove_machine("n-1", 3);
-  fleet.pass(4);
+  fleet.run_pass(4);
   recount();
   fleet.cluster.remove_job("j-000001");
   recount();
@@ -132,16 +132,16 @@
   std::size_t examined = 0;
   int passes = 0;
   for (PassResult result; passes == 0 || result.incomplete; ++passes) {
-    result = fleet.pass();
+    result = fleet.run_pass();
     examined += result.candidates_examined;
   }
   EXPECT_GT(passes, 10);  // 10,400 tasks are placed
   EXPECT_LT(examined, 3000 * kMachines);
-  for (auto& [id, job] : fleet.cluster.jobs()) fleet.written(job);
+  for (auto& [id, job] : fleet.cluster.jobs()) fleet.mark_written(job);
   add(2000, 400, 18, wire::Priority::best_effort, "blue");
-  EXPECT_LT(fleet.pass().candidates_examined, 10 * kMachines);
+  EXPECT_LT(fleet.run_pass().candidates_examined, 10 * kMachines);
   add(3000, 100, 8, wire::Priority::production, "red");
-  const auto result = fleet.pass();
+  const auto result = fleet.run_pass();
   EXPECT_GT(result.preempted, 50);
   EXPECT_LT(result.candidates_examined, 120 * kMachines);
 }
@@ -149,7 +149,7 @@
 TEST(Placement, AGangIsPlacedWholeOrNotAtAll) {
   Fleet fleet({{"n-1", "a"}});
   fleet.add(make_job("j-000001", JobKind::gang, 2, 8));
-  const auto result = fleet.pass();
+  const auto result = fleet.run_pass();
   EXPECT_EQ(result.placed, 0);
   ASSERT_EQ(result.shortfall.wanted.size(), 1u);
   EXPECT_EQ(result.shortfall.wanted.begin()->second, 1);
@@ -159,7 +159,7 @@
   Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
   fleet.cluster.machine("n-2")->images.push_back({"img", 10});
   Job& job = fleet.add(make_job("j-000001", JobKind::service, 1, 1));
-  fleet.pass();
+  fleet.run_pass();
   EXPECT_EQ(job.placements.at(0).machine, "n-2");
 }
 
@@ -172,7 +172,7 @@
   within.spec.priority = wire::Priority::best_effort;
   fleet.add(std::move(big));
   fleet.add(std::move(within));
-  fleet.pass();
+  fleet.run_pass();
   EXPECT_EQ(fleet.cluster.job("j-000002")->placements.size(), 1u);
 }
 
@@ -181,42 +181,42 @@
   fleet.settings.teams = {{"red", 0, 0, 0, 16}, {"blue", 0, 0, 0, 16}};
   auto low = make_job("j-000001", JobKind::job_array, 8, 1);
   Job& running = fleet.add(std::move(low));
-  fleet.pass();
-  fleet.written(running);
+  fleet.run_pass();
+  fleet.mark_written(running);
   fleet.add(make_job("j-000002", JobKind::service, 1, 1, "blue"));
-  EXPECT_EQ(fleet.pass().preempted, 0);
+  EXPECT_EQ(fleet.run_pass().preempted, 0);
   auto high = make_job("j-000003", JobKind::service, 1, 2, "blue");
   high.spec.priority = wire::Priority::high;
   fleet.add(std::move(high));
-  EXPECT_EQ(fleet.pass().preempted, 2);
+  EXPECT_EQ(fleet.run_pass().preempted, 2);
   // The resources are already being released; nothing more is stopped for the same job.
-  EXPECT_EQ(fleet.pass().preempted, 0);
+  EXPECT_EQ(fleet.run_pass().preempted, 0);
 }
 
 TEST(Placement, AGuaranteedJobIsNotPreemptedForPriorityAlone) {
   Fleet fleet({{"n-1", "a"}});
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 8, 1));
-  fleet.pass();
-  fleet.written(job);
+  fleet.run_pass();
+  fleet.mark_written(job);
   auto high = make_job("j-000002", JobKind::service, 2, 8, "blue");  // beyond blue's guarantee
   high.spec.priority = wire::Priority::high;
   fleet.add(std::move(high));
-  EXPECT_EQ(fleet.pass().preempted, 0);
+  EXPECT_EQ(fleet.run_pass().preempted, 0);
 }
 
 TEST(Placement, ALargeTaskDoesNotStarveBehindSmallOnes) {
   Fleet fleet({{"n-1", "a"}});
   Job& small = fleet.add(make_job("j-000001", JobKind::job_array, 1, 1));
-  fleet.pass();
-  fleet.written(small);
+  fleet.run_pass();
+  fleet.mark_written(small);
   auto big = make_job("j-000002", JobKind::service, 1, 8, "blue");
   fleet.add(std::move(big));
-  fleet.pass(1);
+  fleet.run_pass(1);
   auto later = make_job("j-000003", JobKind::job_array, 4, 1);
   later.created_ms = 5000;
   fleet.add(std::move(later));
   // Once it has waited as long as a machine takes to boot, released resources are kept for it.
-  EXPECT_EQ(fleet.pass(60).placed, 0);
+  EXPECT_EQ(fleet.run_pass(60).placed, 0);
 }
 
 TEST(Placement, MachinesUnderNoticeOrFaultyGetNoNewTasks) {
@@ -225,12 +225,12 @@
   fleet.cluster.machine("n-2")->faults.quarantine = Quarantine::suspected;
   fleet.cluster.machine("n-3")->agent.unknown_tasks = 1;
   fleet.add(make_job("j-000001", JobKind::service, 1, 1));
-  EXPECT_EQ(fleet.pass().placed, 0);
+  EXPECT_EQ(fleet.run_pass().placed, 0);
 }
 
 /// Spot machines of zone a.
 struct SpotFleet {
-  Fleet fleet{std::initializer_list<Fleet::Where>{}};
+  Fleet fleet{std::initializer_list<Fleet::MachineLocation>{}};
 
   void receive_heartbeat(const std::string& machine, std::uint64_t sequence, double now,
                          std::optional<double> preemption_notice_s = std::nullopt) {
@@ -274,10 +274,10 @@
   Job& batch;
   Job* gang = nullptr;
 
-  GangBehindBatch(std::initializer_list<Fleet::Where> machines)
+  GangBehindBatch(std::initializer_list<Fleet::MachineLocation> machines)
       : fleet(machines), batch(add_batch(static_cast<std::uint32_t>(2 * machines.size()))) {
-    EXPECT_EQ(fleet.pass().placed, static_cast<int>(batch.spec.tasks));
-    fleet.written(batch);
+    EXPECT_EQ(fleet.run_pass().placed, static_cast<int>(batch.spec.tasks));
+    fleet.mark_written(batch);
     auto waiting = make_job("j-000002", JobKind::gang, 2, 8);
     waiting.spec.priority = wire::Priority::high;
     waiting.spec.one_zone = true;
@@ -301,22 +301,22 @@
 TEST(Placement, PreemptionFreesResourcesForAWholeGangInOneZone) {
   GangBehindBatch scenario({{"n-1", "a"}, {"n-2", "b"}, {"n-3", "b"}});
   Fleet& fleet = scenario.fleet;
-  EXPECT_EQ(fleet.pass().preempted, 4);
+  EXPECT_EQ(fleet.run_pass().preempted, 4);
   for (const auto& placement : scenario.batch.placements) {
     EXPECT_EQ(placement.stop_requested, placement.machine != "n-1");
   }
-  EXPECT_EQ(fleet.pass().preempted, 0);  // the resources being released suffice
+  EXPECT_EQ(fleet.run_pass().preempted, 0);  // the resources being released suffice
   // The first machine is free: jobs behind the gang in the queue do not get it.
   scenario.end_batch_on("n-2", 2);
-  EXPECT_EQ(fleet.pass(2).placed, 0);
+  EXPECT_EQ(fleet.run_pass(2).placed, 0);
   scenario.end_batch_on("n-3", 3);
-  EXPECT_EQ(fleet.pass(3).placed, 2);
+  EXPECT_EQ(fleet.run_pass(3).placed, 2);
   EXPECT_EQ(scenario.gang->live_count(), 2u);
 }
 
 TEST(Placement, NothingIsPreemptedForAGangThatWouldNotFitWhole) {
   GangBehindBatch scenario({{"n-1", "a"}, {"n-2", "b"}});
-  EXPECT_EQ(scenario.fleet.pass().preempted, 0);
+  EXPECT_EQ(scenario.fleet.run_pass().preempted, 0);
 }
 
 }  // namespace
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -26,8 +26,8 @@
   PlacedPriorities placed;
 
   FullMachine() {
-    fleet.pass();
-    fleet.written(victim);
+    fleet.run_pass();
+    fleet.mark_written(victim);
     victim.placements[0].running_since = 1;
     victim.placements[1].running_since = 50;
     placed.add(victim);
@@ -86,7 +86,7 @@
 /// The shortfall of a job if none of its tasks can be placed.
 Shortfall shortfall_of(Fleet& fleet, const Job& job) {
   CandidateSet candidates(fleet.cluster);
-  ShortfallEstimator estimator(candidates, fleet.refused, kNow);
+  ShortfallEstimator estimator(candidates, fleet.refused_until, kNow);
   estimator.add_pending(job);
   return estimator.take();
 }
@@ -98,7 +98,7 @@
 }
 
 TEST(ShortfallEstimator, TasksArePackedOntoAsFewMachinesAsPossible) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   const Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 4, 3));
   const Shortfall shortfall = shortfall_of(fleet, job);
   EXPECT_EQ(machines_in(shortfall), 2);
@@ -106,35 +106,35 @@
 }
 
 TEST(ShortfallEstimator, NothingIsWantedBeyondTheTeamsLimit) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   const Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 4, 8));
   EXPECT_EQ(machines_in(shortfall_of(fleet, job)), 2);  // 16 GPUs
 }
 
 TEST(ShortfallEstimator, StartingMachinesAreUsedFirst) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   fleet.cluster.upsert_machine("n-1", {"g8", "a", false}, 0);
   const Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 2, 8));
   EXPECT_EQ(machines_in(shortfall_of(fleet, job)), 1);
 }
 
 TEST(ShortfallEstimator, TheCheapestKindThatWasNotRefusedIsWanted) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   Job spot = make_job("j-000001", JobKind::job_array, 1, 8);
   spot.spec.spot = true;
   const Job& job = fleet.add(std::move(spot));
   const auto kind = [&] { return shortfall_of(fleet, job).wanted.begin()->first; };
   EXPECT_EQ(kind(), (MachineKind{"g8", "a", true}));
-  fleet.refused[{"g8", "a", true}] = kNow + 1;
+  fleet.refused_until[{"g8", "a", true}] = kNow + 1;
   EXPECT_EQ(kind(), (MachineKind{"g8", "b", true}));
-  fleet.refused[{"g8", "b", true}] = kNow + 1;
+  fleet.refused_until[{"g8", "b", true}] = kNow + 1;
   EXPECT_EQ(kind(), (MachineKind{"g8", "a", false}));
-  fleet.refused[{"g8", "a", true}] = kNow;  // the backoff has ended
+  fleet.refused_until[{"g8", "a", true}] = kNow;  // the backoff has ended
   EXPECT_EQ(kind(), (MachineKind{"g8", "a", true}));
 }
 
 TEST(ShortfallEstimator, AJobWhoseTasksFailAddsNoDemand) {
-  Fleet fleet(std::initializer_list<Fleet::Where>{});
+  Fleet fleet(std::initializer_list<Fleet::MachineLocation>{});
   Job& job = fleet.add(make_job("j-000001", JobKind::job_array, 1, 8));
   job.retry.failed_rounds = 1;
   EXPECT_EQ(machines_in(shortfall_of(fleet, job)), 0);
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -51,7 +51,7 @@
   scenario.waiting.done.add(0);
   // Without the reservation both would be on n-1.
   scenario.reserve({scenario.for_moved()});
-  scenario.fleet.pass();
+  scenario.fleet.run_pass();
   EXPECT_EQ(scenario.machine_of(scenario.moved, 1), "n-2");
 }
 
@@ -65,7 +65,7 @@
     }
     scenario.fleet.cluster.add_placement(scenario.moved, 1, 1, "n-1", 0);
     if (reserved) scenario.reserve({scenario.for_moved()});
-    scenario.fleet.pass();
+    scenario.fleet.run_pass();
     EXPECT_EQ(scenario.machine_of(scenario.moved, 0), reserved ? "" : "n-2");
   }
 }
@@ -76,13 +76,13 @@
   scenario.reserve({scenario.for_waiting()});
   scenario.waiting.retry.backoff_until = 10;  // it cannot start yet
   auto& other = scenario.add(kOther, JobKind::service, 2, 5, "blue");
-  scenario.fleet.pass(1);
+  scenario.fleet.run_pass(1);
   EXPECT_EQ(other.live_count(), 1U);
   EXPECT_EQ(scenario.machine_of(other, 0), "n-2");
   // The resources are available as soon as the plan has ended.
   scenario.reserve({});
   EXPECT_TRUE(scenario.fleet.cluster.take_changed());
-  scenario.fleet.pass(2);
+  scenario.fleet.run_pass(2);
   EXPECT_EQ(other.live_count(), 2U);
 }
 
@@ -94,7 +94,7 @@
   auto urgent = make_job(kOther, JobKind::service, 2, 5, "blue");
   urgent.spec.priority = wire::Priority::production;
   auto& placed = scenario.fleet.add(std::move(urgent));
-  scenario.fleet.pass(1);
+  scenario.fleet.run_pass(1);
   EXPECT_EQ(placed.live_count(), 2U);
 }
 
@@ -102,7 +102,7 @@
   Scenario scenario;
   scenario.moved.done.add_range({0, 2});
   scenario.reserve({scenario.for_waiting()});
-  scenario.fleet.pass(1);
+  scenario.fleet.run_pass(1);
   EXPECT_EQ(scenario.machine_of(scenario.waiting, 0), "n-1");
   // Once the task is placed, the reservation no longer counts in addition to it.
   EXPECT_FALSE(scenario.fleet.cluster.is_reservation_active(scenario.for_waiting()));
@@ -118,7 +118,7 @@
     auto reservation = scenario.for_moved();
     if (yields) reservation.also_usable_by = kWaiting;
     scenario.reserve({reservation});
-    scenario.fleet.pass(1);
+    scenario.fleet.run_pass(1);
     EXPECT_EQ(scenario.machine_of(scenario.waiting, 0), yields ? "n-2" : "");
   }
 }
@@ -130,7 +130,7 @@
     scenario.moved.done.add(0);
     scenario.reserve({scenario.for_moved()});
     change(scenario);
-    scenario.fleet.pass(1);
+    scenario.fleet.run_pass(1);
     return scenario.machine_of(scenario.moved, 1) == "n-2";
   };
   EXPECT_TRUE(is_placed([](Scenario&) {}));
@@ -154,7 +154,7 @@
         testing::heartbeat("n-3", 1, 1, {}, testing::kFencingToken, "b"), true, 0);
     scenario.fleet.cluster.add_placement(scenario.moved, 0, 1, "n-3", 0);
     scenario.reserve({scenario.for_moved()});
-    scenario.fleet.pass(1);
+    scenario.fleet.run_pass(1);
     EXPECT_EQ(scenario.machine_of(scenario.moved, 1), one_zone ? "n-3" : "n-2");
   }
 }
@@ -177,7 +177,7 @@
   other.created_ms = 2000;
   Job& of_other_team = scenario.fleet.add(std::move(other));
   for (auto& [id, job] : scenario.fleet.cluster.jobs()) job.ready_ms = job.created_ms;
-  scenario.fleet.pass(1);
+  scenario.fleet.run_pass(1);
   EXPECT_EQ(scenario.machine_of(of_own_team, 0), "");
   EXPECT_EQ(scenario.machine_of(of_other_team, 0), "n-1");
 }
@@ -189,9 +189,9 @@
     auto& full = scenario.add(std::string("j-00001") + id[2], JobKind::service, 1, 4, "blue");
     scenario.fleet.cluster.add_placement(full, 0, 1, id, 0);
   }
-  EXPECT_FALSE(scenario.fleet.pass(1).shortfall.wanted.empty());
+  EXPECT_FALSE(scenario.fleet.run_pass(1).shortfall.wanted.empty());
   scenario.reserve({scenario.for_waiting()});
-  EXPECT_TRUE(scenario.fleet.pass(2).shortfall.wanted.empty());
+  EXPECT_TRUE(scenario.fleet.run_pass(2).shortfall.wanted.empty());
 }
 
 }  // namespace
--- a/tests/scaler_test.cpp
+++ b/tests/scaler_test.cpp
@@ -146,10 +146,10 @@
 TEST(Scaler, BootingMachinesAreNotRequestedAgain) {
   testing::Fleet fleet;
   fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
-  auto result = fleet.pass();
+  auto result = fleet.run_pass();
   EXPECT_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).deficit, 1);
   fleet.cluster.upsert_machine("n-2", {"g8", "a", false}, 1);
-  result = fleet.pass();
+  result = fleet.run_pass();
   EXPECT_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).deficit, 0);
 }
 
@@ -162,7 +162,7 @@
 TEST(Scaler, APoolWithoutReadyMachinesButWithWaitingTasksIsAboveHigh) {
   testing::Fleet fleet({});
   fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
-  const auto result = fleet.pass();
+  const auto result = fleet.run_pass();
   const auto readings = read_pools(fleet.cluster, result.shortfall, 0.9);
   EXPECT_GT(readings.at({"g8", false}).score, 0.9);
   EXPECT_EQ(readings.at({"g8", false}).wanted, 1);
@@ -171,10 +171,10 @@
 TEST(Scaler, TheScoreIsAllocatedPlusRequestedResources) {
   testing::Fleet fleet({{"n-1", "a"}, {"n-2", "a"}});
   fleet.add(testing::make_job("j-000001", wire::JobKind::service, 1, 8));
-  auto result = fleet.pass();
+  auto result = fleet.run_pass();
   EXPECT_DOUBLE_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).score, 0.5);
   fleet.add(testing::make_job("j-000002", wire::JobKind::service, 2, 8, "blue"));
-  result = fleet.pass();
+  result = fleet.run_pass();
   // Both machines are full, and waiting tasks would fill one more: (2 + 1) / 2.
   EXPECT_DOUBLE_EQ(read_pools(fleet.cluster, result.shortfall, 0.9).at({"g8", false}).score, 1.5);
 }
@@ -186,7 +186,7 @@
   auto batch = testing::make_job("j-000001", wire::JobKind::job_array, 2, 4);
   batch.spec.spot = true;
   fleet.add(std::move(batch));
-  EXPECT_EQ(fleet.pass().placed, 2);  // both on one machine
+  EXPECT_EQ(fleet.run_pass().placed, 2);  // both on one machine
   auto readings = read_pools(fleet.cluster, {}, 0.9);
   EXPECT_EQ(readings.at({"g8", true}).deficit, 2);  // one machine plus headroom
   EXPECT_GT(readings.at({"g8", true}).score, 0.9);
--- a/tests/wire_compatibility_test.cpp
+++ b/tests/wire_compatibility_test.cpp
@@ -504,7 +504,7 @@
   ClientsOfCluster() { cluster.run(5); }
   StatusAndBody ask(const std::string& method, const std::string& path,
                     const std::string& body = "") {
-    const auto response = cluster.ask(0, method, path, body);
+    const auto response = cluster.send_request(0, method, path, body);
     return {response.status, response.body};
   }
 };
