--- a/src/base/event_log.hpp
+++ b/src/base/event_log.hpp
@@ -28,7 +28,7 @@
 namespace detail {
 
 /// Appends text; quotes it if it is empty or contains a space, a double quote or an equals sign, so
-/// that a line can be split at unquoted spaces.
+/// that a line can be split at unquoted spaces. Double quotes in the text become single quotes.
 void append_text(std::string& line, std::string_view text);
 
 template <typename Value>
--- a/src/base/event_rate.hpp
+++ b/src/base/event_rate.hpp
@@ -1,10 +1,11 @@
-// Rate of events over fixed windows.
+// Rate of events over consecutive windows.
 #pragma once
 
 namespace cranklock::base {
 
-/// Measures events per second over consecutive windows. The rate is 0 until the first window has
-/// ended.
+/// Measures events per second. A window ends with the first call at least `window_s` after its
+/// start. If that call is less than 2 * `window_s` after the start, the rate becomes that of the
+/// window, otherwise 0. The rate is 0 until the first window has ended.
 class EventRate {
  public:
   explicit EventRate(double window_s) : window_s_(window_s) {}
@@ -14,8 +15,7 @@
     close_elapsed_window(now);
     ++count_;
   }
-  /// Returns the rate of the last completed window; 0 if that window ended a full window ago or
-  /// more.
+  /// Returns the rate of the last window that has ended. `now`: as in record().
   double per_second(double now) {
     close_elapsed_window(now);
     return rate_;
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -9,8 +9,8 @@
 namespace cranklock::base {
 namespace {
 
-/// Reads the limits that the key-value store will have later. Limits that do not change may be
-/// absent.
+/// Reads the limits that the key-value store will have later, and lowers the current ones to them.
+/// Limits that do not change may be absent.
 void read_announced_limits(const TomlReader& next, Settings& settings) {
   if (next.has("rps"))
     settings.state_rps = std::min(settings.state_rps, next.number("rps", 0, true));
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -106,8 +106,8 @@
 /// Throws SettingsError.
 Settings load_settings(const std::string& toml_path, const std::string& xml_path);
 
-/// Time after its last confirmed renewal during which a leader may respond to heartbeats. Even if a
-/// successor has confirmed a cancellation in the meantime, the lease of every agent that got a
+/// Seconds after its last confirmed renewal during which a leader may respond to heartbeats. Even
+/// if a successor has confirmed a cancellation in the meantime, the lease of every agent that got a
 /// response expires within cancel_s of that confirmation.
 inline double response_window_s(const Settings& settings) {
   return (settings.cancel_s - settings.lease_s) * 0.9;
--- a/src/control/agent_redirector.cpp
+++ b/src/control/agent_redirector.cpp
@@ -14,8 +14,8 @@
 }
 
 // Whether heartbeats use more than their share of this controller's CPU or connections. A heartbeat
-// sent directly costs two packets and a connection; forwarded heartbeats arrive and are answered in
-// batches, at the expense of a less loaded controller.
+// sent directly costs two packets and a connection. Forwarded heartbeats cost less here, because
+// they are received and answered in batches; the forwarder, which has less load, bears the rest.
 bool AgentRedirector::overloaded() {
   constexpr double kMaxCpuFraction = 0.1;     // of this controller's CPU share
   constexpr double kPacketsPerHeartbeat = 2;  // the heartbeat and its response
@@ -36,7 +36,8 @@
          std::max(kMinRedirectsPerInterval, kMaxRedirectedFraction * direct_per_interval);
 }
 
-// Returns the controllers of the zone, or all other controllers if the zone has none.
+// Returns the controllers of the zone except this one; all other controllers if no controller,
+// including this one, is in the zone.
 std::vector<const base::Peer*> AgentRedirector::candidate_forwarders(
     const std::string& zone) const {
   const bool any_zone = !services_.settings.has_controller_in(zone);
@@ -54,7 +55,7 @@
   const double now = services_.reactor.now();
   if (may_stay && (now < next_redirect_at_ || !overloaded())) return {};
   const auto forwarders = candidate_forwarders(heartbeat.zone);
-  // Agents start at different forwarders, which spreads the load.
+  // The first candidate depends on a hash of the machine id, which spreads agents over forwarders.
   const auto first = std::hash<std::string>{}(heartbeat.machine);
   for (std::size_t i = 0; i < forwarders.size(); ++i) {
     const std::string& forwarder = forwarders[(first + i) % forwarders.size()]->name;
--- a/src/control/agent_redirector.hpp
+++ b/src/control/agent_redirector.hpp
@@ -12,8 +12,9 @@
 
 namespace cranklock::control {
 
-/// Redirects agents of other controllers' zones to a controller of their zone. While heartbeats use
-/// too much of the leader's CPU or connections, it also redirects agents that may stay.
+/// Redirects agents of other controllers' zones to a controller of their zone. Agents of the
+/// leader's own zone, and of zones without a controller, may stay; they are redirected only while
+/// heartbeats use too much of the leader's CPU or connections.
 class AgentRedirector {
  public:
   explicit AgentRedirector(Services services);
--- a/src/control/command_sender.hpp
+++ b/src/control/command_sender.hpp
@@ -36,8 +36,8 @@
 
  private:
   net::Task<void> send_to(std::string machine_id);
-  /// Returns the commands due for the agent and marks them as sent. Its start commands are
-  /// indeterminate from here on.
+  /// Returns the commands due for the agent and marks them as sent. The start commands among them
+  /// are indeterminate from then on.
   std::vector<wire::Command> take_due_commands(sched::Machine& machine);
   /// Records the outcome of the start commands sent in `agent_epoch`. `heartbeat` is the agent's
   /// response if it executed them; without one they were certainly not executed.
--- a/src/control/decision_loop.hpp
+++ b/src/control/decision_loop.hpp
@@ -37,8 +37,8 @@
 
   /// Runs until the leadership is lost.
   net::Task<void> run();
-  /// Requests a placement pass ahead of pending record writes, because a job has arrived or one
-  /// that others depend on has ended.
+  /// Requests a placement pass ahead of pending record writes, because a job was accepted or
+  /// one that others depend on is done.
   void expedite_pass() { pass_expedited_ = true; }
 
  private:
--- a/src/control/dependency_check.hpp
+++ b/src/control/dependency_check.hpp
@@ -26,7 +26,8 @@
     not_cancelled,   ///< no dependency is cancelled
     cancelled,       ///< at least one is cancelled
     never_accepted,  ///< a direct dependency does not exist
-    /// The key-value store did not answer, or more jobs must be read than one request allows.
+    /// The key-value store did not answer in time, a record is malformed, or more jobs must be read
+    /// than one request allows.
     undetermined,
   };
 
--- a/src/control/heartbeat_forwarder.cpp
+++ b/src/control/heartbeat_forwarder.cpp
@@ -166,8 +166,9 @@
 Task<Response> HeartbeatForwarder::forward(wire::Heartbeat heartbeat, std::string body,
                                            std::function<double()> store_last_answer_at) {
   const double received_at = reactor_.now();
-  // Whether the store's last answer is no newer than the leader's last heartbeat, allowing for the
-  // interval between two peer heartbeats: then neither is reachable.
+  // While the leader is unreachable: whether the store has not answered since the leader's last
+  // heartbeat either. The margin allows for the interval between two peer heartbeats. While the
+  // leader is reachable, the result is not used.
   const auto cut_off = [&] {
     return store_last_answer_at() < last_leader_heartbeat_at_ + settings_.heartbeat_interval_s / 2;
   };
--- a/src/control/heartbeat_forwarder.hpp
+++ b/src/control/heartbeat_forwarder.hpp
@@ -26,9 +26,9 @@
 /// lease, the leader is unreachable from its zone, and its heartbeats are forwarded for as long as
 /// they arrive here.
 ///
-/// A leader delegates each agent of the forwarder's zone for a limited time. Only within that time,
-/// and only while neither the leader nor the key-value store is reachable, does the forwarder
-/// respond on its own (invariant 4, "Heartbeat forwarders" in docs/design.md).
+/// A leader delegates the lease of each agent of the forwarder's zone for a limited time. Only
+/// within that time, and only while neither the leader nor the key-value store is reachable, does
+/// the forwarder respond on its own (invariant 4, "Heartbeat forwarders" in docs/design.md).
 class HeartbeatForwarder {
  public:
   /// Sends a frame to the named controller of the same region. Frames may be lost.
@@ -68,7 +68,8 @@
 
   /// Whether heartbeats can be forwarded to a leader now.
   bool is_leader_reachable() const;
-  /// Whether a leader is reachable, or was so recently that its successor is expected soon.
+  /// Whether a leader is reachable; or was reachable so recently that its successor is expected
+  /// soon, while connections may be held open for agents.
   bool is_leader_expected() const;
   /// Whether to handle the heartbeat here; otherwise the agent is redirected.
   bool may_forward(const wire::Heartbeat& heartbeat) const;
@@ -81,8 +82,9 @@
   /// Returns the response to the heartbeat, whose text is `body`: from the leader, from its
   /// successor, or from this controller as a delegate. Status 421: none of them responded, and the
   /// agent is to be redirected. `store_last_answer_at` returns when the key-value store last
-  /// answered this controller. It distinguishes a zone that is cut off from a leader that has
-  /// failed, whose agents should look for its successor.
+  /// answered this controller. If the store answers although the leader is unreachable, the leader
+  /// has failed, and the agents must find its successor. If the store does not answer either, this
+  /// controller is cut off, and responds as a delegate.
   net::Task<net::Response> forward(wire::Heartbeat heartbeat, std::string body,
                                    std::function<double()> store_last_answer_at);
 
--- a/src/control/heartbeat_handler.cpp
+++ b/src/control/heartbeat_handler.cpp
@@ -107,25 +107,26 @@
 }
 
 void HeartbeatHandler::on_peer_heartbeat(const peer::PeerHeartbeat& peer_heartbeat) {
-  // The forwarder does not respond as a delegate before its leader timeout has passed since the
-  // echoed time. The factor allows for drift between the two clocks.
+  // The echoed time is when this leader sent a peer heartbeat that the forwarder has received. The
+  // forwarder does not respond as a delegate before its leader timeout has passed since then. The
+  // factor allows for drift between the two clocks.
   constexpr double kClockDriftFactor = 0.98;
   constexpr double kNever = -1;
   const auto& settings = context_.services.settings;
   const double now = context_.now();
   const bool echoes_this_term =
       peer_heartbeat.echoed_fencing_token == context_.lease.fencing_token();
-  double silent_until = 0;
+  double no_response_before = 0;
   if (echoes_this_term) {
-    silent_until = static_cast<double>(peer_heartbeat.echoed_clock_ms) / 1000 +
-                   HeartbeatForwarder::leader_timeout(settings) * kClockDriftFactor;
+    no_response_before = static_cast<double>(peer_heartbeat.echoed_clock_ms) / 1000 +
+                         HeartbeatForwarder::leader_timeout(settings) * kClockDriftFactor;
   }
   double responded_at = kNever;
   if (peer_heartbeat.delegate_responded_ms != peer::kNeverMs) {
     responded_at = now - peer_heartbeat.delegate_responded_ms / 1000.0;
   }
-  context_.cluster.record_forwarder(peer_heartbeat.name, peer_heartbeat.incarnation, silent_until,
-                                    responded_at, now);
+  context_.cluster.record_forwarder(peer_heartbeat.name, peer_heartbeat.incarnation,
+                                    no_response_before, responded_at, now);
 }
 
 bool HeartbeatHandler::try_redirect(const std::string& machine_id, const std::string& forwarder) {
@@ -143,8 +144,8 @@
 
 bool HeartbeatHandler::agents_timed_out() const {
   const auto& settings = context_.services.settings;
-  const double max_silence_s = std::max(3 * settings.heartbeat_interval_s, settings.lease_s / 3);
-  return context_.now() > last_agent_message_at_ + max_silence_s;
+  const double timeout_s = std::max(3 * settings.heartbeat_interval_s, settings.lease_s / 3);
+  return context_.now() > last_agent_message_at_ + timeout_s;
 }
 
 }  // namespace cranklock::control
--- a/src/control/heartbeat_handler.hpp
+++ b/src/control/heartbeat_handler.hpp
@@ -23,8 +23,8 @@
       : context_(context), machines_(machines), last_agent_message_at_(context.term_started_at) {}
 
   /// Returns the response to an agent: 200 with its commands; 421 if the agent has seen a higher
-  /// fencing token; 503 while no lease may be extended, and for a delayed duplicate of an earlier
-  /// heartbeat.
+  /// fencing token; 503 while no lease may be extended, for a deleted machine, and for a delayed
+  /// duplicate of an earlier heartbeat.
   net::Response handle(const wire::Heartbeat& heartbeat);
   /// As handle(), for a heartbeat that the controller `forwarder` has forwarded under `request_id`.
   /// The response may delegate the agent's lease to a forwarder in the agent's own zone.
@@ -39,7 +39,8 @@
 
   /// Records a message from an agent other than a heartbeat.
   void note_agent_message() { last_agent_message_at_ = context_.now(); }
-  /// No agent message has arrived for so long that this controller may be cut off from the agents.
+  /// Whether no agent message has arrived for so long that this controller may be cut off from the
+  /// agents.
   bool agents_timed_out() const;
 
  private:
--- a/src/control/heartbeat_router.cpp
+++ b/src/control/heartbeat_router.cpp
@@ -45,7 +45,7 @@
   last_heartbeat_at_ = services_.reactor.now();
   if (election_.leads()) co_return handle_as_leader(*heartbeat);
   if (election_.term() != nullptr) co_return retry_later("taking over");
-  heartbeat->tasks.clear();  // not needed here: the leader parses them from the body
+  heartbeat->tasks.clear();  // not needed here: the leader parses the forwarded body itself
   if (forwarder_.may_forward(*heartbeat)) {
     auto forwarding = forwarder_.forward(*heartbeat, std::move(request.body),
                                          [this] { return store_monitor_.last_answer_at(); });
--- a/src/control/job_api.cpp
+++ b/src/control/job_api.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Response time up to which the limiters do not lower the number of requests in progress.
+/// Response time up to which the limiters do not lower the maximum number of requests in progress.
 constexpr double kSlowResponseS = 0.1;
 constexpr double kMinInProgress = 4;
 
@@ -113,8 +113,8 @@
     co_return response;
   }
   wire::JobSpec& spec = *submission;
-  // Evaluated with the machine types known at this point. They may arrive during the lookups below,
-  // and a refusal that was not based on them would be final.
+  // Evaluated before the lookups below, during which the machine types may become known. A refusal
+  // as infeasible is final, so it is only made if the types were known when it was evaluated.
   std::optional<Response> refused;
   if (!has_types()) {
     refused = retry_later("the machine types are not known yet");
@@ -175,7 +175,7 @@
   }
   if (created.status == Status::rejected)
     co_return retry_later("the state service is not available");
-  // The job already exists or the write was unanswered: the stored record decides.
+  // The job already exists or the write was unanswered: respond with the state that is stored.
   auto finding = lookup_.find(id);
   auto found = co_await finding;
   if (!found || found->state == StoredJob::State::absent) co_return store_unavailable();
--- a/src/control/job_record.cpp
+++ b/src/control/job_record.cpp
@@ -65,7 +65,7 @@
 
 /// Appends a list field with as many items as fit into the value, possibly none.
 void append_list(std::string& value, ItemList& list, std::size_t max_bytes) {
-  // For brackets, field names, the part count, and a cancellation time replacing the 0.
+  // Kept free for brackets, field names, the part count, and a cancellation time in place of the 0.
   constexpr std::size_t kReservedBytes = 64;
   value += "," + field_text(list.field) + "[";
   bool is_first = true;
--- a/src/control/job_watcher.cpp
+++ b/src/control/job_watcher.cpp
@@ -73,8 +73,8 @@
 // Returns a lower bound of a cancellation's time, on this leader's steady clock. It is based on the
 // time of day in the record, allowing for the error of both nodes' clocks. If each leader counted
 // from when it first read the cancellation, every failover would postpone the deletion of machines
-// that still run the job's tasks. `changes_known_until_` is a lower bound as well: the cancellation
-// was not among the changes stored until then.
+// that still run the job's tasks. `changes_known_until_` is a lower bound as well, because the
+// cancellation was not among the changes received until then; the later bound is returned.
 double JobWatcher::cancellation_time(std::int64_t cancelled_at_ms) const {
   const auto& services = context_.services;
   const double now = context_.now();
@@ -93,7 +93,8 @@
 Task<void> JobWatcher::follow() {
   constexpr int kMaxUnansweredWatches = 3;  // in a row
   const auto& settings = context_.services.settings;
-  // Equal to the interval between renewals: an answer proves the state only as of its request.
+  // Equal to the interval between renewals: an answer proves that all changes are known only up to
+  // the time when its request was sent.
   const double watch_wait_s = LeaderLease::lease_ttl_s(settings) / 4;
   int unanswered_watches = 0;
   for (;;) {
@@ -107,8 +108,9 @@
       continue;
     }
     context_.lease.mark_behind();
-    // Repeated timeouts although lease renewals succeed: the response may be too long to be read,
-    // so that the same watch would never succeed. In an outage of the store, renewals fail as well.
+    // If watches are repeatedly unanswered although lease renewals succeed, the response may be too
+    // long to be read, so that the same watch would never succeed. In an outage of the store,
+    // renewals fail as well.
     const bool renewed = context_.lease.last_renewal_sent_at() > sent;
     unanswered_watches =
         result.status == Status::indeterminate && renewed ? unanswered_watches + 1 : 0;
--- a/src/control/job_watcher.hpp
+++ b/src/control/job_watcher.hpp
@@ -14,9 +14,9 @@
 namespace cranklock::control {
 
 /// Loads all live jobs at the start of a leader term, then watches for changes that clients make
-/// through any node. Cancellations are applied on receipt; all other changes are queued until no
-/// write of the leader is in progress. Reports to the leader lease up to which time all changes
-/// have been received (invariant 11).
+/// through any node. Cancellations are applied on receipt. All changes, including cancellations,
+/// are also queued until no write of the leader is in progress, and their records are applied then.
+/// Reports to the leader lease up to which time all changes have been received (invariant 11).
 class JobWatcher {
  public:
   /// Notifications to the leader term.
--- a/src/control/leader_election.cpp
+++ b/src/control/leader_election.cpp
@@ -53,8 +53,9 @@
   }
 }
 
-// The key may name a previous process of this controller; its lease then expires without being
-// revoked.
+// Waits until the leader key has changed since `revision`, for two lease TTLs at most. Also if the
+// key names this controller: it was then written by a previous process of it, and its lease expires
+// without being revoked.
 Task<void> LeaderElection::wait_for_vacancy(std::uint64_t revision) {
   auto watching = services_.store.watch(kLeaderKey, revision, 2 * lease_ttl_s());
   const auto change = co_await watching;
@@ -82,9 +83,9 @@
   co_return grant;
 }
 
-// A write without a response may still be applied later. To prevent two leaders, the stored record
-// decides, and a repeated write has the same condition, so at most one of the writes is applied
-// (invariant 1).
+// A write without a response may still be applied later. To prevent two leaders, this controller
+// leads only if the write succeeded or the stored record contains its nonce. A repeated write has
+// the same condition, so at most one of the writes is applied (invariant 1).
 Task<void> LeaderElection::write_leader_key(LeadershipGrant& grant) {
   constexpr int kMaxTries = 3;
   const double timeout = lease_ttl_s() / 3;
@@ -184,9 +185,10 @@
   abstain_until_ = now() + 2 * services_.settings.lease_s;
 }
 
-// Detects a leader that agents cannot reach while they could reach another controller. If no
-// controller receives heartbeats, there are no agents, or all controllers are cut off from them. A
-// controller that receives neither agent nor peer heartbeats has itself lost the network.
+// Whether agents cannot reach this leader but may reach another controller. If other controllers
+// are alive and none receives heartbeats, either there are no agents or all controllers are cut off
+// from them, and another leader would not help. A leader that has machines and receives neither
+// agent nor peer heartbeats has itself lost the network.
 bool LeaderElection::is_cut_off_from_agents() const {
   if (!term_->agents_timed_out() || services_.settings.others.empty()) return false;
   if (roster_.any_receives_heartbeats(now())) return true;
--- a/src/control/leader_lease.hpp
+++ b/src/control/leader_lease.hpp
@@ -56,8 +56,8 @@
 
   // ---- permitted actions ----
 
-  /// No other controller can be the leader now: machines may be rented and deleted, and placements
-  /// may be preempted.
+  /// Machines may be rented and deleted, and placements may be preempted: no other controller can
+  /// be the leader now.
   bool valid(double now) const { return now < last_renewal_sent_at_ + validity_s(); }
   /// Tasks may be started. A cancellation that is not known here was confirmed no longer ago than
   /// the lease validity.
@@ -78,7 +78,7 @@
  private:
   static constexpr double kNever = -1e9;
 
-  /// The lease TTL, reduced by the maximum drift between two clocks.
+  /// The lease TTL in seconds, reduced by twice the maximum relative drift between two clocks.
   double validity_s() const { return lease_ttl_s(settings_) * (1 - 2 * base::kMaxClockDrift); }
   /// The time up to which both the leadership and all cancellations are known.
   double known_until() const { return std::min(last_renewal_sent_at_, last_caught_up_sent_at_); }
--- a/src/control/leader_term.hpp
+++ b/src/control/leader_term.hpp
@@ -59,7 +59,8 @@
   }
   /// Handles a frame from the leader of another region.
   void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
-  /// No agent message has arrived for so long that this controller may be cut off from the agents.
+  /// Whether no agent message has arrived for so long that this controller may be cut off from the
+  /// agents.
   bool agents_timed_out() const { return heartbeats_.agents_timed_out(); }
 
   sched::ClusterState& cluster() { return cluster_; }
--- a/src/control/machine_deleter.cpp
+++ b/src/control/machine_deleter.cpp
@@ -75,7 +75,7 @@
 }
 
 void MachineDeleter::record_deleted(const std::vector<std::string>& batch) {
-  // Multiple of the list lag or an agent lease, whichever is longer.
+  // As a multiple of the list lag or of the agent lease, whichever is longer.
   constexpr double kRetentionFactor = 20;
   const auto& settings = context_.services.settings;
   const double retention_s = kRetentionFactor * std::max(settings.list_lag_s, settings.lease_s);
--- a/src/control/machine_supervisor.cpp
+++ b/src/control/machine_supervisor.cpp
@@ -73,9 +73,10 @@
   return std::nullopt;
 }
 
-// The machine list alone proves nothing. But a machine that has sent no heartbeat for several boot
-// times, to a leader whose term is long enough to have received one, does no work. `grace_until`
-// exempts machines that cannot report because their zone is unreachable: their boot has not failed.
+// The machine list alone does not prove that a boot has failed. But a machine runs no tasks if it
+// has sent no heartbeat for several boot times and this leader's term is long enough to have
+// received one. Until `grace_until`, machines whose heartbeats cannot arrive because their zone is
+// unreachable are exempt: their boot has not failed.
 bool MachineSupervisor::is_boot_timed_out(const Machine& machine, double now) const {
   const auto& settings = context_.services.settings;
   const auto* type = context_.cluster.type(machine.kind.type);
--- a/src/control/machine_termination.hpp
+++ b/src/control/machine_termination.hpp
@@ -10,7 +10,7 @@
   reclaimed,                   ///< the cloud has reclaimed the spot machine
   quarantined,                 ///< task failures are attributed to it
   cancelled_task_unconfirmed,  ///< a cancelled task may still run on it (invariant 7)
-  unknown_machine,  ///< named by a job record, but neither listed nor seen in a heartbeat
+  unknown_machine,  ///< named by a job record, but by neither the cloud's list nor a heartbeat
   scaled_in,        ///< idle and not needed by its pool
 };
 
--- a/src/control/record_reloader.cpp
+++ b/src/control/record_reloader.cpp
@@ -75,9 +75,9 @@
     auto reading_parts = read_parts(*job);
     const auto parts = co_await reading_parts;
     if (parts != RecordReadStatus::complete) continue;
-    // Retries if the watch has already delivered a newer revision. A read of the held revision is
-    // ignored: it says nothing about an unanswered write of this leader, which may still be applied
-    // on top of it.
+    // Retries if the watch has already delivered a newer revision. A read of the revision that the
+    // cluster state already has is ignored: an unanswered write of this leader may still be applied
+    // after it, so the read does not prove that the write has failed.
     const Job* known = context_.cluster.job(id);
     if (known != nullptr && known->record.revision > job->record.revision) continue;
     if (known != nullptr && known->record.revision == job->record.revision)
--- a/src/control/record_writer.cpp
+++ b/src/control/record_writer.cpp
@@ -101,9 +101,9 @@
 
 // Marks records for another write if the write was rejected, failed because of another record or
 // was unanswered. An unanswered write may still be applied later; the revision conditions let only
-// one of the two writes succeed. A read in between does not settle it: if its result were taken as
-// final, the resources would be given to other jobs, and the team would exceed its limit once the
-// late write made its placements durable.
+// one of the two writes succeed. A read between the writes does not prove that the first one has
+// failed: if it were taken as proof, the resources would be given to other jobs, and the team would
+// exceed its limit once the late write made its placements durable.
 void RecordWriter::handle_failed_write(const RecordBatch& batch,
                                        const store::CompareAndSwapResult& result) {
   stale_parts_.insert(stale_parts_.end(), batch.stale_parts().begin(), batch.stale_parts().end());
@@ -150,7 +150,7 @@
   for (const auto& [task, attempt] : entry.live) {
     auto* placement = job.find(task, attempt);
     if (placement == nullptr) continue;
-    if (placement->abandoned()) {  // after the write was sent
+    if (placement->abandoned()) {  // it was abandoned after the write was sent
       context_.cluster.resolve_abandoned(job, *placement, now());
       job.record.dirty = true;
     }
--- a/src/control/status_cache.cpp
+++ b/src/control/status_cache.cpp
@@ -132,8 +132,8 @@
 }
 
 // Starts a full sync by reading the first page. Delta syncs then fetch all later changes, and each
-// is followed by one more page. Jobs on pages that are not read yet are not cached, so every cached
-// status reflects all changes.
+// is followed by one more page. A job on a page that is not read yet is cached only if a delta sync
+// has fetched a change of it, so every cached status reflects all changes.
 Task<void> StatusCache::full_sync() {
   jobs_ = base::RecentMap<Entry>(kMaxJobs);
   next_page_ = "";
--- a/src/control/status_cache.hpp
+++ b/src/control/status_cache.hpp
@@ -27,7 +27,9 @@
 
 /// Why the cache cannot return a job's status.
 enum class StatusMiss {
-  not_cached,         ///< look it up: ended, never accepted, waiting for dependencies or not cached
+  /// The job has ended, was never accepted, waits for dependencies or is not in the cache; the
+  /// caller must look it up.
+  not_cached,
   store_unavailable,  ///< the key-value store did not answer
 };
 
@@ -83,7 +85,7 @@
   base::Result<JobStatus, StatusMiss> find_cached(const std::string& id) const;
   void apply_values(const std::vector<wire::StoredValue>& values);
   void wake_waiters();
-  /// Seconds since the last sync after which the response to a delta sync could exceed
+  /// Seconds since the last successful sync after which the response to a delta sync could exceed
   /// kMaxResponseKb, so that a full sync is due.
   double max_sync_gap_s() const {
     return kMaxResponseKb / (settings_.state_write_rps * settings_.value_kb);
--- a/src/control/write_order.cpp
+++ b/src/control/write_order.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Time within which users expect the state `done` after the last task has ended.
+/// Seconds within which users expect the state `done` after the last task has ended.
 constexpr double kMaxDoneLagS = 3;
 
 /// The jobs to write, by class; each class preserves insertion order.
@@ -40,10 +40,10 @@
       [](const sched::Placement& placement) { return !placement.durable() && !placement.ended; });
 }
 
-/// Maximum wait of a changed record. The outcome of a cancelled job without live placements may
-/// wait longer, because users see the cancellation as soon as it is confirmed or found in a
-/// dependency, before the outcome is written. So hundreds of jobs cancelled at once do not delay
-/// other writes.
+/// Maximum wait of a changed record, in seconds. The outcome of a cancelled job without live
+/// placements may wait longer, because the cancellation is reported to users as soon as it is
+/// confirmed or found in a dependency, before the outcome is written. So hundreds of jobs cancelled
+/// at once do not delay other writes.
 double max_wait_s(const Job& job, double cancel_s) {
   return is_cancelled_and_stopped(job) ? cancel_s / 4 : kMaxDoneLagS / 3;
 }
--- a/src/control/write_order.hpp
+++ b/src/control/write_order.hpp
@@ -12,7 +12,7 @@
 /// Urgency of a record's write.
 enum class WriteClass {
   overdue,  ///< exceeded its maximum wait
-  starts,   ///< tasks of the job or of its dependents cannot start before
+  starts,   ///< tasks of the job or of its dependents cannot start before this write
   other,
 };
 
@@ -28,8 +28,8 @@
 /// and starts alternate, so that neither class delays all of the other; all other records follow.
 /// Marks cancelled jobs without live placements as dirty, and sets `dirty_since` where it is unset.
 ///
-/// Without the overdue class, a steady stream of starts would delay outcomes indefinitely; a job
-/// may be reported as done only a few seconds late.
+/// Without the overdue class, a steady stream of starts would delay outcomes indefinitely. But a
+/// job must be reported as done at most a few seconds after its last task has ended.
 std::vector<sched::Job*> order_writes(sched::ClusterState& cluster,
                                       const WriteOrderContext& context);
 
--- a/src/peer/frames.hpp
+++ b/src/peer/frames.hpp
@@ -13,7 +13,7 @@
 namespace cranklock::peer {
 
 inline constexpr std::uint8_t kFrameVersion = 2;
-/// Value of a time since an event if the event has not happened.
+/// Value of a field with the milliseconds since an event if the event has not happened.
 inline constexpr std::uint32_t kNeverMs = 0xffffffff;
 
 /// Periodic message of a controller: its name, its leadership and its connectivity.
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -77,15 +77,15 @@
   const double follower_share =
       single_node ? 1.0 : (1 - kLeaderMutationShare) / (settings_.nodes - 1);
   const double mutation_share = leading && !single_node ? kLeaderMutationShare : follower_share;
-  // The jobs of a pipeline reach one controller within moments. Without a burst their users would
-  // wait although the store is nearly idle. The store accepts one second's worth of mutations at
-  // once, of which the leader uses up to a half. If several followers burst together, the store
-  // refuses some mutations, which are then delayed.
+  // The jobs of a pipeline are submitted to one controller almost at once. Without a burst their
+  // users would wait although the store is nearly idle. The store accepts one second's worth of
+  // mutations at once, of which the leader uses up to a half. If several followers burst together,
+  // the store refuses some mutations, which are then delayed.
   constexpr double kBurstS = 1.0 / 3;
   mutation_bucket_.set_rate(settings_.state_write_rps * mutation_share,
                             settings_.state_write_rps * kBurstS);
-  // Without an overdraft, users of the leader would wait until a whole transaction of records has
-  // its tokens.
+  // Without an overdraft, users whose requests the leader handles would wait until a whole
+  // transaction of the leader's records has its tokens.
   constexpr double kOverdraftS = 0.25;
   user_overdraft_ = leading ? settings_.state_write_rps * kOverdraftS : 0;
 }
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -49,13 +49,14 @@
   /// `settings` must outlive the client.
   Client(net::Reactor& reactor, net::Transport& transport, const base::Settings& settings);
 
-  /// Switches between the leader's and a follower's share of the limits. Of the request rate, split
-  /// into nodes + 1 shares, the leader takes two and each follower one. Of the mutation rate the
-  /// leader takes half and the followers share the rest.
+  /// Switches between the leader's and a follower's share of the limits. The request rate is split
+  /// into nodes + 1 equal shares, of which the leader takes two and each follower one. Of the
+  /// mutation rate the leader takes half, and the followers share the rest equally; a single
+  /// controller takes all of it.
   void set_leading(bool leading);
 
-  /// Transactions of the job API, whose clients wait for the response, may precede the background
-  /// transactions, of which there are many more.
+  /// `user`: a transaction of the job API, whose client waits for the response. It may precede the
+  /// background transactions, of which there are many more.
   enum class Priority { background, user };
   /// Applies all mutations if all compared revisions hold, otherwise none.
   net::Task<CompareAndSwapResult> compare_and_swap(std::vector<wire::Compare> compares,
@@ -70,8 +71,8 @@
   net::Task<RangeResult> read_page(std::string prefix, std::string after, int max_items,
                                    double timeout_s);
   /// Reads every change after the revision `since` without waiting for new ones; `compacted` if the
-  /// revision is too old. Does not wait for the rate limits, because many requests share the
-  /// response: the caller limits the rate.
+  /// revision is too old. Is charged to the rate limits but does not wait for them, because many
+  /// status requests share the response. The caller limits the rate of calls.
   net::Task<RangeResult> changes_since(std::string prefix, std::uint64_t since, double timeout_s);
   /// As changes_since, but the store waits up to `wait_s` seconds for a change, and the request
   /// waits for the rate limits.
@@ -98,7 +99,7 @@
     double mutations = 0;
     double mutation_overdraft = 0;  ///< allowed for the mutations (TokenBucket::take)
     double request_overdraft = 0;
-    bool urgent = false;  ///< does not wait for the rate limits
+    bool urgent = false;  ///< is charged but does not wait for the rate limits
   };
   /// Charge of a request that does not wait for the rate limits.
   static Charge urgent_charge();
--- a/src/wire/store_api.hpp
+++ b/src/wire/store_api.hpp
@@ -9,7 +9,8 @@
 
 namespace cranklock::wire {
 
-/// Value of a key, written at a revision. Among the changes of a watch, also the removal of a key.
+/// A value of a key, and the revision at which it was written. In the changes returned by a watch
+/// it may also be the removal of a key.
 struct StoredValue {
   std::string key;
   std::string data;  ///< JSON; empty for a removal
--- a/tests/status_cache_test.cpp
+++ b/tests/status_cache_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_EQ(find(kJob).error(), StatusMiss::not_cached);
 }
 
-// The same during a sync: a request that arrives after it was sent waits for the next one.
+// A request that arrives after the running sync was sent waits for the next sync.
 TEST_F(StatusCacheTest, ARequestDuringASyncWaitsForTheNextOne) {
   store_job(kJob);
   ASSERT_TRUE(find(kJob));
