--- a/lab/quota_audit.cpp
+++ b/lab/quota_audit.cpp
@@ -45,7 +45,8 @@
       sum += held;
       for (const auto& from : regions) sum += in_transit(*from, *region, team.name);
       audit.held_gpus[region->plan().name].push_back(
-          static_cast<double>(held[regions::Resource::gpus]) / regions::QuotaAmounts::kUnit);
+          static_cast<double>(held[regions::Resource::gpus]) /
+          regions::QuotaAmounts::kThousandthsPerUnit);
     }
     audit.teams_with_wrong_sums += sum == regions::full_quota(team) ? 0 : 1;
   }
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -27,8 +27,8 @@
 
 net::ServerLimits many_connections() {
   net::ServerLimits limits;
-  limits.connections = 4096;
-  limits.idle_s = kHour;
+  limits.max_connections = 4096;
+  limits.idle_timeout_s = kHour;
   return limits;
 }
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -65,9 +65,9 @@
   control::Node node(services);
 
   net::ServerLimits limits;
-  limits.connections = base::public_connections(settings);
-  limits.request_bytes = max_request_bytes(settings);
-  limits.idle_s = 4 * settings.lease_s;
+  limits.max_connections = base::public_connections(settings);
+  limits.max_request_bytes = max_request_bytes(settings);
+  limits.idle_timeout_s = 4 * settings.lease_s;
   net::HttpServer server(reactor, limits,
                          [&](net::Request request) { return node.handle(std::move(request)); });
   if (!server.listen(settings.listen)) {
--- a/src/control/job_api.cpp
+++ b/src/control/job_api.cpp
@@ -44,7 +44,7 @@
       : limiter_(limiter), reactor_(reactor), began_(reactor.now()) {}
   RequestInProgress(const RequestInProgress&) = delete;
   RequestInProgress& operator=(const RequestInProgress&) = delete;
-  ~RequestInProgress() { limiter_.leave(reactor_.now() - began_, reactor_.now()); }
+  ~RequestInProgress() { limiter_.release(reactor_.now() - began_, reactor_.now()); }
 
  private:
   net::Limiter& limiter_;
@@ -67,7 +67,7 @@
 Task<Response> JobApi::handle(Request request) {
   const bool is_read = request.method == "GET";
   net::Limiter& limiter = is_read ? read_limiter_ : write_limiter_;
-  if (!limiter.try_enter()) co_return retry_later("too many requests in progress");
+  if (!limiter.try_acquire()) co_return retry_later("too many requests in progress");
   const RequestInProgress in_progress(limiter, services_.reactor);
   auto routing = route(std::move(request));
   auto response = co_await routing;
--- a/src/net/buffer_budget.hpp
+++ b/src/net/buffer_budget.hpp
@@ -1,4 +1,4 @@
-// A bound on what the requests of all connections together may hold in memory.
+// A bound on the memory that the requests of all connections use together.
 #pragma once
 
 #include <cstddef>
@@ -6,33 +6,34 @@
 namespace cranklock::net {
 
 /// Counts the bytes of requests that are being received or answered. Requests of up to
-/// `kAlwaysTaken` bytes are not bounded by it, so that a flood of large ones keeps out neither
-/// workers' heartbeats nor health checks; their number is bounded by that of the connections.
+/// `kAlwaysAcceptedBytes` are always accepted, so that a flood of large requests blocks neither
+/// agents' heartbeats nor health checks; the limit on connections bounds their number.
 class BufferBudget {
  public:
-  static constexpr std::size_t kAlwaysTaken = std::size_t{8} * 1024;
+  static constexpr std::size_t kAlwaysAcceptedBytes = std::size_t{8} * 1024;
 
-  explicit BufferBudget(std::size_t max_bytes) : max_(max_bytes) {}
+  explicit BufferBudget(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  std::size_t held() const { return held_; }
+  std::size_t held_bytes() const { return held_bytes_; }
 
-  /// What one connection holds; returned when it goes.
-  class Share {
+  /// The bytes that one connection uses; released when the connection ends.
+  class Reservation {
    public:
-    explicit Share(BufferBudget& budget) : budget_(budget) {}
-    Share(const Share&) = delete;
-    Share& operator=(const Share&) = delete;
-    ~Share() { release(); }
+    explicit Reservation(BufferBudget& budget) : budget_(budget) {}
+    Reservation(const Reservation&) = delete;
+    Reservation& operator=(const Reservation&) = delete;
+    ~Reservation() { release(); }
 
-    /// Counts more bytes of a request; false when they are too many for all requests together.
+    /// Counts more bytes of a request; false if the request must be rejected because the budget of
+    /// all requests is exceeded.
     bool grow(std::size_t bytes) {
       bytes_ += bytes;
-      budget_.held_ += bytes;
-      return bytes_ <= kAlwaysTaken || budget_.held_ <= budget_.max_;
+      budget_.held_bytes_ += bytes;
+      return bytes_ <= kAlwaysAcceptedBytes || budget_.held_bytes_ <= budget_.max_bytes_;
     }
-    /// The request has been answered.
+    /// Called when the request has been answered.
     void release() {
-      budget_.held_ -= bytes_;
+      budget_.held_bytes_ -= bytes_;
       bytes_ = 0;
     }
 
@@ -42,8 +43,8 @@
   };
 
  private:
-  std::size_t max_;
-  std::size_t held_ = 0;
+  std::size_t max_bytes_;
+  std::size_t held_bytes_ = 0;
 };
 
 }  // namespace cranklock::net
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -6,7 +6,7 @@
 
 namespace cranklock::net {
 namespace {
-constexpr double kIdleSeconds = 30.0;
+constexpr double kMaxIdleS = 30.0;
 }
 
 HttpClient::~HttpClient() {
@@ -14,8 +14,8 @@
 }
 
 int HttpClient::take_idle(const std::string& address) {
-  const double oldest = reactor_.now() - kIdleSeconds;
-  while (!idle_.empty() && idle_.front().since < oldest) {
+  const double oldest_kept = reactor_.now() - kMaxIdleS;
+  while (!idle_.empty() && idle_.front().idle_since < oldest_kept) {
     ::close(idle_.front().fd);
     idle_.pop_front();
   }
@@ -23,7 +23,8 @@
     if (it->address != address) continue;
     Fd fd(it->fd);
     idle_.erase(it);
-    // A connection that has something to read before a request is closed or out of step.
+    // An idle connection that is readable has been closed by the peer, or has data that belongs to
+    // no request; either way it can't be reused.
     char byte = 0;
     const auto n = ::recv(fd.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return fd.release();
@@ -32,30 +33,30 @@
   return -1;
 }
 
-void HttpClient::keep(const std::string& address, int fd) {
+void HttpClient::keep_idle(const std::string& address, int fd) {
   idle_.push_back({address, fd, reactor_.now()});
-  close_surplus();
+  close_excess_idle();
 }
 
-void HttpClient::close_surplus() {
-  while (!idle_.empty() && idle_.size() + under_way_ > max_connections_) {
+void HttpClient::close_excess_idle() {
+  while (!idle_.empty() && idle_.size() + calls_in_flight_ > max_connections_) {
     ::close(idle_.front().fd);
     idle_.pop_front();
   }
 }
 
 Task<Reply> HttpClient::call(std::string address, Request request, double timeout_s) {
-  const double until = reactor_.now() + timeout_s;
+  const double deadline = reactor_.now() + timeout_s;
   Reply reply;
-  struct UnderWay {
+  struct InFlightCall {
     std::size_t& count;
-    ~UnderWay() { --count; }
+    ~InFlightCall() { --count; }
   };
-  const UnderWay one{++under_way_};
+  const InFlightCall in_flight{++calls_in_flight_};
   Fd fd(take_idle(address));
-  close_surplus();
+  close_excess_idle();
   if (!fd.valid()) {
-    auto connecting = connect_to(reactor_, address, until);
+    auto connecting = connect_to(reactor_, address, deadline);
     fd = co_await connecting;
     if (!fd.valid()) {
       reply.kind = Reply::Kind::not_sent;
@@ -63,22 +64,22 @@
     }
   }
   const std::string out = serialize(request, address);
-  auto writing = write_all(reactor_, fd.get(), out, until);
+  auto writing = write_all(reactor_, fd.get(), out, deadline);
   if (!co_await writing) co_return reply;
-  HttpParser parser(HttpParser::Kind::response, {HttpLimits{}.head, max_body_});
+  HttpParser parser(HttpParser::Kind::response, {HttpLimits{}.max_head_bytes, max_body_bytes_});
   char buffer[8192];
   for (;;) {
-    auto reading = read_some(reactor_, fd.get(), buffer, sizeof buffer, until);
+    auto reading = read_some(reactor_, fd.get(), buffer, sizeof buffer, deadline);
     const auto n = co_await reading;
     if (n < 0) co_return reply;
     const auto state =
         n == 0 ? parser.finish() : parser.feed({buffer, static_cast<std::size_t>(n)});
-    if (state == HttpParser::State::broken) co_return reply;
+    if (state == HttpParser::State::failed) co_return reply;
     if (state == HttpParser::State::complete) break;
   }
   reply.kind = Reply::Kind::answered;
   reply.response = std::move(parser.response());
-  if (reply.response.keep_alive) keep(address, fd.release());
+  if (reply.response.keep_alive) keep_idle(address, fd.release());
   co_return reply;
 }
 
--- a/src/net/client.hpp
+++ b/src/net/client.hpp
@@ -1,4 +1,4 @@
-// HTTP client with kept-alive connections, and the interface that tests replace.
+// HTTP client with a pool of idle connections, and the interface that tests replace.
 #pragma once
 
 #include <list>
@@ -11,7 +11,7 @@
 
 namespace cranklock::net {
 
-/// What became of a call. Only `not_sent` proves that the other side never got it.
+/// Result of a call. Only `not_sent` proves that the server did not receive the request.
 struct Reply {
   enum class Kind { answered, not_sent, unknown };
   Kind kind = Kind::unknown;
@@ -29,29 +29,30 @@
 
 class HttpClient : public Transport {
  public:
-  /// `max_body` bounds what an answer may hold. Connections are kept as long as there are no more
-  /// than `max_connections` with those of calls under way, which are not bounded here.
-  HttpClient(EvReactor& reactor, std::size_t max_body, std::size_t max_connections)
-      : reactor_(reactor), max_body_(max_body), max_connections_(max_connections) {}
+  /// `max_body_bytes` bounds the body of a response. Idle connections are closed as soon as they
+  /// and the calls in flight together exceed `max_connections`; calls in flight are not bounded
+  /// here.
+  HttpClient(EvReactor& reactor, std::size_t max_body_bytes, std::size_t max_connections)
+      : reactor_(reactor), max_body_bytes_(max_body_bytes), max_connections_(max_connections) {}
   ~HttpClient() override;
   Task<Reply> call(std::string address, Request request, double timeout_s) override;
 
  private:
-  struct Idle {
+  struct IdleConnection {
     std::string address;
     int fd;
-    double since;
+    double idle_since;
   };
   int take_idle(const std::string& address);
-  void keep(const std::string& address, int fd);
-  /// Closes the connections that were kept longest, as far as there are too many in all.
-  void close_surplus();
+  void keep_idle(const std::string& address, int fd);
+  /// Closes the connections that have been idle longest until `max_connections` is not exceeded.
+  void close_excess_idle();
 
   EvReactor& reactor_;
-  std::size_t max_body_;
+  std::size_t max_body_bytes_;
   std::size_t max_connections_;
-  std::size_t under_way_ = 0;  ///< calls
-  std::list<Idle> idle_;
+  std::size_t calls_in_flight_ = 0;
+  std::list<IdleConnection> idle_;
 };
 
 }  // namespace cranklock::net
--- a/src/net/connection_budget.hpp
+++ b/src/net/connection_budget.hpp
@@ -1,4 +1,4 @@
-// How many connections a server keeps, and what it does when they become too many.
+// How many connections a server keeps open, and how it reacts when there are too many.
 #pragma once
 
 #include <cstddef>
@@ -7,10 +7,10 @@
 
 /// Counts a server's open connections against its limit.
 ///
-/// Between requests, connections are kept up to three quarters of the limit. Beyond that every
-/// answer announces that its connection closes, so that there is always room for whoever comes:
-/// more clients than sockets then cost a connection for each request, and nobody is refused. An
-/// eighth above the limit stays open to newcomers while idle connections are closed for them.
+/// Connections are kept alive between requests up to three quarters of the limit. Beyond that,
+/// every response closes its connection, so that sockets stay available for new connections: with
+/// more clients than sockets, each request costs a new connection, but no client is rejected. Up to
+/// an eighth above the limit is accepted while idle connections are closed in exchange.
 class ConnectionBudget {
  public:
   explicit ConnectionBudget(std::size_t limit) : limit_(limit) {}
@@ -19,11 +19,11 @@
   void closed() { --open_; }
 
   std::size_t open() const { return open_; }
-  /// Share of the limit that is in use; above 1 while connections are closed for newcomers.
+  /// Share of the limit in use; above 1 while idle connections are being closed for new ones.
   double load() const { return static_cast<double>(open_) / static_cast<double>(limit_); }
-  /// Whether a connection that was just answered may stay for another request.
-  bool keeps_answered() const { return open_ <= limit_ - limit_ / 4; }
-  /// Whether an idle connection has to go for one that comes.
+  /// Whether a connection may be kept for another request after a response.
+  bool may_keep_alive() const { return open_ <= limit_ - limit_ / 4; }
+  /// Whether an idle connection must be closed for each new one.
   bool is_full() const { return open_ >= limit_; }
   bool may_accept() const { return open_ < limit_ + limit_ / 8; }
 
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 messages and an incremental parser for both directions. No pipelining: bytes beyond a
-// message stay in the buffer for the next one.
+// HTTP/1.1 messages and an incremental parser for requests and responses. No pipelining: bytes
+// after a message stay in the buffer for the next one.
 #pragma once
 
 #include <cstddef>
@@ -25,51 +25,51 @@
 };
 
 struct HttpLimits {
-  std::size_t head = std::size_t{8} * 1024;
-  std::size_t body = std::size_t{64} * 1024;
+  std::size_t max_head_bytes = std::size_t{8} * 1024;
+  std::size_t max_body_bytes = std::size_t{64} * 1024;
 };
 
-/// Takes bytes in pieces of any size. `state` tells whether a message is complete or broken, and
-/// `error` which status a server should refuse it with.
+/// Accepts bytes in pieces of any size. `state` is whether a message is complete or invalid, and
+/// `error_status` the HTTP status with which a server rejects it.
 class HttpParser {
  public:
   enum class Kind { request, response };
-  enum class State { more, complete, broken };
+  enum class State { incomplete, complete, failed };
 
   HttpParser(Kind kind, HttpLimits limits) : kind_(kind), limits_(limits) {}
 
   State feed(std::string_view bytes);
-  /// The end of the connection completes a response without a length.
+  /// The peer has closed the connection, which completes a response without a length.
   State finish();
-  /// Makes ready for the next message, keeping bytes that already belong to it.
+  /// Starts the next message with the bytes of it that have already arrived.
   State next();
 
   State state() const { return state_; }
-  int error() const { return error_; }
-  /// True while nothing of a message has arrived.
-  bool idle() const { return state_ == State::more && buffer_.empty() && !head_done_; }
+  int error_status() const { return error_status_; }
+  /// True until the first byte of a message arrives.
+  bool idle() const { return state_ == State::incomplete && buffer_.empty() && !head_complete_; }
 
   Request& request() { return request_; }
   Response& response() { return response_; }
 
  private:
   State advance();
-  State broken(int status);
+  State fail(int status);
   bool parse_head(std::string_view head);
-  bool parse_start(std::string_view line);
+  bool parse_start_line(std::string_view line);
   bool parse_header(std::string_view line);
   State read_chunks();
 
   Kind kind_;
   HttpLimits limits_;
-  State state_ = State::more;
-  int error_ = 0;
+  State state_ = State::incomplete;
+  int error_status_ = 0;
   std::string buffer_;
-  bool head_done_ = false;
+  bool head_complete_ = false;
   bool chunked_ = false;
-  bool has_length_ = false;
-  bool old_version_ = false;
-  std::size_t length_ = 0;
+  bool has_content_length_ = false;
+  bool is_http_1_0_ = false;
+  std::size_t content_length_ = 0;
   Request request_;
   Response response_;
 };
--- a/src/net/limiter.hpp
+++ b/src/net/limiter.hpp
@@ -1,26 +1,29 @@
-// A limit on requests in progress that adapts to measured times.
+// A limit on concurrent requests that adapts to their measured durations.
 #pragma once
 
 namespace cranklock::net {
 
-/// Grows by one request per limit's worth of requests that took little longer than the best
-/// lately seen, and shrinks by a fifth, at most once in the time one takes, when they take more
-/// than twice that and longer than `target_s`.
+/// The limit grows by one for each `limit()` requests that are fast enough. It shrinks by a fifth,
+/// at most once within the duration of a request, when a request takes more than twice the best
+/// recent duration and longer than `target_duration_s`.
 class Limiter {
  public:
-  Limiter(double least, double most, double target_s)
-      : min_(least), max_(most), target_s_(target_s), limit_(most / 2) {}
+  Limiter(double min_limit, double max_limit, double target_duration_s)
+      : min_limit_(min_limit),
+        max_limit_(max_limit),
+        target_duration_s_(target_duration_s),
+        limit_(max_limit / 2) {}
 
-  bool try_enter();
-  void leave(double took_s, double now);
+  bool try_acquire();
+  void release(double duration_s, double now);
   double limit() const { return limit_; }
-  int inside() const { return inside_; }
+  int in_progress() const { return in_progress_; }
 
  private:
-  double min_, max_, target_s_, limit_;
-  double best_s_ = 0.0;
+  double min_limit_, max_limit_, target_duration_s_, limit_;
+  double best_duration_s_ = 0.0;
   double shrunk_at_ = -1e9;
-  int inside_ = 0;
+  int in_progress_ = 0;
 };
 
 }  // namespace cranklock::net
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -8,9 +8,10 @@
 
 namespace cranklock::net {
 
-void Reactor::run_due() {
-  // A resumed routine may add and cancel timers at will, so the first is looked up anew each time;
-  // what it adds for "now" waits for the next turn, so that descriptors get theirs.
+void Reactor::run_due_timers() {
+  // A resumed coroutine may add and cancel any timers, so the first timer is looked up again each
+  // time. Timers that are added meanwhile run in the next loop iteration, so that events of file
+  // descriptors are handled in between.
   const double until = now();
   const std::uint64_t last = sequence_;
   while (!timers_.empty()) {
@@ -59,7 +60,8 @@
     : loop_(ev_loop_new(static_cast<unsigned>(EVBACKEND_EPOLL) |
                         static_cast<unsigned>(EVFLAG_NOENV))),
       watchers_(new Watchers) {
-  if (loop_ == nullptr) throw std::runtime_error("no event loop");
+  if (loop_ == nullptr)
+    throw std::runtime_error("cannot create a libev event loop with the epoll backend");
   ev_timer_init(
       &watchers_->timer,
       [](struct ev_loop*, ev_timer* w, int) { static_cast<EvReactor*>(w->data)->fire(); }, 0.0,
@@ -95,7 +97,7 @@
 }
 
 void EvReactor::fire() {
-  run_due();
+  run_due_timers();
   rearm();
 }
 
--- a/src/net/reactor.hpp
+++ b/src/net/reactor.hpp
@@ -1,5 +1,5 @@
-// The loop that routines run on. Timers live here so that tests can run the same routines in
-// simulated time; descriptors are watched only by EvReactor, on libev.
+// The event loop of coroutines. Timers are part of the base class so that tests can run the same
+// coroutines in simulated time; only EvReactor, which uses libev, watches file descriptors.
 #pragma once
 
 #include <coroutine>
@@ -20,9 +20,9 @@
   Reactor& operator=(const Reactor&) = delete;
   virtual ~Reactor() = default;
 
-  /// Steady seconds.
+  /// Monotonic clock in seconds.
   virtual double now() const = 0;
-  /// Milliseconds of the time of day.
+  /// Wall clock in milliseconds since the Unix epoch.
   virtual std::int64_t wall_ms() const = 0;
 
   Timer add_timer(double at, std::coroutine_handle<> h) {
@@ -34,8 +34,8 @@
   void cancel_timer(const Timer& id) { timers_.erase(id); }
 
  protected:
-  /// Resumes every routine whose time has come.
-  void run_due();
+  /// Resumes every coroutine whose timer is due.
+  void run_due_timers();
   virtual void rearm() = 0;
   const std::map<Timer, std::coroutine_handle<>>& timers() const { return timers_; }
 
@@ -44,7 +44,7 @@
   std::uint64_t sequence_ = 0;
 };
 
-/// Awaitable pause. A routine destroyed while it sleeps takes its timer with it.
+/// Awaitable pause. If the coroutine is destroyed while it sleeps, its timer is cancelled.
 class Sleep {
  public:
   Sleep(Reactor& reactor, double seconds) : reactor_(reactor), seconds_(seconds) {}
@@ -67,15 +67,15 @@
   bool armed_ = false;
 };
 
-/// A signal that one routine waits for, with a time limit. Signals given while nobody waits are
-/// kept, as one.
+/// A signal that one coroutine at a time awaits, with a timeout. Signals set while no coroutine
+/// waits are kept, as one.
 class Signal {
  public:
   explicit Signal(Reactor& reactor) : reactor_(reactor) {}
   Signal(const Signal&) = delete;
   Signal& operator=(const Signal&) = delete;
 
-  /// Wakes the waiter from the loop, never from within the caller.
+  /// The waiter is resumed by the event loop, never from within this call.
   void set();
 
   class Wait {
@@ -86,7 +86,7 @@
     ~Wait();
     bool await_ready() const noexcept { return false; }
     void await_suspend(std::coroutine_handle<> h);
-    /// True when signalled, false when the time ran out.
+    /// True if signalled, false after the timeout.
     bool await_resume() noexcept;
 
    private:
@@ -104,7 +104,7 @@
   Wait* waiter_ = nullptr;
 };
 
-/// The loop of a real process.
+/// The event loop of a real process, on libev.
 class EvReactor : public Reactor {
  public:
   EvReactor();
@@ -116,7 +116,7 @@
   struct ev_loop* raw() const {
     return loop_;
   }
-  void fire();  ///< for the timer's callback
+  void fire();  ///< called by the libev timer
 
  protected:
   void rearm() override;
@@ -127,7 +127,7 @@
   Watchers* watchers_;
 };
 
-/// Waits until a descriptor is ready or the time runs out; true when ready.
+/// Awaits readiness of a file descriptor, with a timeout; true if ready.
 class Ready {
  public:
   Ready(EvReactor& reactor, int fd, bool for_write, double seconds);
@@ -137,7 +137,7 @@
   bool await_ready() const noexcept { return false; }
   void await_suspend(std::coroutine_handle<> h);
   bool await_resume() noexcept;
-  void fire();  ///< for the watcher's callback
+  void fire();  ///< called by the libev watcher
 
  private:
   void disarm();
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -11,13 +11,13 @@
   return listener_.valid();
 }
 
-bool HttpServer::make_room() {
-  // Guards against slow or silent clients using up the sockets that workers need: the connection
-  // that has been idle longest goes. Its routine sees the end and cleans up.
-  for (auto& c : open_) {
-    if (!c.idle) continue;
-    ::shutdown(c.fd, SHUT_RDWR);
-    c.idle = false;
+bool HttpServer::close_longest_idle() {
+  // Slow or silent clients must not use up the sockets that agents need, so the connection that has
+  // been idle longest is shut down. Its coroutine then reads the end of the stream and closes it.
+  for (auto& connection : open_connections_) {
+    if (!connection.idle) continue;
+    ::shutdown(connection.fd, SHUT_RDWR);
+    connection.idle = false;
     return true;
   }
   return false;
@@ -31,35 +31,38 @@
       Fd fd = accept_from(listener_.get());
       if (!fd.valid()) {
         if (errno == EMFILE || errno == ENFILE) {
-          // The routine whose connection goes needs a turn to close it.
-          constexpr double kTurn = 0.001, kNothingToClose = 0.05;
-          Sleep pause(reactor_, make_room() ? kTurn : kNothingToClose);
+          // The coroutine of a connection that was shut down must run before the descriptor is
+          // free.
+          constexpr double kCloseDelayS = 0.001, kRetryDelayS = 0.05;
+          Sleep pause(reactor_, close_longest_idle() ? kCloseDelayS : kRetryDelayS);
           co_await pause;
           continue;
         }
         break;
       }
-      if (connection_budget_.is_full()) make_room();
+      if (connection_budget_.is_full()) close_longest_idle();
       if (!connection_budget_.may_accept()) continue;
-      connections_.spawn(serve(std::move(fd)));
+      connection_tasks_.spawn(serve(std::move(fd)));
     }
   }
 }
 
 Task<HttpServer::Received> HttpServer::receive(int fd, HttpParser& parser, Connection& connection,
-                                               BufferBudget::Share& held) {
-  double begun = reactor_.now();
-  while (parser.state() == HttpParser::State::more) {
-    const double left = parser.idle() ? limits_.idle_s : begun + limits_.request_s - reactor_.now();
-    if (left <= 0) co_return Received::closed;
+                                               BufferBudget::Reservation& reservation) {
+  double request_started_at = reactor_.now();
+  while (parser.state() == HttpParser::State::incomplete) {
+    const double remaining_s =
+        parser.idle() ? limits_.idle_timeout_s
+                      : request_started_at + limits_.request_timeout_s - reactor_.now();
+    if (remaining_s <= 0) co_return Received::closed;
     char buffer[4096];
-    auto reading = read_some(reactor_, fd, buffer, sizeof buffer, reactor_.now() + left);
+    auto reading = read_some(reactor_, fd, buffer, sizeof buffer, reactor_.now() + remaining_s);
     const auto n = co_await reading;
     if (n <= 0) co_return Received::closed;
-    if (parser.idle()) begun = reactor_.now();
+    if (parser.idle()) request_started_at = reactor_.now();
     connection.idle = false;
     const auto size = static_cast<std::size_t>(n);
-    if (!held.grow(size)) co_return Received::too_much;
+    if (!reservation.grow(size)) co_return Received::over_budget;
     parser.feed({buffer, size});
   }
   co_return Received::request;
@@ -67,24 +70,24 @@
 
 Task<Response> HttpServer::answer(HttpParser& parser, Received received) {
   Response response;
-  if (received == Received::too_much) {
-    // Guards against a flood of large bodies, which would end a process of little memory.
+  if (received == Received::over_budget) {
+    // A flood of large bodies would exhaust the memory of a process with a small limit.
     response.status = 503;
     response.retry_after_s = 1;
     response.body = R"({"error":"too many large requests"})";
     response.keep_alive = false;
     co_return response;
   }
-  if (parser.state() == HttpParser::State::broken) {
-    response.status = parser.error();
+  if (parser.state() == HttpParser::State::failed) {
+    response.status = parser.error_status();
     response.body = R"({"error":"broken request"})";
     response.keep_alive = false;
     co_return response;
   }
-  const bool keep = parser.request().keep_alive;
-  auto work = handler_(std::move(parser.request()));
-  response = co_await work;
-  response.keep_alive = response.keep_alive && keep;
+  const bool keep_alive = parser.request().keep_alive;
+  auto handling = handler_(std::move(parser.request()));
+  response = co_await handling;
+  response.keep_alive = response.keep_alive && keep_alive;
   co_return response;
 }
 
@@ -93,30 +96,30 @@
     HttpServer& server;
     std::list<Connection>::iterator it;
     ~Entry() {
-      server.open_.erase(it);
+      server.open_connections_.erase(it);
       server.connection_budget_.closed();
     }
   };
   connection_budget_.opened();
-  Entry entry{*this, open_.insert(open_.end(), {fd.get(), true})};
+  Entry entry{*this, open_connections_.insert(open_connections_.end(), {fd.get(), true})};
   HttpParser parser(HttpParser::Kind::request, limits_.http);
-  BufferBudget::Share held(budget_);
+  BufferBudget::Reservation reservation(buffer_budget_);
   for (;;) {
-    auto receiving = receive(fd.get(), parser, *entry.it, held);
+    auto receiving = receive(fd.get(), parser, *entry.it, reservation);
     const auto received = co_await receiving;
     if (received == Received::closed) co_return;
     auto answering = answer(parser, received);
     auto response = co_await answering;
-    response.keep_alive = response.keep_alive && connection_budget_.keeps_answered();
+    response.keep_alive = response.keep_alive && connection_budget_.may_keep_alive();
     const std::string out = serialize(response);
-    auto writing = write_all(reactor_, fd.get(), out, reactor_.now() + limits_.request_s);
+    auto writing = write_all(reactor_, fd.get(), out, reactor_.now() + limits_.request_timeout_s);
     if (!co_await writing) co_return;
     if (!response.keep_alive) co_return;
-    held.release();
+    reservation.release();
     parser.next();
     if (parser.idle()) {
       entry.it->idle = true;
-      open_.splice(open_.end(), open_, entry.it);
+      open_connections_.splice(open_connections_.end(), open_connections_, entry.it);
     }
   }
 }
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -1,4 +1,4 @@
-// HTTP server: a routine per connection.
+// HTTP server with one coroutine per connection.
 #pragma once
 
 #include <functional>
@@ -15,10 +15,11 @@
 namespace cranklock::net {
 
 struct ServerLimits {
-  std::size_t connections = 256;
-  std::size_t request_bytes = std::size_t{8} * 1024 * 1024;  ///< of all requests together
-  double idle_s = 60.0;                                      ///< a connection between requests
-  double request_s = 5.0;  ///< from the first byte of a request to its last
+  std::size_t max_connections = 256;
+  /// Budget of all requests together.
+  std::size_t max_request_bytes = std::size_t{8} * 1024 * 1024;
+  double idle_timeout_s = 60.0;    ///< of a connection between requests
+  double request_timeout_s = 5.0;  ///< from the first to the last byte of a request
   HttpLimits http;
 };
 
@@ -30,13 +31,13 @@
       : reactor_(reactor),
         limits_(limits),
         handler_(std::move(handler)),
-        budget_(limits.request_bytes),
-        connection_budget_(limits.connections) {}
+        buffer_budget_(limits.max_request_bytes),
+        connection_budget_(limits.max_connections) {}
 
-  /// Binds and listens; false when the address can't be had.
+  /// Binds and listens; false if either fails.
   bool listen(const std::string& address);
   Task<void> run();
-  /// Share of the connections it may have that are open.
+  /// Open connections as a share of `max_connections`.
   double connection_load() const { return connection_budget_.load(); }
 
  private:
@@ -45,22 +46,23 @@
     bool idle;
   };
   Task<void> serve(Fd fd);
-  /// Reads until the parser has a whole request or a broken one; false when the connection is over.
-  enum class Received { request, too_much, closed };
+  /// Result of receive(): `request` is a complete or invalid request, `over_budget` one that
+  /// exceeds the buffer budget, `closed` the end of the connection or a timeout.
+  enum class Received { request, over_budget, closed };
   Task<Received> receive(int fd, HttpParser& parser, Connection& connection,
-                         BufferBudget::Share& held);
+                         BufferBudget::Reservation& reservation);
   Task<Response> answer(HttpParser& parser, Received received);
-  /// Closes the connection that has been idle longest; false when none is idle.
-  bool make_room();
+  /// Closes the connection that has been idle longest; false if none is idle.
+  bool close_longest_idle();
 
   EvReactor& reactor_;
   ServerLimits limits_;
   Handler handler_;
-  BufferBudget budget_;
+  BufferBudget buffer_budget_;
   ConnectionBudget connection_budget_;
   Fd listener_;
-  std::list<Connection> open_;  ///< idle ones that waited longest first
-  Scope connections_;
+  std::list<Connection> open_connections_;  ///< idle ones in order of idle time, longest first
+  Scope connection_tasks_;
 };
 
 }  // namespace cranklock::net
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,4 +1,4 @@
-// Owned descriptors and IPv4 addresses.
+// Owned file descriptors and IPv4 addresses.
 #pragma once
 
 #include <arpa/inet.h>
@@ -35,7 +35,7 @@
   int fd_;
 };
 
-/// Reads "10.0.0.1:8080"; names are not looked up.
+/// Parses an address like "10.0.0.1:8080"; host names are not resolved.
 inline std::optional<sockaddr_in> parse_address(const std::string& text) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,4 @@
-// Byte streams over IPv4, as routines.
+// TCP streams over IPv4, as coroutines.
 #pragma once
 
 #include <string>
@@ -10,15 +10,16 @@
 
 namespace cranklock::net {
 
-/// A connected socket, or an invalid one when it could not be had by then.
-Task<Fd> connect_to(EvReactor& reactor, std::string address, double until);
-/// False when not all of it could be sent by then. `bytes` must outlive the call.
-Task<bool> write_all(EvReactor& reactor, int fd, std::string_view bytes, double until);
-/// Bytes read; 0 at the end, -1 on failure or when the time ran out.
-Task<long> read_some(EvReactor& reactor, int fd, char* into, std::size_t max_bytes, double until);
-/// A listening socket, or an invalid one.
+/// A connected socket, or an invalid one on failure or after the deadline.
+Task<Fd> connect_to(EvReactor& reactor, std::string address, double deadline);
+/// False on failure, or if not all bytes were sent by the deadline. `bytes` must outlive the call.
+Task<bool> write_all(EvReactor& reactor, int fd, std::string_view bytes, double deadline);
+/// Number of bytes read; 0 at the end of the stream, -1 on failure or after the deadline.
+Task<long> read_some(EvReactor& reactor, int fd, char* into, std::size_t max_bytes,
+                     double deadline);
+/// A listening socket, or an invalid one on failure.
 Fd listen_on(const std::string& address);
-/// The next waiting connection, or an invalid socket.
+/// The next pending connection, or an invalid socket if there is none.
 Fd accept_from(int listener);
 
 }  // namespace cranklock::net
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -1,25 +1,25 @@
-// Coroutine tasks, and who owns and cancels them. The rules, which all coroutines of the project
-// follow:
+// Coroutine tasks, their ownership and cancellation. All coroutines of the project follow these
+// rules:
 //
-// - A Task owns its coroutine frame. It starts when it is awaited, or spawned into a Scope.
-// - Whoever awaits a task keeps it in a local variable of its own frame, so that the callee's frame
-//   lives inside the caller's: `auto reading = store.read(key); const auto found = co_await
+// - A Task owns its coroutine frame. It starts when it is awaited or spawned into a Scope.
+// - The awaiting coroutine keeps the task in a local variable, so that the callee's frame is
+//   owned by the caller's frame: `auto reading = store.read(key); const auto found = co_await
 //   reading;`
-// - A task that nobody awaits is spawned into a Scope, which owns it until it ends.
-// - Cancelling is destroying. Destroying a Task or a Scope destroys the frames that it owns, the
+// - A task that no coroutine awaits is spawned into a Scope, which owns it until it ends.
+// - Cancellation is destruction. Destroying a Task or a Scope destroys the frames that it owns, the
 //   tasks that these await, and with them the awaiters (Sleep, Signal::Wait and Ready in
-//   net/reactor.hpp), whose destructors take their timers and watchers along. No coroutine is told
-//   of it: after a cancellation it just does not go on, and only destructors run. What must be
-//   undone therefore stands in a destructor.
-// - A cancelled request may have been sent, and may still be carried out by whoever receives it.
-// - A class that spawns keeps its Scope as the last member, so that its coroutines end before the
-//   members that they use. The routines of a leader term are cancelled before the term is destroyed
-//   (control/leader_election.hpp).
-// - Parameters of a coroutine are values, or references to what outlives its frame.
+//   net/reactor.hpp), whose destructors remove their timers and watchers. A cancelled coroutine is
+//   not notified: it is never resumed, and only destructors run. Cleanup therefore belongs in
+//   destructors.
+// - A cancelled request may have been sent, and the receiver may still execute it.
+// - A class that spawns tasks declares its Scope as the last member, so that its coroutines end
+//   before the members that they use. The coroutines of a leader term are cancelled before the term
+//   is destroyed (control/leader_election.hpp).
+// - Parameters of a coroutine are values, or references to objects that outlive its frame.
 // - Everything runs on one thread. A coroutine runs without interruption from one co_await to the
-//   next; after each co_await whatever it knew of shared state may have changed.
-// - A Signal (net/reactor.hpp) wakes one waiting coroutine, from the loop and never from within the
-//   caller of set(). Signals that are set while nobody waits are kept, as one.
+//   next; shared state may have changed after each co_await.
+// - A Signal (net/reactor.hpp) wakes one waiting coroutine, from the event loop and never from
+//   within the call of set(). Signals that are set while no coroutine waits are kept, as one.
 #pragma once
 
 #include <coroutine>
@@ -39,9 +39,9 @@
 namespace detail {
 
 struct PromiseBase {
-  std::coroutine_handle<> continuation = std::noop_coroutine();  ///< whoever awaits it
-  Scope* scope = nullptr;             ///< of a routine that nobody awaits
-  std::uint64_t number_in_scope = 0;  ///< by which its scope knows it
+  std::coroutine_handle<> continuation = std::noop_coroutine();  ///< the awaiting coroutine
+  Scope* scope = nullptr;         ///< set for tasks spawned into a scope
+  std::uint64_t id_in_scope = 0;  ///< key of the task in its scope
 
   struct Final {
     bool await_ready() noexcept { return false; }
@@ -51,7 +51,7 @@
   };
   std::suspend_always initial_suspend() noexcept { return {}; }
   Final final_suspend() noexcept { return {}; }
-  // Failures travel as values here; an escaped exception is a defect and ends the process.
+  // Failures are returned as values; an escaped exception is a bug and terminates the process.
   void unhandled_exception() noexcept { std::terminate(); }
 };
 
@@ -70,7 +70,7 @@
 
 }  // namespace detail
 
-/// A coroutine that yields a T when awaited, and owns its frame. Awaited once at most.
+/// A coroutine that returns a T when awaited; owns its frame. May be awaited at most once.
 template <typename T = void>
 class [[nodiscard]] Task {
  public:
@@ -101,11 +101,11 @@
     if constexpr (!std::is_void_v<T>) return std::move(*handle_.promise().value);
   }
 
-  /// Whether it has ended, or was moved from.
+  /// Whether the coroutine has ended, or the task was moved from.
   bool done() const { return !handle_ || handle_.done(); }
-  /// Runs a task that nobody awaits until it waits for the first time; only tests use it.
+  /// Runs a task that is not awaited up to its first suspension; for tests only.
   void start() { handle_.resume(); }
-  /// The result of a finished task; only tests and the process's entry use it.
+  /// The result of a finished task; for tests and main() only.
   T take() {
     if constexpr (!std::is_void_v<T>) return std::move(*handle_.promise().value);
   }
@@ -123,9 +123,9 @@
   return Task<void>(std::coroutine_handle<Promise<void>>::from_promise(*this));
 }
 
-/// Owns routines that nobody awaits. A routine's frame goes as soon as the routine has ended, and
-/// with it whatever its parameters hold. Destroying the scope cancels all routines; it must not be
-/// destroyed by one of its own.
+/// Owns tasks that no coroutine awaits. A task's frame is destroyed as soon as the task has ended,
+/// together with the resources that its parameters own. Destroying the scope cancels all tasks; a
+/// task must not destroy its own scope.
 class Scope {
  public:
   Scope() = default;
@@ -135,31 +135,33 @@
 
   /// Starts the task and owns it until it ends.
   void spawn(Task<void> task) {
-    const auto number = next_number_++;
+    const auto id = next_id_++;
     const auto handle = task.handle_;
     handle.promise().scope = this;
-    handle.promise().number_in_scope = number;
-    routines_.emplace(number, std::move(task));
-    handle.resume();  // it may have ended, and be gone, when this returns
+    handle.promise().id_in_scope = id;
+    tasks_.emplace(id, std::move(task));
+    handle.resume();  // the task may have ended and been destroyed when this returns
   }
-  /// Cancels all routines; the scope can be used again.
+  /// Cancels all tasks; the scope can be used again.
   void clear() {
-    while (!routines_.empty()) {
-      // The newest first; whatever it ends in its turn is found gone.
-      auto last = routines_.extract(std::prev(routines_.end()));
+    while (!tasks_.empty()) {
+      // Newest first. Destroying a task may end other tasks of the scope, so the map is read again
+      // for each one.
+      auto newest = tasks_.extract(std::prev(tasks_.end()));
     }
   }
-  /// How many have not ended.
-  std::size_t size() const { return routines_.size(); }
+  /// Number of tasks that have not ended.
+  std::size_t size() const { return tasks_.size(); }
 
  private:
   friend detail::PromiseBase::Final;
-  // Guards against sockets held by the frames of connections that are over: once all sockets are
-  // held so, no connection comes whose routine would be the occasion to let go of them.
-  void ended(std::uint64_t number) noexcept { auto gone = routines_.extract(number); }
+  // Ended tasks are destroyed at once and not when the next one is spawned: frames of closed
+  // connections would keep their sockets open, and with all sockets in use no new connection could
+  // arrive to trigger the cleanup.
+  void on_task_ended(std::uint64_t id) noexcept { auto ended = tasks_.extract(id); }
 
-  std::map<std::uint64_t, Task<void>> routines_;
-  std::uint64_t next_number_ = 0;
+  std::map<std::uint64_t, Task<void>> tasks_;
+  std::uint64_t next_id_ = 0;
 };
 
 template <typename P>
@@ -167,7 +169,7 @@
     std::coroutine_handle<P> h) noexcept {
   const auto next = h.promise().continuation;
   Scope* owner = h.promise().scope;
-  if (owner != nullptr) owner->ended(h.promise().number_in_scope);  // destroys this frame
+  if (owner != nullptr) owner->on_task_ended(h.promise().id_in_scope);  // destroys this frame
   return next;
 }
 
--- a/src/net/token_bucket.cpp
+++ b/src/net/token_bucket.cpp
@@ -18,9 +18,10 @@
 }
 
 double TokenBucket::take(double tokens, double overdraft) {
-  constexpr double kTimerResolution = 0.001;  // so that the wait is not a moment too short
+  constexpr double kTimerResolution = 0.001;  // rounds the wait up, so that it is not too short
   refill();
-  const double needed = std::min(tokens, capacity_);  // more than it holds waits for a full bucket
+  // A request above the capacity waits for a full bucket.
+  const double needed = std::min(tokens, capacity_);
   const double min_level = needed - overdraft;
   if (level_ < min_level) return (min_level - level_) / rate_ + kTimerResolution;
   level_ -= tokens;
--- a/src/regions/demand.cpp
+++ b/src/regions/demand.cpp
@@ -7,14 +7,15 @@
 namespace cranklock::regions {
 namespace {
 
-/// Tasks that could be placed at once; the record of a job bounds how many are placed at a time.
+/// Tasks that could be placed at once. The size of a job's stored record bounds its live tasks
+/// (`max_live`).
 std::size_t placeable_tasks(const sched::Job& job, std::size_t max_live) {
   const std::size_t live = job.live();
   const std::size_t waiting = job.pending_count();
   if (job.spec.kind != wire::JobKind::gang) {
     return live < max_live ? std::min(waiting, max_live - live) : 0;
   }
-  // A gang is placed whole, when nothing is left of its last attempt.
+  // A gang is placed as a whole, once no task of its last attempt is live.
   return live == 0 && waiting <= max_live ? waiting : 0;
 }
 
@@ -25,9 +26,9 @@
   std::map<std::string, TeamDemand> demands;
   const std::size_t max_live = sched::max_live_tasks(cluster.settings());
   for (const auto& [id, job] : cluster.jobs()) {
-    const bool waits = !job.cancelled() && !job.complete() && job.dependencies_met &&
-                       job.retry.backoff_until <= now;
-    const std::size_t tasks = waits ? placeable_tasks(job, max_live) : 0;
+    const bool is_waiting = !job.cancelled() && !job.complete() && job.dependencies_met &&
+                            job.retry.backoff_until <= now;
+    const std::size_t tasks = is_waiting ? placeable_tasks(job, max_live) : 0;
     if (tasks == 0) continue;
     const auto [entry, first] = demands.try_emplace(job.spec.team);
     TeamDemand& demand = entry->second;
--- a/src/regions/demand.hpp
+++ b/src/regions/demand.hpp
@@ -1,4 +1,5 @@
-// What teams' work takes and waits for in one region, read from the leader's cluster state. Pure.
+// Quota that teams use and that their waiting jobs need in one region, computed from the leader's
+// cluster state. No I/O.
 #pragma once
 
 #include <map>
@@ -9,11 +10,11 @@
 
 namespace cranklock::regions {
 
-/// Every team with waiting work. Goes over all jobs once, so it is asked now and then, not for each
-/// message.
+/// Demand of every team with waiting work. Iterates over all jobs, so it is called at intervals and
+/// not for each message.
 std::map<std::string, TeamDemand> demands_of_waiting_work(sched::ClusterState& cluster, double now);
 
-/// What the team's placements take at this moment.
+/// Quota that the team's placements use now.
 QuotaAmounts allocated_quota(const sched::ClusterState& cluster, const std::string& team);
 
 }  // namespace cranklock::regions
--- a/src/regions/frame_reader.hpp
+++ b/src/regions/frame_reader.hpp
@@ -1,4 +1,4 @@
-// Splits the bytes of one connection between regions into frames and checks them. Pure.
+// Splits the bytes of one connection between regions into frames and validates them. No I/O.
 #pragma once
 
 #include <string>
@@ -10,20 +10,20 @@
 
 namespace cranklock::regions {
 
-/// Reads one connection. Its first frame must be a heartbeat, which names the region that all its
-/// frames come from.
+/// Reader of one connection. The first frame must be a heartbeat; it identifies the region that
+/// sends all frames of the connection.
 class FrameReader {
  public:
   explicit FrameReader(const base::RegionSettings& settings) : settings_(settings) {}
 
-  struct Arrived {
-    std::vector<RegionFrame> frames;  ///< in their order, heartbeats too
-    /// Why the connection is to be closed: what came after `frames` can't be used. Empty if it can.
+  struct ReceivedFrames {
+    std::vector<RegionFrame> frames;  ///< in order of arrival, including heartbeats
+    /// Why the connection must be closed: the bytes after `frames` are invalid. Empty if none are.
     std::string error;
   };
-  /// Takes bytes in pieces of any size. Nothing may be fed after an error.
-  Arrived feed(std::string_view bytes);
-  /// The region at the other end; empty before its heartbeat.
+  /// Accepts bytes in pieces of any size. Must not be called again after an error.
+  ReceivedFrames feed(std::string_view bytes);
+  /// The sending region; empty until its first heartbeat.
   const std::string& region() const { return region_; }
 
  private:
--- a/src/regions/links.cpp
+++ b/src/regions/links.cpp
@@ -1,6 +1,6 @@
 #include "regions/links.hpp"
 
-#include <spdlog/spdlog.h>
+#include "base/event_log.hpp"
 
 namespace cranklock::regions {
 
@@ -9,12 +9,13 @@
 
 namespace {
 
-/// Hellos after which a silent connection is given up, and what it said counts no more.
-constexpr double kPatience = 3;
-/// Without a connection, how often it is looked whether there should be one.
-constexpr double kChecksPerHeartbeat = 4;
-/// Frames that wait for one link; more are dropped and come again.
-constexpr std::size_t kMaxWaiting = 1024;
+/// Heartbeat intervals without data after which a connection is closed, and after which the last
+/// heartbeat no longer counts as proof of leadership.
+constexpr double kHeartbeatsUntilTimeout = 3;
+/// Checks per heartbeat interval whether a missing connection should be opened.
+constexpr double kConnectChecksPerHeartbeat = 4;
+/// Maximum frames queued for one link; further frames are dropped, and sent again by their owner.
+constexpr std::size_t kMaxQueuedFrames = 1024;
 
 }  // namespace
 
@@ -39,8 +40,8 @@
 }
 
 void Links::start(net::Scope& scope) {
-  scope.spawn(accept());
-  for (auto& link : links_) scope.spawn(keep(*link));
+  scope.spawn(accept_connections());
+  for (auto& link : links_) scope.spawn(maintain(*link));
 }
 
 RegionHeartbeat Links::heartbeat() const {
@@ -50,30 +51,32 @@
 
 Task<std::optional<std::vector<RegionFrame>>> Links::receive(int fd, FrameReader& reader) {
   char bytes[4096];
-  const double until = reactor_.now() + kPatience * heartbeat_interval(settings_);
-  auto reading = net::read_some(reactor_, fd, bytes, sizeof bytes, until);
+  const double deadline = reactor_.now() + kHeartbeatsUntilTimeout * heartbeat_interval(settings_);
+  auto reading = net::read_some(reactor_, fd, bytes, sizeof bytes, deadline);
   const auto count = co_await reading;
   if (count <= 0) co_return std::nullopt;
-  auto arrived = reader.feed({bytes, static_cast<std::size_t>(count)});
-  if (!arrived.error.empty()) {
-    spdlog::error("a connection between regions was closed: {}", arrived.error);
+  auto received = reader.feed({bytes, static_cast<std::size_t>(count)});
+  if (!received.error.empty()) {
+    base::log_error("region connection closed", base::field("reason", received.error));
     co_return std::nullopt;
   }
-  co_return std::move(arrived.frames);
+  co_return std::move(received.frames);
 }
 
-// ---- connections of others ----
+// ---- incoming connections ----
 
-Task<void> Links::accept() {
-  // A leader that restarts leaves its old connection behind until that goes quiet.
-  const std::size_t max_readers = 4 * (links_.size() + 1);
+Task<void> Links::accept_connections() {
+  // The old connection of a leader that restarts stays open until it times out.
+  const std::size_t max_connection_tasks = 4 * (links_.size() + 1);
   for (;;) {
-    constexpr double kWait = 3600;  // woken by connections, not by the time
-    net::Ready ready(reactor_, listener_.get(), false, kWait);
+    // New connections wake this loop; the timeout only repeats the wait.
+    constexpr double kAcceptTimeoutS = 3600;
+    net::Ready ready(reactor_, listener_.get(), false, kAcceptTimeoutS);
     if (!co_await ready) continue;
     for (Fd fd = net::accept_from(listener_.get()); fd.valid();
          fd = net::accept_from(listener_.get())) {
-      if (readers_.size() < max_readers) readers_.spawn(serve(std::move(fd)));
+      if (connection_tasks_.size() < max_connection_tasks)
+        connection_tasks_.spawn(serve(std::move(fd)));
     }
   }
 }
@@ -84,15 +87,15 @@
     auto receiving = receive(fd.get(), reader);
     const auto frames = co_await receiving;
     if (!frames) co_return;
-    bool answer = false;
+    bool heartbeat_received = false;
     for (const auto& frame : *frames) {
       if (std::holds_alternative<RegionHeartbeat>(frame)) {
-        answer = true;
+        heartbeat_received = true;
       } else {
         on_frame_(reader.region(), frame);
       }
     }
-    if (!answer) continue;
+    if (!heartbeat_received) continue;
     const std::string bytes = pack(heartbeat());
     auto writing =
         net::write_all(reactor_, fd.get(), bytes, reactor_.now() + heartbeat_interval(settings_));
@@ -100,7 +103,7 @@
   }
 }
 
-// ---- own connections ----
+// ---- outgoing connections ----
 
 Task<void> Links::connect(Link& link) {
   auto connecting = net::connect_to(reactor_, link.controller.address,
@@ -108,9 +111,9 @@
   Fd fd = co_await connecting;
   if (!fd.valid()) co_return;
   link.fd = std::make_shared<Fd>(std::move(fd));
-  link.next_heartbeat = 0;
-  link.frames.clear();
-  readers_.spawn(read_heartbeats(link, link.fd));
+  link.next_heartbeat_at = 0;
+  link.queued_frames.clear();
+  connection_tasks_.spawn(read_heartbeats(link, link.fd));
 }
 
 Task<void> Links::read_heartbeats(Link& link, SharedFd fd) {
@@ -118,54 +121,55 @@
   for (;;) {
     auto receiving = receive(fd->get(), reader);
     const auto frames = co_await receiving;
-    if (link.fd != fd) co_return;  // another connection has taken its place
+    if (link.fd != fd) co_return;  // the connection has been replaced
     if (!frames) break;
     for (const auto& frame : *frames) {
       const auto* heartbeat = std::get_if<RegionHeartbeat>(&frame);
       if (heartbeat == nullptr || heartbeat->region != link.region) continue;
       link.fencing_token = heartbeat->fencing_token;
-      link.heard_at = reactor_.now();
+      link.last_heartbeat_at = reactor_.now();
     }
   }
-  close(link);
+  close_link(link);
 }
 
-void Links::close(Link& link) {
-  if (link.fd) ::shutdown(link.fd->get(), SHUT_RDWR);  // ends its reader
+void Links::close_link(Link& link) {
+  if (link.fd) ::shutdown(link.fd->get(), SHUT_RDWR);  // wakes the coroutine that reads it
   link.fd.reset();
   link.fencing_token = 0;
-  link.frames.clear();
+  link.queued_frames.clear();
 }
 
-std::string Links::take_due(Link& link) {
+std::string Links::take_outgoing_bytes(Link& link) {
   std::string out;
-  if (reactor_.now() >= link.next_heartbeat) {
+  if (reactor_.now() >= link.next_heartbeat_at) {
     out = pack(heartbeat());
-    link.next_heartbeat = reactor_.now() + heartbeat_interval(settings_);
+    link.next_heartbeat_at = reactor_.now() + heartbeat_interval(settings_);
   }
-  for (; !link.frames.empty(); link.frames.pop_front()) out += link.frames.front();
+  for (; !link.queued_frames.empty(); link.queued_frames.pop_front())
+    out += link.queued_frames.front();
   return out;
 }
 
-Task<void> Links::keep(Link& link) {
+Task<void> Links::maintain(Link& link) {
   for (;;) {
     if (fencing_token_() == 0) {
-      close(link);
+      close_link(link);
     } else if (!link.fd) {
       auto connecting = connect(link);
       co_await connecting;
     }
     if (const SharedFd fd = link.fd) {
-      const std::string bytes = take_due(link);
+      const std::string bytes = take_outgoing_bytes(link);
       auto writing = net::write_all(reactor_, fd->get(), bytes,
                                     reactor_.now() + heartbeat_interval(settings_));
-      if (!co_await writing) close(link);
+      if (!co_await writing) close_link(link);
     }
-    // A new leader is heard of soon after its take-over.
-    const double pause = link.fd ? link.next_heartbeat - reactor_.now()
-                                 : heartbeat_interval(settings_) / kChecksPerHeartbeat;
-    constexpr double kMinPause = 0.001;  // the resolution of timers
-    net::Signal::Wait wait(link.filled, std::max(pause, kMinPause));
+    // Several checks per heartbeat interval, so that a new leader connects soon after its failover.
+    const double pause_s = link.fd ? link.next_heartbeat_at - reactor_.now()
+                                   : heartbeat_interval(settings_) / kConnectChecksPerHeartbeat;
+    constexpr double kMinPauseS = 0.001;  // the resolution of timers
+    net::Signal::Wait wait(link.frames_queued, std::max(pause_s, kMinPauseS));
     co_await wait;
   }
 }
@@ -173,18 +177,19 @@
 // ---- sending ----
 
 std::optional<std::size_t> Links::leader_link(const std::string& region) const {
-  std::optional<std::size_t> best;
-  const double since = reactor_.now() - kPatience * heartbeat_interval(settings_);
+  std::optional<std::size_t> newest;
+  const double oldest_valid =
+      reactor_.now() - kHeartbeatsUntilTimeout * heartbeat_interval(settings_);
   for (std::size_t i = 0; i < links_.size(); ++i) {
     const Link& link = *links_[i];
-    const bool leads = link.fd && link.fencing_token > 0 && link.heard_at > since;
+    const bool leads = link.fd && link.fencing_token > 0 && link.last_heartbeat_at > oldest_valid;
     if (link.region != region || !leads) continue;
-    if (!best || link.fencing_token > links_[*best]->fencing_token) best = i;
+    if (!newest || link.fencing_token > links_[*newest]->fencing_token) newest = i;
   }
-  return best;
+  return newest;
 }
 
-std::vector<std::string> Links::reachable() const {
+std::vector<std::string> Links::reachable_regions() const {
   std::vector<std::string> out;
   for (const auto& region : settings_.operators.regions.regions) {
     if (leader_link(region.name)) out.push_back(region.name);
@@ -194,9 +199,9 @@
 
 void Links::send(const std::string& region, const RegionFrame& frame) {
   const auto index = leader_link(region);
-  if (!index || links_[*index]->frames.size() >= kMaxWaiting) return;
-  links_[*index]->frames.push_back(pack(frame));
-  links_[*index]->filled.set();
+  if (!index || links_[*index]->queued_frames.size() >= kMaxQueuedFrames) return;
+  links_[*index]->queued_frames.push_back(pack(frame));
+  links_[*index]->frames_queued.set();
 }
 
 }  // namespace cranklock::regions
--- a/src/regions/quota_amounts.hpp
+++ b/src/regions/quota_amounts.hpp
@@ -1,5 +1,5 @@
-// What a region holds of a team's guarantee and limit, in whole thousandths so that sums over
-// regions are exact.
+// Amounts of a team's guarantee and limit, in integer thousandths so that sums over regions are
+// exact.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 class QuotaAmounts {
  public:
   using Values = std::array<std::int64_t, kResources>;
-  static constexpr std::int64_t kUnit = 1000;  ///< one whole CPU or GPU
+  static constexpr std::int64_t kThousandthsPerUnit = 1000;  ///< one whole CPU or GPU
 
   QuotaAmounts() = default;
   explicit QuotaAmounts(const Values& values) : values_(values) {}
@@ -49,14 +49,14 @@
   bool any_negative() const {
     return std::any_of(values_.begin(), values_.end(), [](auto value) { return value < 0; });
   }
-  /// The smaller, or the larger, of both in each resource.
+  /// Element-wise minimum and maximum.
   static QuotaAmounts min_of(const QuotaAmounts& a, const QuotaAmounts& b) {
     return combine(a, b, [](auto x, auto y) { return std::min(x, y); });
   }
   static QuotaAmounts max_of(const QuotaAmounts& a, const QuotaAmounts& b) {
     return combine(a, b, [](auto x, auto y) { return std::max(x, y); });
   }
-  /// Nothing where it is below zero.
+  /// Replaces negative values by 0.
   QuotaAmounts at_least_zero() const { return max_of(*this, QuotaAmounts{}); }
 
   /// Applies `function` to both values of each resource.
@@ -75,30 +75,32 @@
 
 /// Rounds to the nearest thousandth.
 inline std::int64_t to_thousandths(double amount) {
-  return std::llround(amount * static_cast<double>(QuotaAmounts::kUnit));
+  return std::llround(amount * static_cast<double>(QuotaAmounts::kThousandthsPerUnit));
 }
 
-/// The next whole CPU or GPU, in thousandths.
+/// Rounds up to a whole CPU or GPU, in thousandths.
 inline std::int64_t round_up_to_unit(std::int64_t thousandths) {
-  return (thousandths + QuotaAmounts::kUnit - 1) / QuotaAmounts::kUnit * QuotaAmounts::kUnit;
+  return (thousandths + QuotaAmounts::kThousandthsPerUnit - 1) / QuotaAmounts::kThousandthsPerUnit *
+         QuotaAmounts::kThousandthsPerUnit;
 }
 
-/// A team's whole guarantee and limit. 0 stands for a resource that is not looked at.
+/// A team's full guarantee and limit. 0: the resource is not limited.
 inline QuotaAmounts full_quota(const base::Team& team) {
   return QuotaAmounts({to_thousandths(team.cpus), to_thousandths(team.cpus_max),
                        to_thousandths(team.gpus), to_thousandths(team.gpus_max)});
 }
 
-/// What tasks take: the same of the guarantee and of the limit. Rounded up, so that no use is
-/// counted as less than it is.
+/// Quota that tasks use: the same amount of the guarantee and of the limit. Rounded up, so that
+/// usage is never underestimated.
 inline QuotaAmounts quota_used_by(const wire::Resources& resources) {
-  constexpr double kSlack = 1e-3;  // sums of decimal amounts, in thousandths
-  const auto up = [](double amount) {
-    return static_cast<std::int64_t>(
-        std::ceil(amount * static_cast<double>(QuotaAmounts::kUnit) - kSlack));
+  // In thousandths; absorbs the floating-point error in sums of decimal amounts.
+  constexpr double kRoundingTolerance = 1e-3;
+  const auto round_up = [](double amount) {
+    return static_cast<std::int64_t>(std::ceil(
+        amount * static_cast<double>(QuotaAmounts::kThousandthsPerUnit) - kRoundingTolerance));
   };
-  return QuotaAmounts(
-      {up(resources.cpus), up(resources.cpus), up(resources.gpus), up(resources.gpus)});
+  return QuotaAmounts({round_up(resources.cpus), round_up(resources.cpus), round_up(resources.gpus),
+                       round_up(resources.gpus)});
 }
 
 }  // namespace cranklock::regions
--- a/src/regions/quota_ledger.cpp
+++ b/src/regions/quota_ledger.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 double to_units(std::int64_t thousandths) {
-  return static_cast<double>(thousandths) / static_cast<double>(QuotaAmounts::kUnit);
+  return static_cast<double>(thousandths) / static_cast<double>(QuotaAmounts::kThousandthsPerUnit);
 }
 
 }  // namespace
@@ -30,7 +30,8 @@
   reload_needed_ = false;
 }
 
-// The settings' limit holds too: quotas were made from the limit of their time.
+// The limit in the settings applies too: it may be lower now than when the quotas were
+// bootstrapped from it.
 wire::Resources QuotaLedger::guarantee(const base::Team& team) const {
   const QuotaAmounts quota = held(team.name);
   return {std::min(team.cpus, to_units(quota[Resource::guaranteed_cpus])),
@@ -43,12 +44,12 @@
           std::min(team.gpus_max, to_units(quota[Resource::gpus])), 0};
 }
 
-// ---- messages of other regions ----
+// ---- messages from other regions ----
 
 void QuotaLedger::on_request(const std::string& region, const QuotaRequest& request) {
   const auto remote = state_.remote_regions.find(region);
   if (remote == state_.remote_regions.end() || settings_.team(request.team) == nullptr) return;
-  remote->second.requests[request.team] = request;  // the newest counts
+  remote->second.requests[request.team] = request;  // the latest request replaces earlier ones
 }
 
 void QuotaLedger::on_transfer(const std::string& region, const QuotaTransfer& transfer) {
@@ -56,10 +57,10 @@
   if (found == state_.remote_regions.end()) return;
   RemoteRegion& remote = found->second;
   if (transfer.sequence <= remote.received.value) {
-    remote.acknowledgement_due = true;  // a copy, however old: it was added once
+    remote.acknowledgement_due = true;  // a duplicate: it has been added before
     return;
   }
-  // One too far ahead is dropped: its sender sends it again.
+  // A transfer too far ahead is dropped; the sender repeats it.
   if (transfer.sequence > remote.received.value + kMaxUnacknowledged) return;
   remote.incoming.emplace(transfer.sequence, transfer);
 }
@@ -69,12 +70,12 @@
   const auto found = state_.remote_regions.find(region);
   if (found == state_.remote_regions.end()) return;
   RemoteRegion& remote = found->second;
-  if (acknowledgement.through > remote.sent.value) {
+  if (acknowledgement.last_sequence > remote.sent.value) {
     base::log_error("quota acknowledgement unknown", base::field("region", region),
-                    base::field("sequence", acknowledgement.through));
+                    base::field("sequence", acknowledgement.last_sequence));
     return;
   }
-  remote.acknowledged = std::max(remote.acknowledged, acknowledgement.through);
+  remote.acknowledged = std::max(remote.acknowledged, acknowledgement.last_sequence);
 }
 
 std::vector<QuotaTransfer> QuotaLedger::unacknowledged(const std::string& region) const {
@@ -106,7 +107,7 @@
                                                                       std::size_t max_mutations) {
   if (in_flight_ || reload_needed_ || leadership_lost_) return std::nullopt;
   if (write_unresolved_) {
-    // Under the same compares, so that only one of the two is ever applied.
+    // The guard has the same compares, so that at most one of the two is ever applied.
     in_flight_ = guard_sent_ = true;
     return Transaction{pending_->transaction.compares, {pending_->guard}};
   }
@@ -120,7 +121,7 @@
 bool QuotaLedger::finish_transaction(const store::CompareAndSwapResult& result) {
   in_flight_ = false;
   if (!pending_) return false;
-  const bool clears = pending_->kind == QuotaOperation::Kind::clear;
+  const bool is_clear = pending_->kind == QuotaOperation::Kind::clear;
   switch (result.status) {
     case store::Status::ok:
       return on_applied(result.revision);
@@ -128,16 +129,16 @@
       on_precondition_failed(result.failed_keys);
       return false;
     case store::Status::rejected:
-      // Certainly not applied; what was sent before it, under the same compares, may be.
+      // Certainly not applied; an earlier transaction with the same compares may still be.
       if (write_unresolved_) return false;
       pending_.reset();
       return true;
-    case store::Status::not_found:  // this and the next are no results of a compare-and-swap
+    case store::Status::not_found:  // compare-and-swap never returns this one and the next
     case store::Status::compacted:
     case store::Status::indeterminate:
-      // Removing once more what was acknowledged does no harm, however late.
-      write_unresolved_ = !clears;
-      if (clears) pending_.reset();
+      // A late repeated removal of acknowledged transfers is harmless.
+      write_unresolved_ = !is_clear;
+      if (is_clear) pending_.reset();
       return false;
   }
   return false;
@@ -148,7 +149,7 @@
   write_unresolved_ = false;
   if (!guard_sent_) return apply(operation, revision);
   apply_guard(operation, revision);
-  return true;  // what was counted as sent is held again
+  return true;  // quota that counted as sent may be used again
 }
 
 void QuotaLedger::on_precondition_failed(const std::vector<std::string>& failed_keys) {
@@ -156,8 +157,8 @@
     leadership_lost_ = true;
     return;
   }
-  // It, or a guard before this one, was applied. Until the records are read, what may have been
-  // sent counts as sent.
+  // The transaction, or an earlier guard, was applied. Until the records are read again, quota that
+  // may have been sent counts as sent.
   reload_needed_ = true;
 }
 
@@ -194,7 +195,7 @@
       break;
     case QuotaOperation::Kind::clear: {
       auto& outgoing = state_.remote_regions.at(operation.region).outgoing;
-      outgoing.erase(outgoing.begin(), outgoing.upper_bound(operation.through));
+      outgoing.erase(outgoing.begin(), outgoing.upper_bound(operation.last_sequence));
       break;
     }
     case QuotaOperation::Kind::send:
@@ -204,11 +205,12 @@
 }
 
 void QuotaLedger::apply_received(const QuotaOperation& operation, std::uint64_t revision) {
-  // The record of the bootstrap region is written with the first transfer that is received.
+  // The record of the bootstrap region is written together with the first received transfer.
   if (!state_.bootstrap_region) set_bootstrap_region(revision);
   RemoteRegion& remote = state_.remote_regions.at(operation.region);
-  remote.received = {operation.through, revision};
-  remote.incoming.erase(remote.incoming.begin(), remote.incoming.upper_bound(operation.through));
+  remote.received = {operation.last_sequence, revision};
+  remote.incoming.erase(remote.incoming.begin(),
+                        remote.incoming.upper_bound(operation.last_sequence));
   remote.acknowledgement_due = true;
 }
 
--- a/src/regions/quota_ledger.hpp
+++ b/src/regions/quota_ledger.hpp
@@ -1,5 +1,5 @@
-// What this region holds of each team's guarantee and limit, and the transfers that are under way.
-// Pure: it prepares transactions and is told how they ended; others write, send and wait.
+// This region's part of each team's guarantee and limit, and the transfers in transit. No I/O: the
+// ledger prepares transactions and is given their results; QuotaService writes, sends and waits.
 #pragma once
 
 #include <cstdint>
@@ -18,48 +18,47 @@
 
 namespace cranklock::regions {
 
-/// The ledger of one leader term. It enforces invariant 16: quotas and transfers under way add up
-/// to the team's limit at every moment.
+/// The ledger of one leader term. It enforces invariant 16: quotas and transfers in transit always
+/// add up to the team's limit.
 ///
 /// - Quota is deducted and its transfer stored in one transaction, before the transfer is sent.
 /// - It is added, and the transfer's sequence stored, in one transaction, before it is used.
 /// - Every transaction is conditional on the leader's key and on the revision of every key that it
-///   changes. One without an answer may be applied late: until a second one under the same compares
-///   has been decided, what would be sent counts as sent, what would be received as not yet
-///   received, and no other transaction is prepared.
+///   changes. A transaction without a response may be applied late: until the result of a second
+///   one with the same compares is known, its outgoing quota counts as sent, its incoming quota as
+///   not received, and no other transaction is prepared.
 class QuotaLedger : public sched::TeamShares {
  public:
   using Transaction = QuotaTransaction;
 
-  /// `leader` is the compare that only this term's transactions meet.
+  /// `leader`: the compare that only transactions of this leader term meet.
   QuotaLedger(const base::Settings& settings, wire::Compare leader);
 
-  /// Replaces all records by what is stored under kRegionsPrefix. A malformed record is logged and
-  /// skipped: nothing is held by it, and nothing is transferred any more (is_frozen).
+  /// Replaces all records by those stored under kRegionsPrefix. A malformed record is logged and
+  /// skipped: it gives no quota, and transfers stop (is_frozen).
   void load(const std::vector<wire::StoredValue>& items);
   /// See QuotaState::frozen.
   bool is_frozen() const { return state_.frozen; }
 
   wire::Resources guarantee(const base::Team& team) const override;
   wire::Resources limit(const base::Team& team) const override;
-  /// Whether this region bootstraps the quotas, and has done so for all teams.
+  /// Whether this is the bootstrap region and the quotas of all teams have been bootstrapped.
   bool all_bootstrapped() const { return operations_.all_bootstrapped(); }
-  /// What may be used here: certainly stored, and not being sent away.
+  /// Quota that may be used here: certainly stored, and not part of a pending transfer.
   QuotaAmounts held(const std::string& team) const { return operations_.held(team, pending_); }
 
-  // Messages of other regions. A region that the settings don't name is ignored.
+  // Messages from other regions. Messages of regions that are not in the settings are ignored.
   void on_request(const std::string& region, const QuotaRequest& request);
   void on_transfer(const std::string& region, const QuotaTransfer& transfer);
   void on_acknowledgement(const std::string& region,
                           const TransferAcknowledgement& acknowledgement);
 
   /// The next transaction to write, with at most `max_mutations` mutations; none if there is
-  /// nothing to write, or the result of the last one has not been told. `demand_of` tells what is
-  /// used now.
+  /// nothing to write, or the last one has not been finished. `demand_of` returns current usage.
   std::optional<Transaction> next_transaction(const DemandOf& demand_of, std::size_t max_mutations);
-  /// The result of the last transaction. Returns whether what this region holds has changed.
+  /// Takes the result of the last transaction. Returns whether this region's quota has changed.
   bool finish_transaction(const store::CompareAndSwapResult& result);
-  /// Another transaction than this term's has changed the records: read them again and load().
+  /// The stored records differ from those in memory: they must be read again and passed to load().
   bool reload_needed() const { return reload_needed_; }
   bool leadership_lost() const { return leadership_lost_; }
 
@@ -80,10 +79,10 @@
   wire::Compare leader_;
   QuotaState state_;
   QuotaOperations operations_;
-  std::optional<QuotaOperation> pending_;  ///< handed out, and its result not known
-  bool write_unresolved_ = false;          ///< `pending_` had no answer
-  bool guard_sent_ = false;                ///< the last transaction handed out was the guard's
-  bool in_flight_ = false;                 ///< a transaction whose result has not been told yet
+  std::optional<QuotaOperation> pending_;  ///< returned to the caller, result unknown
+  bool write_unresolved_ = false;          ///< `pending_` had no response
+  bool guard_sent_ = false;                ///< the last transaction returned was the guard
+  bool in_flight_ = false;  ///< finish_transaction() has not been called for the last one
   bool reload_needed_ = false;
   bool leadership_lost_ = false;
 };
--- a/src/regions/quota_operations.cpp
+++ b/src/regions/quota_operations.cpp
@@ -8,12 +8,12 @@
 namespace cranklock::regions {
 namespace {
 
-/// The part of a team's full quota that another region gets at first, in whole CPUs and GPUs.
+/// The part of a team's full quota that another region gets at bootstrap, in whole CPUs and GPUs.
 QuotaAmounts initial_quota(const QuotaAmounts& full, double share) {
   QuotaAmounts::Values values = full.values();
   for (auto& value : values) {
     const auto part = static_cast<std::int64_t>(static_cast<double>(value) * share);
-    value = part / QuotaAmounts::kUnit * QuotaAmounts::kUnit;
+    value = part / QuotaAmounts::kThousandthsPerUnit * QuotaAmounts::kThousandthsPerUnit;
   }
   return QuotaAmounts(values);
 }
@@ -116,24 +116,25 @@
   QuotaOperation operation = begin(QuotaOperation::Kind::receive, received_key(region),
                                    write_counter(received.value), received.revision);
   operation.region = region;
-  operation.through = received.value;
+  operation.last_sequence = received.value;
   std::map<std::string, QuotaAmounts> quotas;
-  // Beside the quotas: the counter and, the first time, the record of the bootstrap region.
+  // Besides the quotas: the counter and, with the first transfer, the record of the bootstrap
+  // region.
   const std::size_t other_mutations = state_.bootstrap_region ? 1 : 2;
   for (const auto& [sequence, transfer] : remote.incoming) {
     const bool fits = quotas.contains(transfer.team) || quotas.empty() ||
                       quotas.size() + other_mutations < max_mutations;
-    if (sequence != operation.through + 1 || !fits) break;
+    if (sequence != operation.last_sequence + 1 || !fits) break;
     const auto stored = state_.quotas.find(transfer.team);
     const QuotaAmounts before =
         stored == state_.quotas.end() ? QuotaAmounts{} : stored->second.quota;
     quotas.try_emplace(transfer.team, before).first->second += transfer.quota;
-    operation.through = sequence;
+    operation.last_sequence = sequence;
   }
   if (quotas.empty()) return std::nullopt;
   for (const auto& [team, quota] : quotas) set_quota(operation, team, quota);
   auto& mutations = operation.transaction.mutations;
-  mutations.push_back({received_key(region), write_counter(operation.through), 0});
+  mutations.push_back({received_key(region), write_counter(operation.last_sequence), 0});
   if (!state_.bootstrap_region) {
     operation.transaction.compares.push_back({kBootstrapRegionKey, state_.bootstrap_revision});
     mutations.push_back(
@@ -156,12 +157,12 @@
                                                        RemoteRegion& remote,
                                                        const DemandOf& demand_of,
                                                        std::size_t max_mutations) const {
-  constexpr std::size_t kMutationsEach = 2;  // the quota, and the transfer
+  constexpr std::size_t kMutationsPerRequest = 2;  // the quota and the transfer
   QuotaOperation operation = begin(QuotaOperation::Kind::send, sent_key(region),
                                    write_counter(remote.sent.value), remote.sent.revision);
   auto& requests = remote.requests;
   while (!requests.empty()) {
-    const std::size_t mutations = operation.transaction.mutations.size() + kMutationsEach + 1;
+    const std::size_t mutations = operation.transaction.mutations.size() + kMutationsPerRequest + 1;
     if (!operation.quotas.empty() && mutations > max_mutations) break;
     const QuotaRequest request = std::move(requests.begin()->second);
     requests.erase(requests.begin());
@@ -178,20 +179,20 @@
 
 QuotaAmounts QuotaOperations::quota_to_grant(const std::string& region, const QuotaRequest& request,
                                              const TeamDemand& demand) const {
-  // What is in transit already may be all that is asked for.
+  // A transfer in transit may already cover the request.
   const bool in_transit = state_.remote_regions.at(region).has_in_transit(request.team);
   if (in_transit || !state_.quotas.contains(request.team)) return {};
   const Claim own{regions_.self, demand.waiting_since_ms};
-  const Claim asking{region, request.waiting_since_ms};
+  const Claim requesting{region, request.waiting_since_ms};
   const QuotaAmounts spare = spare_quota(held(request.team, std::nullopt), demand,
-                                         full_quota_of(request.team), own, asking);
+                                         full_quota_of(request.team), own, requesting);
   return granted_quota(spare, request.wanted);
 }
 
 // ---- bootstrap ----
 
-// The only place where quota comes into being: by the bootstrap region, once for each team, from
-// the whole of its limit. The record of the team's quota is the mark that it was done.
+// The only place where quota is created: by the bootstrap region, once for each team, from the
+// team's full limit. The existence of the team's quota record marks it as done.
 std::optional<QuotaOperation> QuotaOperations::bootstrap(const DemandOf& demand_of,
                                                          std::size_t max_mutations) const {
   if (!is_bootstrap_region()) return std::nullopt;
@@ -199,13 +200,15 @@
       begin(QuotaOperation::Kind::bootstrap, kBootstrapRegionKey,
             write_bootstrap_region(regions_.bootstrap_region), state_.bootstrap_revision);
   operation.transaction.mutations.push_back(operation.guard);
-  const std::size_t counters = state_.remote_regions.size();
-  const std::size_t per_team = 1 + state_.remote_regions.size();
-  // Where a transaction has no room for initial transfers, the others ask for what they need.
-  const bool with_initial_transfers = 1 + per_team + counters <= max_mutations;
+  const std::size_t counter_mutations = state_.remote_regions.size();
+  const std::size_t mutations_per_team = 1 + state_.remote_regions.size();
+  // If initial transfers exceed the mutation limit of one transaction, the other regions request
+  // the quota that they need.
+  const bool with_initial_transfers = 1 + mutations_per_team + counter_mutations <= max_mutations;
   for (const auto& [name, team] : teams_) {
     if (state_.quotas.contains(name)) continue;
-    const std::size_t mutations = operation.transaction.mutations.size() + per_team + counters;
+    const std::size_t mutations =
+        operation.transaction.mutations.size() + mutations_per_team + counter_mutations;
     if (!operation.quotas.empty() && mutations > max_mutations) break;
     bootstrap_team(operation, team, demand_of(name), with_initial_transfers);
   }
@@ -216,23 +219,23 @@
 
 void QuotaOperations::bootstrap_team(QuotaOperation& operation, const base::Team& team,
                                      const TeamDemand& demand, bool with_initial_transfers) const {
-  QuotaAmounts left = full_quota(team);
+  QuotaAmounts remaining = full_quota(team);
   for (const auto& region : regions_.regions) {
     if (region.name == regions_.self || !with_initial_transfers) continue;
-    const QuotaAmounts unused = (left - demand.used).at_least_zero();
+    const QuotaAmounts unused = (remaining - demand.used).at_least_zero();
     const QuotaAmounts initial =
         QuotaAmounts::min_of(unused, initial_quota(full_quota(team), region.initial_share));
     if (initial.is_zero()) continue;
-    left -= initial;
+    remaining -= initial;
     add_transfer(operation, region.name, team.name, initial);
   }
-  set_quota(operation, team.name, left);
+  set_quota(operation, team.name, remaining);
 }
 
 // ---- clearing ----
 
-// An acknowledgement proves that the receiver's counter has passed the transfer, which rejects
-// every copy of it from then on; so nothing needs to remember it any more.
+// An acknowledgement proves that the receiver's counter has reached the transfer. The receiver
+// rejects every later duplicate by that counter, so the transfer need not be stored any longer.
 std::optional<QuotaOperation> QuotaOperations::clear(std::size_t max_mutations) const {
   for (const auto& [region, remote] : state_.remote_regions) {
     const auto& outgoing = remote.outgoing;
@@ -243,10 +246,10 @@
     auto& transaction = operation.transaction;
     transaction.compares = {leader_};
     for (const auto& [sequence, transfer] : outgoing) {
-      const bool full = transaction.mutations.size() == max_mutations;
-      if (sequence > remote.acknowledged || full) break;
+      const bool at_limit = transaction.mutations.size() == max_mutations;
+      if (sequence > remote.acknowledged || at_limit) break;
       transaction.mutations.push_back({out_key(region, sequence), "", 0});
-      operation.through = sequence;
+      operation.last_sequence = sequence;
     }
     return operation;
   }
--- a/src/regions/quota_operations.hpp
+++ b/src/regions/quota_operations.hpp
@@ -1,4 +1,4 @@
-// Prepares the transactions by which quota moves between regions. Pure: nothing is applied here.
+// Prepares the transactions that move quota between regions. No I/O; QuotaLedger applies results.
 #pragma once
 
 #include <cstddef>
@@ -16,48 +16,48 @@
 
 namespace cranklock::regions {
 
-/// Mutations that are applied together if all compared revisions hold.
+/// Mutations that are applied atomically if all compared revisions match.
 struct QuotaTransaction {
   std::vector<wire::Compare> compares;
   std::vector<wire::Mutation> mutations;
 };
 
-/// A prepared transaction, with what it changes once it is applied.
+/// A prepared transaction, with the state changes to make once it is applied.
 struct QuotaOperation {
   enum class Kind {
-    bootstrap,  ///< turns teams' limits into quotas
-    receive,    ///< adds transfers of another region
+    bootstrap,  ///< creates quotas from the teams' limits
+    receive,    ///< adds transfers from another region
     send,       ///< deducts quota and stores its transfer to another region
-    clear,      ///< removes stored transfers that were acknowledged
+    clear,      ///< removes acknowledged transfers from the store
   };
   Kind kind = Kind::clear;
   QuotaTransaction transaction;
-  /// A mutation that changes nothing, written under the same compares to find out whether a
-  /// transaction without an answer was applied: only one of the two can be.
+  /// A mutation that keeps the stored value, written with the same compares to find out whether a
+  /// transaction without a response was applied: at most one of the two can be.
   wire::Mutation guard;
-  std::map<std::string, QuotaAmounts> quotas;                 ///< as they will be, by team
-  std::map<std::string, QuotaAmounts> deducted;               ///< not to be used meanwhile, by team
+  std::map<std::string, QuotaAmounts> quotas;    ///< new values, by team
+  std::map<std::string, QuotaAmounts> deducted;  ///< not usable until the result is known, by team
   std::map<std::string, std::vector<QuotaTransfer>> to_send;  ///< by region
-  std::string region;                                         ///< received from, or cleared of
-  std::uint64_t through = 0;  ///< sequence of the last transfer received, or cleared
+  std::string region;               ///< sender of received, or receiver of cleared transfers
+  std::uint64_t last_sequence = 0;  ///< of the transfers received or cleared
 };
 
-/// What a team's work uses and waits for in this region now.
+/// A team's current demand in this region.
 using DemandOf = std::function<TeamDemand(const std::string& team)>;
 
 /// Builds operations from the state. Each is conditional on the leader's key and on the revision of
 /// every key that it changes, so that a late write fails (invariants 1 and 16).
 class QuotaOperations {
  public:
-  /// `leader`: the compare that only this leader term meets. All outlive the object.
+  /// `leader`: the compare that only this leader term meets. All arguments outlive the object.
   QuotaOperations(const base::Settings& settings, QuotaState& state, const wire::Compare& leader);
 
   /// The next operation with at most `max_mutations` mutations; none if there is nothing to do.
-  /// Requests that are decided on are removed from the state.
+  /// Requests that have been decided are removed from the state.
   std::optional<QuotaOperation> next(const DemandOf& demand_of, std::size_t max_mutations);
-  /// Whether this region bootstraps, and has done so for all teams.
+  /// Whether this is the bootstrap region and the quotas of all teams have been bootstrapped.
   bool all_bootstrapped() const;
-  /// Quota of the team that is certainly stored and not being sent away by `pending`.
+  /// Quota of the team that is certainly stored and not deducted by `pending`.
   QuotaAmounts held(const std::string& team, const std::optional<QuotaOperation>& pending) const;
 
  private:
--- a/src/regions/quota_policy.hpp
+++ b/src/regions/quota_policy.hpp
@@ -1,4 +1,4 @@
-// How much quota a region requests, and how much another grants. Pure.
+// How much quota a region requests, and how much another region grants. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,33 +8,33 @@
 
 namespace cranklock::regions {
 
-/// What a team's work uses and waits for in one region.
+/// Quota that a team uses and waits for in one region.
 struct TeamDemand {
-  QuotaAmounts used;     ///< placements not proven free, and those that an unanswered write names
-  QuotaAmounts waiting;  ///< tasks that could be placed at once if there were room and quota
-  std::int64_t waiting_since_ms = 0;  ///< time of day; of the oldest job with waiting tasks
+  /// Placements not known to have ended, and those of writes without a response.
+  QuotaAmounts used;
+  QuotaAmounts waiting;               ///< tasks placeable at once, given capacity and quota
+  std::int64_t waiting_since_ms = 0;  ///< wall clock; of the oldest job with waiting tasks
 };
 
-/// What the region lacks of the team's quota for the work that waits there; nothing when none
-/// waits. A guarantee is wanted no further than the whole team has one, and a resource that is not
-/// looked at is not wanted.
+/// Quota of the team that the region lacks for its waiting work; zero if no work waits. Never more
+/// than the team's full guarantee and limit, and zero for resources that are not limited.
 QuotaAmounts missing_quota(const QuotaAmounts& held, const TeamDemand& demand,
                            const QuotaAmounts& full);
 
-/// Who asks: the region's name decides between work that has waited equally long.
+/// Order in which regions get quota: the longer wait first, for equal waits by region name.
 struct Claim {
   std::string region;
   std::int64_t waiting_since_ms = 0;
 };
 
-/// What the region could give away: what is neither in use nor wanted by its own waiting work.
-/// Two regions that both lack quota would hold on to pieces that are of use to neither, so then
-/// the work that has waited longer goes first.
+/// Quota that the region can give away: neither in use nor needed by its own waiting work. If both
+/// regions lack quota, each could keep a part that is too small to use; therefore the region whose
+/// work has waited longer takes precedence.
 QuotaAmounts spare_quota(const QuotaAmounts& held, const TeamDemand& demand,
-                         const QuotaAmounts& full, const Claim& own, const Claim& asking);
+                         const QuotaAmounts& full, const Claim& own, const Claim& requesting);
 
-/// How much of the spare quota is granted: what is asked, up to half of the spare rounded up to a
-/// whole CPU or GPU, so that repeated requests come to an end.
-QuotaAmounts granted_quota(const QuotaAmounts& spare, const QuotaAmounts& asked);
+/// Quota to grant: the requested amount, up to half of the spare quota rounded up to a whole CPU or
+/// GPU, so that repeated requests end after a finite number.
+QuotaAmounts granted_quota(const QuotaAmounts& spare, const QuotaAmounts& requested);
 
 }  // namespace cranklock::regions
--- a/src/regions/quota_service.cpp
+++ b/src/regions/quota_service.cpp
@@ -6,15 +6,16 @@
 namespace cranklock::regions {
 namespace {
 
-constexpr double kStoreTimeout = 2.0;
-/// The longest pause between requests for quota that nobody gives, in intervals of
-/// request_interval().
-constexpr double kLongestPause = 16;
-/// The least pause between two rounds of talk(), in the same measure.
-constexpr double kMinPause = 1.0 / 20;
-
-/// A part of what is missing, in whole CPUs and GPUs so that the parts add up to at least all.
-QuotaAmounts part_of(const QuotaAmounts& missing, std::size_t parts) {
+constexpr double kStoreTimeoutS = 2.0;
+/// Upper bound of the backoff between requests that are not granted, in units of
+/// request_interval_s().
+constexpr double kMaxRequestIntervals = 16;
+/// Minimum pause between two rounds of exchange_messages(), in the same unit.
+constexpr double kMinRoundPauseIntervals = 1.0 / 20;
+
+/// One of `parts` equal parts, rounded up to whole CPUs and GPUs so that the parts add up to at
+/// least the missing quota.
+QuotaAmounts divide_rounding_up(const QuotaAmounts& missing, std::size_t parts) {
   QuotaAmounts::Values values = missing.values();
   const auto count = static_cast<std::int64_t>(parts);
   for (auto& value : values) {
@@ -35,12 +36,12 @@
       network_(network),
       callbacks_(std::move(callbacks)),
       ledger_(settings, std::move(leader)),
-      schedule_(request_interval(settings), kLongestPause * request_interval(settings)),
+      schedule_(request_interval_s(settings), kMaxRequestIntervals * request_interval_s(settings)),
       write_due_(reactor),
       message_due_(reactor) {}
 
 net::Task<bool> QuotaService::load() {
-  auto reading = store_.read_all(kRegionsPrefix, kStoreTimeout);
+  auto reading = store_.read_all(kRegionsPrefix, kStoreTimeoutS);
   const auto stored = co_await reading;
   if (stored.status != store::Status::ok) co_return false;
   ledger_.load(stored.page.items);
@@ -48,16 +49,16 @@
 }
 
 void QuotaService::start(net::Scope& scope) {
-  began_ = now();
-  bootstrapped_ = ledger_.all_bootstrapped();
+  started_at_ = now();
+  bootstrap_logged_ = ledger_.all_bootstrapped();
   scope.spawn(write());
   scope.spawn(exchange_messages());
 }
 
 TeamDemand QuotaService::demand_of(const std::string& team) const {
-  const auto waiting = waiting_.find(team);
-  TeamDemand demand = waiting == waiting_.end() ? TeamDemand{} : waiting->second;
-  demand.used = callbacks_.used(team);  // at this moment: placements may have come since
+  const auto waiting = last_demands_.find(team);
+  TeamDemand demand = waiting == last_demands_.end() ? TeamDemand{} : waiting->second;
+  demand.used = callbacks_.used_quota(team);  // current value: placements may have been added since
   return demand;
 }
 
@@ -97,18 +98,18 @@
     const auto transaction = ledger_.next_transaction(
         [this](const std::string& team) { return demand_of(team); }, store_.max_mutations());
     if (!transaction) {
-      net::Signal::Wait wait(write_due_, request_interval(settings_));
+      net::Signal::Wait wait(write_due_, request_interval_s(settings_));
       co_await wait;
       continue;
     }
     auto writing =
-        store_.compare_and_swap(transaction->compares, transaction->mutations, kStoreTimeout);
+        store_.compare_and_swap(transaction->compares, transaction->mutations, kStoreTimeoutS);
     const auto result = co_await writing;
     if (ledger_.finish_transaction(result)) callbacks_.quotas_changed();
-    if (!bootstrapped_ && ledger_.all_bootstrapped()) {
-      bootstrapped_ = true;
+    if (!bootstrap_logged_ && ledger_.all_bootstrapped()) {
+      bootstrap_logged_ = true;
       base::log_info("quotas bootstrapped", base::field("teams", settings_.teams.size()),
-                     base::field("seconds", fmt::format("{:.1f}", now() - began_)));
+                     base::field("seconds", fmt::format("{:.1f}", now() - started_at_)));
     }
     message_due_.set();
     const bool decided =
@@ -124,26 +125,26 @@
     send_transfers();
     send_acknowledgements();
     send_requests();
-    // Guards against a look at all jobs for each of hundreds of transfers.
-    net::Sleep rest(reactor_, kMinPause * request_interval(settings_));
-    co_await rest;
-    // Woken by what is written and heard: what is missing is asked for again as soon as a part of
-    // it has come.
-    net::Signal::Wait wait(message_due_, request_interval(settings_));
+    // Without this pause, each of hundreds of transfers would cause an iteration over all jobs.
+    net::Sleep pause(reactor_, kMinRoundPauseIntervals * request_interval_s(settings_));
+    co_await pause;
+    // Woken by finished writes and received transfers, so that the remaining shortage is requested
+    // as soon as part of the quota has arrived.
+    net::Signal::Wait wait(message_due_, request_interval_s(settings_));
     co_await wait;
   }
 }
 
-// New ones at once, and all that have no acknowledgement again after a while.
+// Sends new transfers at once, and all unacknowledged ones again every two request intervals.
 void QuotaService::send_transfers() {
-  for (const auto& region : network_.reachable()) {
-    Sent& sent = sent_[region];
-    const bool again = now() >= sent.again_at;
-    if (again) sent.again_at = now() + 2 * request_interval(settings_);
+  for (const auto& region : network_.reachable_regions()) {
+    SentTransfers& sent = sent_[region];
+    const bool resend = now() >= sent.resend_at;
+    if (resend) sent.resend_at = now() + 2 * request_interval_s(settings_);
     for (const auto& transfer : ledger_.unacknowledged(region)) {
-      if (!again && transfer.sequence <= sent.through) continue;
+      if (!resend && transfer.sequence <= sent.last_sequence) continue;
       network_.send(region, transfer);
-      sent.through = std::max(sent.through, transfer.sequence);
+      sent.last_sequence = std::max(sent.last_sequence, transfer.sequence);
     }
   }
 }
@@ -154,21 +155,21 @@
 }
 
 void QuotaService::send_requests() {
-  waiting_ = callbacks_.demands_of_waiting_work();
-  const auto regions = network_.reachable();
+  last_demands_ = callbacks_.demands_of_waiting_work();
+  const auto regions = network_.reachable_regions();
   if (regions.empty() || ledger_.is_frozen()) return;
   for (const auto& team : settings_.teams) {
-    const auto waiting = waiting_.find(team.name);
-    const TeamDemand demand = waiting == waiting_.end() ? TeamDemand{} : waiting->second;
+    const auto waiting = last_demands_.find(team.name);
+    const TeamDemand demand = waiting == last_demands_.end() ? TeamDemand{} : waiting->second;
     const QuotaAmounts missing = missing_quota(ledger_.held(team.name), demand, full_quota(team));
     const auto shortage = schedule_.shortage(team.name);
     if (shortage && missing.is_zero()) {
       base::log_info(base::kQuotaShortageOver, base::field("team", team.name),
-                     base::field("seconds", fmt::format("{:.3f}", now() - shortage->since)),
+                     base::field("seconds", fmt::format("{:.3f}", now() - shortage->started_at)),
                      base::field("requests", shortage->requests));
     }
     if (!schedule_.take_due(team.name, missing, now())) continue;
-    const QuotaRequest request{team.name, part_of(missing, regions.size()),
+    const QuotaRequest request{team.name, divide_rounding_up(missing, regions.size()),
                                demand.waiting_since_ms};
     for (const auto& region : regions) network_.send(region, request);
   }
--- a/src/regions/quota_service.hpp
+++ b/src/regions/quota_service.hpp
@@ -1,5 +1,5 @@
-// The leader's part in sharing team limits between regions: writes what the book prepares, tells
-// other regions, and asks them for what waiting work lacks.
+// The leader's service that shares team limits between regions: writes the transactions of the
+// quota ledger, sends transfers to other regions, and requests missing quota from them.
 #pragma once
 
 #include <functional>
@@ -17,43 +17,44 @@
 
 namespace cranklock::regions {
 
-/// How leaders of other regions are reached. Frames may be lost; nothing rests on them.
+/// Sends frames to the leaders of other regions. Frames may be lost; correctness does not depend on
+/// their delivery.
 class RegionNetwork {
  public:
   RegionNetwork() = default;
   RegionNetwork(const RegionNetwork&) = delete;
   RegionNetwork& operator=(const RegionNetwork&) = delete;
   virtual ~RegionNetwork() = default;
-  /// Regions whose leader can be sent to at present.
-  virtual std::vector<std::string> reachable() const = 0;
+  /// Regions with a known, connected leader.
+  virtual std::vector<std::string> reachable_regions() const = 0;
   virtual void send(const std::string& region, const RegionFrame& frame) = 0;
 };
 
-/// One term's; made with it and destroyed with it.
+/// Created and destroyed with a leader term.
 class QuotaService {
  public:
-  /// What the service needs from the term that it serves.
+  /// Functions of the leader term that the service calls.
   struct Callbacks {
-    /// Teams with waiting work, and what each takes.
+    /// Demand of each team with waiting work.
     std::function<std::map<std::string, TeamDemand>()> demands_of_waiting_work;
-    std::function<QuotaAmounts(const std::string& team)> used;
-    std::function<void()> quotas_changed;   ///< placement should look again
-    std::function<void()> leadership_lost;  ///< the leader's key has changed
+    std::function<QuotaAmounts(const std::string& team)> used_quota;
+    std::function<void()> quotas_changed;   ///< triggers a placement pass
+    std::function<void()> leadership_lost;  ///< the leader key has changed
   };
 
   QuotaService(net::Reactor& reactor, const base::Settings& settings, store::Client& store,
                RegionNetwork& network, wire::Compare leader, Callbacks callbacks);
 
-  /// Reads what this region holds; false when the state service did not let it. Until then nothing
-  /// is held.
+  /// Reads the stored quotas; false if the read from the store failed. Until it succeeds, this
+  /// region holds no quota.
   net::Task<bool> load();
   void start(net::Scope& scope);
   void on_region_frame(const std::string& region, const RegionFrame& frame);
-  /// Work has come, and may lack quota.
+  /// New work has arrived and may lack quota.
   void on_new_work();
   const QuotaLedger& ledger() const { return ledger_; }
-  /// How often the teams' needs are looked at.
-  static double request_interval(const base::Settings& settings) {
+  /// Interval between evaluations of the teams' demand.
+  static double request_interval_s(const base::Settings& settings) {
     return settings.heartbeat_interval_s / 4;
   }
 
@@ -73,15 +74,16 @@
   Callbacks callbacks_;
   QuotaLedger ledger_;
   RequestSchedule schedule_;
-  std::map<std::string, TeamDemand> waiting_;  ///< as looked at last
-  /// Transfers to a region that were sent in this term.
-  struct Sent {
-    std::uint64_t through = 0;
-    double again_at = 0;  ///< when all without an acknowledgement are sent again
+  std::map<std::string, TeamDemand> last_demands_;  ///< by team, as of the last evaluation
+  /// Transfers sent to a region in this term.
+  struct SentTransfers {
+    std::uint64_t last_sequence = 0;
+    double resend_at = 0;  ///< time at which all unacknowledged transfers are sent again
   };
-  std::map<std::string, Sent> sent_;
-  double began_ = 0;
-  bool bootstrapped_ = false;  ///< for the log
+  std::map<std::string, SentTransfers> sent_;
+  double started_at_ = 0;
+  /// The event has been logged, or bootstrap was complete at the start of the term.
+  bool bootstrap_logged_ = false;
   net::Signal write_due_, message_due_;
 };
 
--- a/src/regions/quota_state.cpp
+++ b/src/regions/quota_state.cpp
@@ -71,7 +71,8 @@
   return true;
 }
 
-// A region that the settings no longer name keeps its records: what was sent to it is not ours.
+// Records of a region that is no longer in the settings are kept: quota sent to it does not belong
+// to this region any more.
 bool QuotaState::load_item(const wire::StoredValue& item) {
   if (item.key == kBootstrapRegionKey) {
     bootstrap_region = read_bootstrap_region(item.data);
@@ -87,7 +88,7 @@
   if (item.key.starts_with(kSentPrefix) || item.key.starts_with(kReceivedPrefix)) {
     return load_counter(item);
   }
-  return true;  // of a later version
+  return true;  // written by a later version
 }
 
 }  // namespace cranklock::regions
--- a/src/regions/quota_state.hpp
+++ b/src/regions/quota_state.hpp
@@ -1,4 +1,4 @@
-// What is stored of shared quotas in this region, and what other regions have said since. Pure.
+// The stored quotas and transfers of this region, and messages received from other regions. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace cranklock::regions {
 
-/// Transfers that a receiver holds before they are added, and that a sender has in flight at a
-/// time.
+/// Maximum transfers that a receiver buffers before they are added, and that a sender sends without
+/// an acknowledgement.
 inline constexpr std::size_t kMaxUnacknowledged = 64;
 
 /// The quota of a team in this region, as stored.
@@ -29,37 +29,37 @@
   std::uint64_t value = 0, revision = 0;
 };
 
-/// Another region, as this one sees it.
+/// This region's state about another region.
 struct RemoteRegion {
   TransferCounter sent, received;
   std::map<std::uint64_t, QuotaTransfer> outgoing;  ///< stored, by sequence
-  std::uint64_t acknowledged = 0;                   ///< outgoing up to this one may be removed
+  std::uint64_t acknowledged = 0;  ///< outgoing transfers up to this sequence may be removed
   std::map<std::uint64_t, QuotaTransfer> incoming;  ///< not added yet, by sequence
   std::map<std::string, QuotaRequest> requests;     ///< not decided yet, by team
   bool acknowledgement_due = false;
 
-  /// Whether quota of the team is on its way to the region and not acknowledged yet.
+  /// Whether a transfer of the team's quota to the region is not acknowledged yet.
   bool has_in_transit(const std::string& team) const;
 };
 
-/// The records under kRegionsPrefix, and the messages of other regions that have not been dealt
-/// with. It only holds and reads them: QuotaOperations prepares changes, QuotaLedger applies them.
+/// The records under kRegionsPrefix, and unprocessed messages from other regions. It only holds and
+/// parses them: QuotaOperations prepares changes, QuotaLedger applies them.
 struct QuotaState {
-  /// One empty entry for each other region that the settings name.
+  /// Creates an empty entry for each other region in the settings.
   explicit QuotaState(const base::RegionSettings& settings);
 
-  /// Replaces all records by what is stored; messages that the records have not caught up with
-  /// stay. A malformed record is logged and skipped, and freezes the state: guards a region against
-  /// losing its leader for one record that can't be read.
+  /// Replaces all records by the stored ones; messages that the records do not include yet are
+  /// kept. A malformed record is logged and skipped, and freezes the state, so that one unreadable
+  /// record does not leave the region without a leader.
   void load(const std::vector<wire::StoredValue>& items, const base::RegionSettings& settings);
 
   std::map<std::string, StoredQuota> quotas;  ///< by team
   std::map<std::string, RemoteRegion> remote_regions;
-  /// The region that turned the teams' limits into quotas, as its record says; none: no record.
+  /// The region that created the quotas from the teams' limits, as stored; none: no record.
   std::optional<std::string> bootstrap_region;
-  std::uint64_t bootstrap_revision = 0;  ///< of that record
-  /// What is stored can't be trusted whole, or another region than the settings' has bootstrapped
-  /// it: what is held stays usable, and nothing is transferred.
+  std::uint64_t bootstrap_revision = 0;  ///< revision of that record
+  /// A record is malformed, or the stored bootstrap region differs from the settings: quotas held
+  /// stay usable, and no transaction is prepared.
   bool frozen = false;
 
  private:
--- a/src/regions/records.cpp
+++ b/src/regions/records.cpp
@@ -9,7 +9,7 @@
 constexpr const char* kCounterField = "n";
 constexpr const char* kTeamField = "team";
 constexpr const char* kBootstrapRegionField = "region";
-constexpr std::size_t kSequenceDigits = 20;  // of the largest 64-bit number
+constexpr std::size_t kSequenceDigits = 20;  // digits of the largest 64-bit number
 
 void write_quota_field(wire::JsonWriter& writer, const QuotaAmounts& quota) {
   writer.key(kQuotaField).list();
--- a/src/regions/records.hpp
+++ b/src/regions/records.hpp
@@ -1,9 +1,9 @@
-// How quotas and transfers stand in a region's key-value store.
-//   regions/bootstrap region           which region bootstrapped the quotas; the same in every
-//   region regions/quotas/<team>     this region's quota of the team: guarantee and limit
-//   regions/sent/<region>     the sequence of the last transfer to that region
-//   regions/out/<region>/<n>  a transfer to it, until it is acknowledged
-//   regions/received/<region> the sequence of the last transfer that was received from it
+// Records of quotas and transfers in a region's key-value store.
+//   regions/founder            the bootstrap region of the quotas; the same in every region
+//   regions/shares/<team>      this region's quota of the team: guarantee and limit
+//   regions/sent/<region>      sequence of the last transfer to that region
+//   regions/out/<region>/<n>   a transfer to that region, until it is acknowledged
+//   regions/received/<region>  sequence of the last transfer received from that region
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,7 @@
 std::string quota_key(const std::string& team);
 std::string sent_key(const std::string& region);
 std::string received_key(const std::string& region);
-/// Numbers have a fixed width, so that keys come in the order of the transfers.
+/// The sequence has a fixed width, so that the order of keys is the order of transfers.
 std::string out_key(const std::string& region, std::uint64_t sequence);
 
 std::string write_quota(const QuotaAmounts& quota);
--- a/src/regions/request_schedule.hpp
+++ b/src/regions/request_schedule.hpp
@@ -1,4 +1,4 @@
-// When a team's missing quota is requested: at once when it has changed, then with growing pauses.
+// When a team's missing quota is requested: at once when the amount changes, then with backoff.
 #pragma once
 
 #include <algorithm>
@@ -10,51 +10,51 @@
 
 namespace cranklock::regions {
 
-/// Exponential back-off of requests by team: with hundreds of teams that wait for quota nobody has
-/// left, requests would otherwise fill the links between regions.
+/// Exponential backoff of requests, by team. Without it, requests of hundreds of teams that wait
+/// for quota that no region has left would fill the links between regions.
 class RequestSchedule {
  public:
-  /// `shortest_s`: from one request to the next while nothing changes; doubled each time up to
-  /// `longest_s`.
-  RequestSchedule(double shortest_s, double longest_s)
-      : shortest_s_(shortest_s), longest_s_(longest_s) {}
+  /// `min_interval_s`: time to the second request while the amount is unchanged; doubled after each
+  /// request, up to `max_interval_s`.
+  RequestSchedule(double min_interval_s, double max_interval_s)
+      : min_interval_s_(min_interval_s), max_interval_s_(max_interval_s) {}
 
-  /// Whether to ask for this now; it is then taken as asked.
+  /// Whether to send a request now; if so, it is recorded as sent.
   bool take_due(const std::string& team, const QuotaAmounts& missing, double now) {
     if (missing.is_zero()) {
-      asked_.erase(team);
+      requested_.erase(team);
       return false;
     }
-    auto [entry, first] = asked_.try_emplace(team);
-    Asked& asked = entry->second;
-    if (first) asked.since = now;
-    const bool changed = first || !(asked.missing == missing);
-    if (!changed && now < asked.next) return false;
-    asked.missing = missing;
-    asked.pause_s = changed ? shortest_s_ : std::min(2 * asked.pause_s, longest_s_);
-    asked.next = now + asked.pause_s;
-    ++asked.requests;
+    auto [entry, first] = requested_.try_emplace(team);
+    RequestState& state = entry->second;
+    if (first) state.started_at = now;
+    const bool changed = first || !(state.missing == missing);
+    if (!changed && now < state.next_request_at) return false;
+    state.missing = missing;
+    state.interval_s = changed ? min_interval_s_ : std::min(2 * state.interval_s, max_interval_s_);
+    state.next_request_at = now + state.interval_s;
+    ++state.requests;
     return true;
   }
-  /// A shortage that is being asked about.
+  /// A shortage for which requests have been sent.
   struct Shortage {
-    double since = 0;
-    int requests = 0;  ///< rounds of them
+    double started_at = 0;
+    int requests = 0;  ///< rounds of requests to the reachable regions
   };
   std::optional<Shortage> shortage(const std::string& team) const {
-    const auto found = asked_.find(team);
-    if (found == asked_.end()) return std::nullopt;
-    return Shortage{found->second.since, found->second.requests};
+    const auto found = requested_.find(team);
+    if (found == requested_.end()) return std::nullopt;
+    return Shortage{found->second.started_at, found->second.requests};
   }
 
  private:
-  struct Asked {
+  struct RequestState {
     QuotaAmounts missing;
-    double since = 0, pause_s = 0, next = 0;
+    double started_at = 0, interval_s = 0, next_request_at = 0;
     int requests = 0;
   };
-  double shortest_s_, longest_s_;
-  std::map<std::string, Asked> asked_;
+  double min_interval_s_, max_interval_s_;
+  std::map<std::string, RequestState> requested_;
 };
 
 }  // namespace cranklock::regions
--- a/tests/buffer_budget_test.cpp
+++ b/tests/buffer_budget_test.cpp
@@ -9,40 +9,41 @@
 
 constexpr std::size_t kLarge = std::size_t{64} * 1024;
 
-// 300 connections with a body each took 22 MB of the 27 that the smallest machines have.
-TEST(BufferBudget, AFloodOfLargeRequestsIsHeldToTheBudget) {
+// Guards against exhausting memory: 300 connections with a body each used 22 MB of the 27 MB that
+// the smallest machines have.
+TEST(BufferBudget, AFloodOfLargeRequestsIsLimitedToTheBudget) {
   BufferBudget budget(10 * kLarge);
-  std::list<BufferBudget::Share> shares;
-  int taken = 0;
+  std::list<BufferBudget::Reservation> reservations;
+  int accepted = 0;
   for (int i = 0; i < 300; ++i) {
-    if (shares.emplace_back(budget).grow(kLarge)) {
-      ++taken;
+    if (reservations.emplace_back(budget).grow(kLarge)) {
+      ++accepted;
     } else {
-      shares.pop_back();  // refused: its connection ends
+      reservations.pop_back();  // rejected: its connection is closed
     }
   }
-  EXPECT_EQ(taken, 10);
-  EXPECT_LE(budget.held(), 10 * kLarge);
+  EXPECT_EQ(accepted, 10);
+  EXPECT_LE(budget.held_bytes(), 10 * kLarge);
 }
 
-TEST(BufferBudget, SmallRequestsAreTakenAllTheSame) {
+TEST(BufferBudget, SmallRequestsAreAcceptedWhenTheBudgetIsExhausted) {
   BufferBudget budget(kLarge);
-  BufferBudget::Share large(budget), small(budget);
+  BufferBudget::Reservation large(budget), small(budget);
   EXPECT_TRUE(large.grow(kLarge));
-  EXPECT_TRUE(small.grow(BufferBudget::kAlwaysTaken));
+  EXPECT_TRUE(small.grow(BufferBudget::kAlwaysAcceptedBytes));
   EXPECT_FALSE(small.grow(1));
 }
 
-TEST(BufferBudget, WhatWasAnsweredOrClosedIsGivenBack) {
+TEST(BufferBudget, BytesAreReleasedAfterTheResponseOrClose) {
   BufferBudget budget(kLarge);
   {
-    BufferBudget::Share closed(budget);
+    BufferBudget::Reservation closed(budget);
     EXPECT_TRUE(closed.grow(kLarge));
   }
-  BufferBudget::Share answered(budget);
+  BufferBudget::Reservation answered(budget);
   EXPECT_TRUE(answered.grow(kLarge));
   answered.release();
-  EXPECT_EQ(budget.held(), 0U);
+  EXPECT_EQ(budget.held_bytes(), 0U);
   EXPECT_TRUE(answered.grow(kLarge));
 }
 
--- a/tests/connection_budget_test.cpp
+++ b/tests/connection_budget_test.cpp
@@ -1,4 +1,4 @@
-// Which connections a server keeps.
+// Which connections a server keeps open.
 #include "net/connection_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -6,18 +6,18 @@
 namespace cranklock::net {
 namespace {
 
-TEST(ConnectionBudget, AnsweredConnectionsAreKeptUpToThreeQuarters) {
+TEST(ConnectionBudget, ConnectionsAreKeptAliveUpToThreeQuartersOfTheLimit) {
   ConnectionBudget budget(100);
   for (int i = 0; i < 75; ++i) budget.opened();
-  EXPECT_TRUE(budget.keeps_answered());
+  EXPECT_TRUE(budget.may_keep_alive());
   budget.opened();
-  EXPECT_FALSE(budget.keeps_answered());
+  EXPECT_FALSE(budget.may_keep_alive());
   EXPECT_FALSE(budget.is_full());
   budget.closed();
-  EXPECT_TRUE(budget.keeps_answered());
+  EXPECT_TRUE(budget.may_keep_alive());
 }
 
-TEST(ConnectionBudget, AboveTheLimitAnEighthIsLeftToNewcomers) {
+TEST(ConnectionBudget, NewConnectionsAreAcceptedUpToAnEighthAboveTheLimit) {
   ConnectionBudget budget(80);
   for (int i = 0; i < 80; ++i) budget.opened();
   EXPECT_TRUE(budget.is_full());
--- a/tests/fake_reactor.hpp
+++ b/tests/fake_reactor.hpp
@@ -1,6 +1,6 @@
-// A reactor in simulated time: timers run in the order in which they are due, and time jumps from
-// one to the next. The test cluster gives each node a loop of its own on one clock, so that a node
-// can be paused while the rest goes on.
+// A reactor in simulated time: timers run in the order in which they are due, and the clock
+// advances from one to the next. In the test cluster each node has a loop of its own on a shared
+// clock, so that one node can be paused while the others run.
 #pragma once
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 
 namespace cranklock::testing {
 
-/// The clock of a test, and the loop of everything that is not a node.
+/// The clock of a test, and the event loop of everything that is not a node.
 class FakeReactor : public net::Reactor {
  public:
-  /// A loop that runs on this reactor's clock.
+  /// An event loop on this reactor's clock.
   class Loop : public net::Reactor {
    public:
     explicit Loop(FakeReactor& clock) : clock_(clock) { clock_.loops_.push_back(this); }
@@ -22,7 +22,7 @@
     double now() const override { return clock_.now(); }
     std::int64_t wall_ms() const override { return clock_.wall_ms(); }
 
-    /// While it is set, no timer of this loop runs; those that fall due run when it is cleared.
+    /// While set, no timer of this loop runs; timers that are due run after it is cleared.
     bool paused = false;
 
    private:
@@ -38,7 +38,7 @@
   std::int64_t wall_ms() const override {
     return 1'000'000 + static_cast<std::int64_t>(now_ * 1000);
   }
-  /// Runs all timers that are due until `end`, the earliest first, and sets the clock to `end`.
+  /// Runs all timers that are due by `end`, earliest first, and sets the clock to `end`.
   void run_until(double end) {
     for (;;) {
       Loop* next_loop = nullptr;
@@ -50,7 +50,7 @@
       }
       if (due > end) break;
       now_ = std::max(now_, due);
-      next_loop != nullptr ? next_loop->run_due() : run_due();
+      next_loop != nullptr ? next_loop->run_due_timers() : run_due_timers();
     }
     now_ = end;
   }
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -11,14 +11,15 @@
   return {HttpParser::Kind::request, {1024, 4096}};
 }
 
-TEST(Http, ARequestMayArriveByteByByteAndAnotherFollow) {
+TEST(Http, ParsesARequestByteByByteAndTheNextOne) {
   auto parser = server_side();
   const std::string bytes =
       "POST /v1/jobs?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\n{\"a\"GET / "
       "HTTP/1.1\r\n\r\n";
-  State state = State::more;
+  State state = State::incomplete;
   std::size_t used = 0;
-  while (state == State::more && used < bytes.size()) state = parser.feed(bytes.substr(used++, 1));
+  while (state == State::incomplete && used < bytes.size())
+    state = parser.feed(bytes.substr(used++, 1));
   ASSERT_EQ(state, State::complete);
   EXPECT_EQ(parser.request().method, "POST");
   EXPECT_EQ(parser.request().path, "/v1/jobs");
@@ -29,18 +30,18 @@
   EXPECT_EQ(parser.request().method, "GET");
 }
 
-TEST(Http, ChunkedBodiesAreJoinedAcrossPieces) {
+TEST(Http, JoinsChunkedBodiesAcrossReads) {
   auto parser = server_side();
   EXPECT_EQ(parser.feed("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab"),
-            State::more);
+            State::incomplete);
   EXPECT_EQ(parser.feed("c\r\n2;x=y\r\nde\r\n0\r\n\r\n"), State::complete);
   EXPECT_EQ(parser.request().body, "abcde");
 }
 
-TEST(Http, BrokenAndOversizedRequestsAreToldApart) {
+TEST(Http, InvalidAndOversizedRequestsHaveDistinctStatuses) {
   const auto error_of = [](const std::string& bytes) {
     auto parser = server_side();
-    return parser.feed(bytes) == State::broken ? parser.error() : 0;
+    return parser.feed(bytes) == State::failed ? parser.error_status() : 0;
   };
   EXPECT_EQ(error_of("NONSENSE\r\n\r\n"), 400);
   EXPECT_EQ(error_of("GET x HTTP/1.1\r\n\r\n"), 400);
@@ -48,7 +49,7 @@
   EXPECT_EQ(error_of("GET / HTTP/1.1\r\nno colon\r\n\r\n"), 400);
   EXPECT_EQ(error_of("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"), 400);
   EXPECT_EQ(error_of("POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"), 400);
-  // Two ways to say the length let a request hide in another.
+  // Conflicting lengths allow request smuggling.
   EXPECT_EQ(error_of("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"),
             400);
   EXPECT_EQ(error_of("POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n"), 501);
@@ -56,9 +57,9 @@
   EXPECT_EQ(error_of("GET / HTTP/1.1\r\nA: " + std::string(2000, 'x')), 431);
 }
 
-TEST(Http, AResponseWithoutLengthEndsWithItsConnection) {
+TEST(Http, AResponseWithoutLengthEndsWithTheConnection) {
   HttpParser parser(HttpParser::Kind::response, {1024, 4096});
-  EXPECT_EQ(parser.feed("HTTP/1.1 503 Busy\r\nRetry-After: 7\r\n\r\nlater"), State::more);
+  EXPECT_EQ(parser.feed("HTTP/1.1 503 Busy\r\nRetry-After: 7\r\n\r\nlater"), State::incomplete);
   EXPECT_EQ(parser.finish(), State::complete);
   EXPECT_EQ(parser.response().status, 503);
   EXPECT_EQ(parser.response().retry_after_s, 7);
@@ -66,10 +67,10 @@
   EXPECT_FALSE(parser.response().keep_alive);
 }
 
-TEST(Http, ATruncatedAnswerIsNoAnswer) {
+TEST(Http, ATruncatedResponseIsAnError) {
   HttpParser parser(HttpParser::Kind::response, {1024, 4096});
   parser.feed("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-  EXPECT_EQ(parser.finish(), State::broken);
+  EXPECT_EQ(parser.finish(), State::failed);
 }
 
 }  // namespace
--- a/tests/limiter_test.cpp
+++ b/tests/limiter_test.cpp
@@ -5,13 +5,13 @@
 namespace cranklock::net {
 namespace {
 
-TEST(Limiter, ShrinksWhenAnswersGetSlowAndGrowsBack) {
+TEST(Limiter, ShrinksWhenRequestsGetSlowerAndGrowsBack) {
   Limiter limiter(4, 64, 0.1);
   double now = 0;
   const auto serve = [&](double took, int times) {
     for (int i = 0; i < times; ++i) {
-      ASSERT_TRUE(limiter.try_enter());
-      limiter.leave(took, now += took);
+      ASSERT_TRUE(limiter.try_acquire());
+      limiter.release(took, now += took);
     }
   };
   serve(0.01, 10);
@@ -24,12 +24,12 @@
   EXPECT_GT(limiter.limit(), slow);
 }
 
-TEST(Limiter, RefusesAtOnceWhenFull) {
+TEST(Limiter, RejectsImmediatelyAtTheLimit) {
   Limiter limiter(4, 8, 0.1);
-  for (int i = 0; i < 4; ++i) EXPECT_TRUE(limiter.try_enter());
-  EXPECT_FALSE(limiter.try_enter());
-  limiter.leave(0.01, 1);
-  EXPECT_TRUE(limiter.try_enter());
+  for (int i = 0; i < 4; ++i) EXPECT_TRUE(limiter.try_acquire());
+  EXPECT_FALSE(limiter.try_acquire());
+  limiter.release(0.01, 1);
+  EXPECT_TRUE(limiter.try_acquire());
 }
 
 }  // namespace
--- a/tests/quota_ledger_test.cpp
+++ b/tests/quota_ledger_test.cpp
@@ -1,4 +1,4 @@
-// Transfers of quotas between regions, step by step: each way in which one can be interrupted.
+// Quota transfers between regions step by step, with every kind of interruption.
 #include <gtest/gtest.h>
 
 #include "quota_simulation.hpp"
@@ -11,25 +11,26 @@
 
 constexpr const char* kTeam = "team-0";
 
-/// Two regions with half of 12 GPUs each, all founded and received.
-struct TwoRegions : ShareSimulation {
-  TwoRegions() : ShareSimulation({{"a", 0.5, {}}, {"b", 0.5, {}}}, 1) { settle(2); }
+/// Two regions with half of 12 GPUs each, after bootstrap and initial transfers.
+struct TwoRegions : QuotaSimulation {
+  TwoRegions() : QuotaSimulation({{"a", 0.5, {}}, {"b", 0.5, {}}}, 1) { settle(2); }
   Work& work(const std::string& region) { return regions.at(region).work[kTeam]; }
   std::int64_t held(const std::string& region) const { return held_gpus(region, kTeam); }
   void wait_for(const std::string& region, std::int64_t gpus, std::int64_t since_ms = 1) {
     work(region).waiting = gpus;
     work(region).since_ms = since_ms;
   }
-  /// All that `from` has said arrives.
+  /// Sends all due messages of `from` and delivers them.
   void exchange(const std::string& from) {
-    speak(from);
+    send_messages(from);
     while (!messages.empty()) deliver(0);
   }
 };
 
-TEST(QuotaLedger, TheFounderGivesEachRegionItsFirstShareAndNoMoreThanIsUnused) {
-  ShareSimulation simulation({{"a", 0.5, {}}, {"b", 0.5, {}}}, 3);
-  simulation.regions.at("a").work["team-1"].used = 8;  // was there before the regions were
+TEST(QuotaLedger, BootstrapGivesEachRegionItsInitialShareUpToTheUnusedQuota) {
+  QuotaSimulation simulation({{"a", 0.5, {}}, {"b", 0.5, {}}}, 3);
+  // In use before limits were shared between regions.
+  simulation.regions.at("a").work["team-1"].used = 8;
   EXPECT_EQ(simulation.held_gpus("a", "team-1"), 0);
   while (simulation.write("a")) {
   }
@@ -41,7 +42,7 @@
   EXPECT_EQ(simulation.held_gpus("b", "team-1"), 4);
 }
 
-TEST(QuotaLedger, WhatIsAskedForComesAsHalfOfWhatIsUnusedAtATime) {
+TEST(QuotaLedger, EachRequestIsGrantedUpToHalfOfTheUnusedQuota) {
   TwoRegions two;
   two.wait_for("b", 10);
   two.exchange("b");
@@ -55,48 +56,52 @@
   EXPECT_EQ(two.held("a"), 2);
 }
 
-TEST(QuotaLedger, NothingInUseIsGiven) {
+TEST(QuotaLedger, QuotaInUseIsNotGranted) {
   TwoRegions two;
   two.work("a").used = 6;
   two.wait_for("b", 10);
   two.settle(10);
   EXPECT_EQ(two.held("a"), 6);
   EXPECT_EQ(two.work("b").used, 6);
-  two.work("a").used = 2;  // proven free
+  two.work("a").used = 2;  // known to have ended
   two.settle(10);
   EXPECT_EQ(two.work("b").used, 10);
 }
 
-// A leader may end between any two steps of either side, and the next one has only what is stored.
-TEST(QuotaLedger, ALeaderEndsBetweenEachTwoSteps) {
-  for (const std::string outcome : {"a", "b"}) {
+// A leader of either region may fail between any two steps; its successor has only the stored
+// records.
+TEST(QuotaLedger, LeaderFailsBetweenAnyTwoSteps) {
+  for (const std::string region : {"a", "b"}) {
     for (int last = 0; last <= 8; ++last) {
-      for (const Fate fate : {Fate::answered, Fate::applied_mute, Fate::lost}) {
+      for (const WriteOutcome outcome :
+           {WriteOutcome::applied, WriteOutcome::applied_unanswered, WriteOutcome::lost}) {
         TwoRegions two;
         two.wait_for("b", 9);
         int step = 0;
-        const auto next = [&](const std::function<void(Fate)>& action) {
-          action(step == last ? fate : Fate::answered);
-          if (step++ == last) two.change_leader(outcome);
+        const auto next = [&](const std::function<void(WriteOutcome)>& action) {
+          action(step == last ? outcome : WriteOutcome::applied);
+          if (step++ == last) two.change_leader(region);
           two.check();
         };
-        next([&](Fate) { two.exchange("b"); });    // the request
-        next([&](Fate f) { two.write("a", f); });  // taken off, and written down
-        next([&](Fate) { two.exchange("a"); });    // the transfer
-        next([&](Fate f) { two.write("b", f); });  // added
-        next([&](Fate) { two.exchange("b"); });    // the acknowledgement
-        next([&](Fate f) { two.write("a", f); });  // forgotten
-        next([&](Fate) { two.exchange("a"); });
-        next([&](Fate f) { two.write("b", f); });
+        next([&](WriteOutcome) { two.exchange("b"); });  // the request
+        next([&](WriteOutcome outcome_of_write) {
+          two.write("a", outcome_of_write);
+        });                                              // deducted, and the transfer stored
+        next([&](WriteOutcome) { two.exchange("a"); });  // the transfer
+        next([&](WriteOutcome outcome_of_write) { two.write("b", outcome_of_write); });  // added
+        next([&](WriteOutcome) { two.exchange("b"); });  // the acknowledgement
+        next([&](WriteOutcome outcome_of_write) { two.write("a", outcome_of_write); });  // cleared
+        next([&](WriteOutcome) { two.exchange("a"); });
+        next([&](WriteOutcome outcome_of_write) { two.write("b", outcome_of_write); });
         two.settle(10);
-        EXPECT_EQ(two.work("b").used, 9) << outcome << " after step " << last;
+        EXPECT_EQ(two.work("b").used, 9) << region << " after step " << last;
         EXPECT_EQ(two.held("a") + two.held("b"), 12);
       }
     }
   }
 }
 
-TEST(QuotaLedger, ATransferWhoseReceiptIsLostIsSentAgainByALaterLeaderAndAddedOnce) {
+TEST(QuotaLedger, ATransferWithALostAcknowledgementIsSentAgainByALaterLeaderAndAddedOnce) {
   TwoRegions two;
   two.wait_for("b", 9);
   two.exchange("b");
@@ -104,26 +109,26 @@
   two.exchange("a");
   two.write("b");
   EXPECT_EQ(two.held("b"), 9);
-  two.cut = {{"b", "a"}};
+  two.blocked_links = {{"b", "a"}};
   two.exchange("b");  // the acknowledgement does not arrive
   two.change_leader("a");
   two.change_leader("b");
-  two.exchange("a");  // once more, from what is stored
+  two.exchange("a");  // sent again, from the stored record
   while (two.write("b")) {
   }
   EXPECT_EQ(two.held("b"), 9);
   two.check();
 }
 
-TEST(QuotaLedger, AnOldCopyAfterItsReceiptWasForgottenAddsNothing) {
+TEST(QuotaLedger, AnOldDuplicateOfAClearedTransferAddsNothing) {
   TwoRegions two;
   two.wait_for("b", 9);
   two.exchange("b");
   two.write("a");
-  two.speak("a");
+  two.send_messages("a");
   const auto copies = two.messages;
   two.settle(10);
-  EXPECT_TRUE(two.regions.at("a").store.under(regions::kOutPrefix).empty()) << "forgotten";
+  EXPECT_TRUE(two.regions.at("a").store.list(regions::kOutPrefix).empty()) << "not cleared";
   const auto before = two.held("b");
   two.change_leader("b");
   two.messages = copies;
@@ -138,41 +143,44 @@
   TwoRegions two;
   two.wait_for("b", 9);
   two.exchange("b");
-  two.write("a", Fate::late);
-  EXPECT_EQ(two.held("a"), 3) << "what may be given is not used";
+  two.write("a", WriteOutcome::delayed);
+  EXPECT_EQ(two.held("a"), 3) << "quota that may have been sent is not usable";
   two.change_leader("a");
   EXPECT_EQ(two.held("a"), 6);
   two.work("a").used = 6;
-  two.apply_late("a", 0);
+  two.apply_delayed("a", 0);
   two.check();
   two.settle(5);
   EXPECT_EQ(two.held("a"), 6);
 }
 
-// The leader stays the same: its own late transaction must not come on top of a second one.
-TEST(QuotaLedger, AnUnansweredGiftCountsAsGivenUntilItIsDecided) {
-  for (const Fate first : {Fate::late, Fate::applied_mute, Fate::lost}) {
+// Guards against a leader's own delayed transaction being applied in addition to a second one.
+TEST(QuotaLedger, ASendWithoutAResponseCountsAsSentUntilItsResultIsKnown) {
+  for (const WriteOutcome first :
+       {WriteOutcome::delayed, WriteOutcome::applied_unanswered, WriteOutcome::lost}) {
     TwoRegions two;
     two.wait_for("b", 9);
     two.exchange("b");
     two.write("a", first);
-    two.write("a", Fate::refused);  // the guard, which says nothing of what went before
+    // The guard; its rejection proves nothing about the first write.
+    two.write("a", WriteOutcome::rejected);
     EXPECT_EQ(two.held("a"), 3);
     two.place("a");
     two.write("a");  // the guard
-    two.write("a");  // read again where it failed
+    two.write("a");  // reads the records again if the guard failed
     two.check();
     two.work("a").waiting = 6;
     two.place("a");
-    two.apply_late("a", 0);
+    two.apply_delayed("a", 0);
     two.check();
     two.settle(10);
     EXPECT_EQ(two.held("a") + two.held("b"), 12);
   }
 }
 
-TEST(QuotaLedger, AnUnansweredReceptionIsNotUsedUntilItIsDecided) {
-  for (const Fate first : {Fate::late, Fate::applied_mute, Fate::lost}) {
+TEST(QuotaLedger, AReceiveWithoutAResponseIsNotUsedUntilItsResultIsKnown) {
+  for (const WriteOutcome first :
+       {WriteOutcome::delayed, WriteOutcome::applied_unanswered, WriteOutcome::lost}) {
     TwoRegions two;
     two.wait_for("b", 9);
     two.exchange("b");
@@ -181,53 +189,53 @@
     two.write("b", first);
     EXPECT_EQ(two.held("b"), 6);
     two.write("b");
-    two.apply_late("b", 0);
+    two.apply_delayed("b", 0);
     two.settle(10);
     EXPECT_EQ(two.work("b").used, 9);
     two.check();
   }
 }
 
-TEST(QuotaLedger, ACutInOneDirectionKeepsShareUnderWayAndNothingIsLost) {
+TEST(QuotaLedger, ALinkBlockedInOneDirectionDelaysTheTransferAndLosesNothing) {
   TwoRegions two;
   two.wait_for("b", 9);
-  two.cut = {{"a", "b"}};  // requests arrive, transfers don't
+  two.blocked_links = {{"a", "b"}};  // requests arrive, transfers don't
   for (int i = 0; i < 5; ++i) {
     two.exchange("b");
     two.write("a");
     two.exchange("a");
     two.write("b");
   }
-  EXPECT_EQ(two.held("a"), 3) << "asked again, nothing more is sent while one is on its way";
+  EXPECT_EQ(two.held("a"), 3) << "a repeated request is not granted while a transfer is in transit";
   EXPECT_EQ(two.held("b"), 6);
   two.check();
   two.settle(10);
   EXPECT_EQ(two.work("b").used, 9);
 }
 
-TEST(QuotaLedger, AStateServiceThatIsDownInOneRegionHoldsUpOnlyWhatItWouldWrite) {
+TEST(QuotaLedger, AStoreOutageInOneRegionDelaysOnlyItsOwnWrites) {
   TwoRegions two;
   two.wait_for("b", 9);
-  two.regions.at("b").state_down = true;
+  two.regions.at("b").store_down = true;
   two.exchange("b");
   two.write("a");
   two.exchange("a");
   two.write("b");
   EXPECT_EQ(two.held("b"), 6);
-  two.work("a").used = 3;  // the sender goes on
+  two.work("a").used = 3;  // the sender keeps working
   two.check();
   two.settle(10);
   EXPECT_EQ(two.work("b").used, 9);
 }
 
-TEST(QuotaLedger, BothAskEachOtherAtOnceAndTheLongerWaitGoesFirst) {
+TEST(QuotaLedger, OfTwoSimultaneousRequestsTheLongerWaitHasPrecedence) {
   TwoRegions two;
-  // Neither gang of 10 fits in 6; together the halves would be of use to nobody.
+  // Neither gang of 10 fits into a quota of 6, so a split in halves would serve neither.
   two.wait_for("a", 10, 5);
   two.wait_for("b", 10, 3);
   for (int round = 0; round < 10; ++round) {
-    two.speak("a");
-    two.speak("b");
+    two.send_messages("a");
+    two.send_messages("b");
     while (!two.messages.empty()) two.deliver(0);
     while (two.write("a") || two.write("b")) two.check();
   }
@@ -235,9 +243,9 @@
   EXPECT_EQ(two.held("a") + two.held("b"), 12);
 }
 
-TEST(QuotaLedger, ApartEachRegionLivesOnWhatItHolds) {
+TEST(QuotaLedger, DuringAPartitionEachRegionUsesItsOwnQuota) {
   TwoRegions two;
-  two.cut = {{"a", "b"}, {"b", "a"}};
+  two.blocked_links = {{"a", "b"}, {"b", "a"}};
   two.wait_for("a", 9);
   two.wait_for("b", 3);
   for (int round = 0; round < 5; ++round) {
@@ -254,9 +262,9 @@
   EXPECT_EQ(two.work("a").used, 9);
 }
 
-TEST(QuotaLedger, ANewRegionBeginsWithNothingAndAsksForItsFirstShare) {
+TEST(QuotaLedger, ANewRegionStartsWithoutQuotaAndRequestsIt) {
   TwoRegions two;
-  // The same stores, and a file that names a third region; its own state service is empty.
+  // The same stores, and settings that name a third region, whose store is empty.
   for (auto& [name, region] : two.regions) {
     region.settings.operators.regions.regions.push_back({"c", 0, {}});
   }
@@ -271,7 +279,7 @@
   EXPECT_EQ(two.held("a") + two.held("b") + two.held("c"), 12);
 }
 
-TEST(QuotaLedger, SharesMadeByAnotherFounderStayUsableAndAreNotMoved) {
+TEST(QuotaLedger, QuotasOfAnotherBootstrapRegionStayUsableAndAreNotTransferred) {
   TwoRegions two;
   two.regions.at("a").settings.operators.regions.bootstrap_region = "b";
   two.change_leader("a");
@@ -283,11 +291,11 @@
   EXPECT_EQ(two.held("a"), 6);
 }
 
-// One record that can't be read must not leave the region without a leader, nor be written over.
-TEST(QuotaLedger, AMalformedRecordStopsTransfersAndLeavesTheOtherSharesUsable) {
+// One unreadable record must not leave the region without a leader, and must not be overwritten.
+TEST(QuotaLedger, AMalformedRecordStopsTransfersAndLeavesOtherQuotasUsable) {
   TwoRegions two;
   auto& region = two.regions.at("a");
-  const auto items = region.store.under(regions::kRegionsPrefix);
+  const auto items = region.store.list(regions::kRegionsPrefix);
   for (const std::string& key :
        {regions::quota_key("team-9"), regions::sent_key("b"), regions::out_key("b", 7),
         std::string(regions::kBootstrapRegionKey)}) {
@@ -305,28 +313,29 @@
       EXPECT_FALSE(two.write("a")) << key << " " << bad;
     }
   }
-  region.ledger->load(items);  // mended
+  region.ledger->load(items);  // repaired
   EXPECT_FALSE(region.ledger->is_frozen());
   two.settle(5);
   EXPECT_EQ(two.work("b").used, 9);
 }
 
-TEST(QuotaLedger, WhatNobodyCanHaveMeantIsIgnored) {
+TEST(QuotaLedger, ImplausibleMessagesAreIgnored) {
   TwoRegions two;
   auto& ledger = *two.regions.at("a").ledger;
   ledger.on_acknowledgement("b", {1000});
   ledger.on_acknowledgement("nowhere", {1});
   ledger.on_transfer("nowhere", {1, kTeam, QuotaAmounts({0, 0, 0, 1000})});
-  ledger.on_transfer("b", {500, kTeam, QuotaAmounts({0, 0, 0, 1000})});  // far beyond the next one
+  // Far ahead of the next sequence.
+  ledger.on_transfer("b", {500, kTeam, QuotaAmounts({0, 0, 0, 1000})});
   ledger.on_request("nowhere", {kTeam, QuotaAmounts({0, 0, 0, 1000}), 1});
   ledger.on_request("b", {"no-team", QuotaAmounts({0, 0, 0, 1000}), 1});
   EXPECT_FALSE(two.write("a"));
   EXPECT_EQ(two.held("a"), 6);
 }
 
-TEST(QuotaLedger, ShareOfATeamThatTheSettingsDoNotNameIsKept) {
+TEST(QuotaLedger, QuotaOfATeamMissingFromTheSettingsIsKept) {
   TwoRegions two;
-  two.regions.at("b").settings.teams.clear();  // its file came first
+  two.regions.at("b").settings.teams.clear();  // its settings were changed first
   two.change_leader("b");
   two.exchange("a");
   const QuotaAmounts amounts({0, 0, 0, 2000});
@@ -335,7 +344,7 @@
   EXPECT_EQ(two.regions.at("b").ledger->held("team-new"), amounts);
 }
 
-TEST(QuotaLedger, ALowerLimitOfTheSettingsHoldsWhateverWasFounded) {
+TEST(QuotaLedger, ALowerLimitInTheSettingsOverridesTheStoredQuota) {
   TwoRegions two;
   base::Team team = *two.regions.at("a").settings.team(kTeam);
   const auto& ledger = *two.regions.at("a").ledger;
--- a/tests/quota_property_test.cpp
+++ b/tests/quota_property_test.cpp
@@ -1,5 +1,6 @@
-// Random orders of writing, delivery, loss, copies, outcomes and take-overs: quotas and transfers
-// add up at every step, and once all is healed waiting work that fits has its quota.
+// Random sequences of writes with different outcomes, message delivery, loss and duplication, and
+// failovers: quotas and transfers add up to the limit at every step, and after all faults have
+// ended waiting work that fits gets its quota.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -10,19 +11,19 @@
 
 enum class Action {
   write,
-  speak,
+  send_messages,
   deliver,
-  copy,
-  lose,
+  deliver_copy,
+  drop,
   change_leader,
-  apply_late,
+  apply_delayed,
   submit,
   place,
   finish,
-  cut,
-  mend,
-  stop_state,
-  serve_state,
+  block_link,
+  unblock_link,
+  stop_store,
+  start_store,
   count
 };
 
@@ -52,23 +53,23 @@
     auto& work = simulation_.regions.at(region).work[simulation_.teams[step.detail % 2]];
     switch (step.action) {
       case Action::write:
-        simulation_.write(region, static_cast<Fate>(step.detail % 5));
+        simulation_.write(region, static_cast<WriteOutcome>(step.detail % 5));
         break;
-      case Action::speak:
-        simulation_.speak(region);
+      case Action::send_messages:
+        simulation_.send_messages(region);
         break;
       case Action::deliver:
-      case Action::copy:
-        simulation_.deliver(step.detail, step.action == Action::copy);
+      case Action::deliver_copy:
+        simulation_.deliver(step.detail, step.action == Action::deliver_copy);
         break;
-      case Action::lose:
+      case Action::drop:
         simulation_.drop(step.detail);
         break;
       case Action::change_leader:
         simulation_.change_leader(region);
         break;
-      case Action::apply_late:
-        simulation_.apply_late(region, step.detail);
+      case Action::apply_delayed:
+        simulation_.apply_delayed(region, step.detail);
         break;
       case Action::submit:
         if (work.waiting == 0) work.since_ms = ++clock_;
@@ -80,15 +81,15 @@
       case Action::finish:
         work.used -= std::min<std::int64_t>(work.used, step.detail % 5);
         break;
-      case Action::cut:
-        simulation_.cut.emplace_back(region, other);  // one way only
+      case Action::block_link:
+        simulation_.blocked_links.emplace_back(region, other);  // in one direction
         break;
-      case Action::mend:
-        if (!simulation_.cut.empty()) simulation_.cut.pop_back();
+      case Action::unblock_link:
+        if (!simulation_.blocked_links.empty()) simulation_.blocked_links.pop_back();
         break;
-      case Action::stop_state:
-      case Action::serve_state:
-        simulation_.regions.at(region).state_down = step.action == Action::stop_state;
+      case Action::stop_store:
+      case Action::start_store:
+        simulation_.regions.at(region).store_down = step.action == Action::stop_store;
         break;
       case Action::count:
         break;
@@ -96,14 +97,14 @@
     simulation_.check();
   }
 
-  ShareSimulation& simulation() { return simulation_; }
+  QuotaSimulation& simulation() { return simulation_; }
 
  private:
-  ShareSimulation simulation_;
+  QuotaSimulation simulation_;
   std::int64_t clock_ = 0;
 };
 
-RC_GTEST_PROP(SharesOfRegions, AddUpAtEveryStepAndServeWhatFitsOnceHealed, ()) {
+RC_GTEST_PROP(RegionQuotas, AddUpAtEveryStepAndServeWhatFitsAfterFaults, ()) {
   const auto steps = *rc::gen::resize(300, rc::gen::container<std::vector<Step>>(any_step()));
   RandomRun run;
   for (const auto& step : steps) {
@@ -112,9 +113,9 @@
   }
   auto& simulation = run.simulation();
   simulation.settle();
-  // What was late comes at the worst time: after everything has been decided.
+  // Delayed writes are applied last, after all transactions have been decided.
   for (const auto& [name, region] : simulation.regions) {
-    while (!region.late.empty()) simulation.apply_late(name, 0);
+    while (!region.delayed_writes.empty()) simulation.apply_delayed(name, 0);
   }
   simulation.check();
   RC_ASSERT(!::testing::Test::HasFailure());
@@ -131,13 +132,13 @@
   }
 }
 
-/// A team's name as it may stand in a frame.
+/// A team name of any length that a frame allows.
 rc::Gen<std::string> any_team() {
   return rc::gen::map(rc::gen::inRange(1, 65),
                       [](int size) { return std::string(static_cast<std::size_t>(size), 't'); });
 }
 
-RC_GTEST_PROP(RegionFrames, AnyTransferIsReadAsItWasWritten, ()) {
+RC_GTEST_PROP(RegionFrames, AnyTransferSurvivesPackAndUnpack, ()) {
   const auto amount = rc::gen::inRange<std::int64_t>(0, INT64_MAX);
   const regions::QuotaTransfer transfer{
       *rc::gen::inRange<std::uint64_t>(1, UINT64_MAX), *any_team(),
@@ -149,8 +150,9 @@
   RC_ASSERT(bytes.empty());
 }
 
-RC_GTEST_PROP(RegionFrames, NoBytesAreReadBeyondTheirEnd, ()) {
-  // One byte of a frame is replaced: it is a frame, a part of one, or refused, and never more.
+RC_GTEST_PROP(RegionFrames, UnpackNeverReadsBeyondTheBuffer, ()) {
+  // With one byte replaced, the result is a frame, an incomplete frame or an error; only a frame
+  // removes bytes from the buffer.
   std::string bytes = regions::pack(regions::QuotaRequest{*any_team(), {}, 7});
   const auto size = bytes.size();
   bytes[*rc::gen::inRange<std::size_t>(0, size)] = static_cast<char>(*rc::gen::inRange(0, 256));
--- a/tests/quota_simulation.cpp
+++ b/tests/quota_simulation.cpp
@@ -33,7 +33,7 @@
   return result;
 }
 
-std::vector<wire::StoredValue> KeyStore::under(const std::string& prefix) const {
+std::vector<wire::StoredValue> KeyStore::list(const std::string& prefix) const {
   std::vector<wire::StoredValue> out;
   for (const auto& [key, value] : values_) {
     if (key.starts_with(prefix)) out.push_back({key, value.data, value.revision});
@@ -46,7 +46,7 @@
   return found == values_.end() ? 0 : found->second.revision;
 }
 
-ShareSimulation::ShareSimulation(std::vector<base::Region> all, int team_count, double limit)
+QuotaSimulation::QuotaSimulation(std::vector<base::Region> all, int team_count, double limit)
     : limit_gpus(limit) {
   base::Settings settings = small_settings();
   settings.teams.clear();
@@ -64,16 +64,16 @@
   }
 }
 
-void ShareSimulation::change_leader(const std::string& name) {
+void QuotaSimulation::change_leader(const std::string& name) {
   Region& region = regions.at(name);
   const auto taken =
-      region.store.apply({{}, {{kLeaderKey, "{}", 0}}});  // the former leader's lease has ended
+      region.store.apply({{}, {{kLeaderKey, "{}", 0}}});  // the former leader's lease has expired
   region.ledger =
       std::make_unique<QuotaLedger>(region.settings, wire::Compare{kLeaderKey, taken.revision});
-  region.ledger->load(region.store.under(regions::kRegionsPrefix));
+  region.ledger->load(region.store.list(regions::kRegionsPrefix));
 }
 
-regions::TeamDemand ShareSimulation::demand(const Region& region, const std::string& team) const {
+regions::TeamDemand QuotaSimulation::demand(const Region& region, const std::string& team) const {
   const auto found = region.work.find(team);
   if (found == region.work.end()) return {};
   const Work& work = found->second;
@@ -83,13 +83,13 @@
   return {gpus(work.used), gpus(work.waiting), work.since_ms};
 }
 
-bool ShareSimulation::write(const std::string& name, Fate fate) {
+bool QuotaSimulation::write(const std::string& name, WriteOutcome outcome) {
   Region& region = regions.at(name);
   QuotaLedger& ledger = *region.ledger;
-  if (region.state_down) fate = Fate::refused;
+  if (region.store_down) outcome = WriteOutcome::rejected;
   if (ledger.reload_needed()) {
-    if (fate != Fate::answered) return true;
-    ledger.load(region.store.under(regions::kRegionsPrefix));
+    if (outcome != WriteOutcome::applied) return true;
+    ledger.load(region.store.list(regions::kRegionsPrefix));
     EXPECT_FALSE(ledger.reload_needed());
     return true;
   }
@@ -99,56 +99,58 @@
   if (!transaction) return false;
   EXPECT_LE(transaction->mutations.size(), kMaxMutations);
   store::CompareAndSwapResult result;  // unknown
-  if (fate == Fate::answered) result = region.store.apply(*transaction);
-  if (fate == Fate::applied_mute) region.store.apply(*transaction);
-  if (fate == Fate::late) region.late.push_back(*transaction);
-  if (fate == Fate::refused) result.status = store::Status::rejected;
+  if (outcome == WriteOutcome::applied) result = region.store.apply(*transaction);
+  if (outcome == WriteOutcome::applied_unanswered) region.store.apply(*transaction);
+  if (outcome == WriteOutcome::delayed) region.delayed_writes.push_back(*transaction);
+  if (outcome == WriteOutcome::rejected) result.status = store::Status::rejected;
   ledger.finish_transaction(result);
   return true;
 }
 
-void ShareSimulation::apply_late(const std::string& name, std::size_t index) {
+void QuotaSimulation::apply_delayed(const std::string& name, std::size_t index) {
   Region& region = regions.at(name);
-  if (region.late.empty()) return;
-  const auto chosen = region.late.begin() + static_cast<std::ptrdiff_t>(index % region.late.size());
+  if (region.delayed_writes.empty()) return;
+  const auto chosen = region.delayed_writes.begin() +
+                      static_cast<std::ptrdiff_t>(index % region.delayed_writes.size());
   region.store.apply(*chosen);
-  region.late.erase(chosen);
+  region.delayed_writes.erase(chosen);
 }
 
-bool ShareSimulation::is_cut(const std::string& from, const std::string& to) const {
-  return std::find(cut.begin(), cut.end(), std::pair(from, to)) != cut.end();
+bool QuotaSimulation::is_blocked(const std::string& from, const std::string& to) const {
+  return std::find(blocked_links.begin(), blocked_links.end(), std::pair(from, to)) !=
+         blocked_links.end();
 }
 
-QuotaAmounts ShareSimulation::missing(const std::string& name, const std::string& team) const {
+QuotaAmounts QuotaSimulation::missing(const std::string& name, const std::string& team) const {
   const Region& region = regions.at(name);
   return regions::missing_quota(region.ledger->held(team), demand(region, team),
                                 regions::full_quota(*region.settings.team(team)));
 }
 
-void ShareSimulation::speak(const std::string& name) {
+void QuotaSimulation::send_messages(const std::string& name) {
   Region& region = regions.at(name);
-  const auto say = [&](const std::string& to, const regions::RegionFrame& frame) {
+  const auto enqueue = [&](const std::string& to, const regions::RegionFrame& frame) {
     ++frames_sent;
-    if (!is_cut(name, to)) messages.push_back({name, to, frame});
+    if (!is_blocked(name, to)) messages.push_back({name, to, frame});
   };
   const auto acknowledgements = region.ledger->take_due_acknowledgements();
   for (const auto& [other, ignored] : regions) {
     if (other == name) continue;
-    for (const auto& transfer : region.ledger->unacknowledged(other)) say(other, transfer);
+    for (const auto& transfer : region.ledger->unacknowledged(other)) enqueue(other, transfer);
     if (const auto acknowledgement = acknowledgements.find(other);
         acknowledgement != acknowledgements.end()) {
-      say(other, acknowledgement->second);
+      enqueue(other, acknowledgement->second);
     }
     for (const auto& team : teams) {
       const QuotaAmounts wanted = missing(name, team);
       if (!wanted.is_zero()) {
-        say(other, regions::QuotaRequest{team, wanted, region.work.at(team).since_ms});
+        enqueue(other, regions::QuotaRequest{team, wanted, region.work.at(team).since_ms});
       }
     }
   }
 }
 
-void ShareSimulation::deliver(std::size_t index, bool keep) {
+void QuotaSimulation::deliver(std::size_t index, bool keep) {
   if (messages.empty()) return;
   index %= messages.size();
   const Message message = messages[index];
@@ -164,12 +166,12 @@
   }
 }
 
-void ShareSimulation::drop(std::size_t index) {
+void QuotaSimulation::drop(std::size_t index) {
   if (messages.empty()) return;
   messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(index % messages.size()));
 }
 
-void ShareSimulation::place(const std::string& name) {
+void QuotaSimulation::place(const std::string& name) {
   Region& region = regions.at(name);
   for (auto& [team, work] : region.work) {
     const std::int64_t free = held_gpus(name, team) - work.used;
@@ -179,13 +181,13 @@
   }
 }
 
-void ShareSimulation::settle(int rounds) {
-  cut.clear();
+void QuotaSimulation::settle(int rounds) {
+  blocked_links.clear();
   for (int round = 0; round < rounds; ++round) {
     for (auto& [name, region] : regions) {
-      region.state_down = false;
+      region.store_down = false;
       place(name);
-      speak(name);
+      send_messages(name);
     }
     while (!messages.empty()) deliver(0);
     for (const auto& [name, region] : regions) {
@@ -196,14 +198,14 @@
   }
 }
 
-std::int64_t ShareSimulation::held_gpus(const std::string& region, const std::string& team) const {
-  return regions.at(region).ledger->held(team)[Resource::gpus] / QuotaAmounts::kUnit;
+std::int64_t QuotaSimulation::held_gpus(const std::string& region, const std::string& team) const {
+  return regions.at(region).ledger->held(team)[Resource::gpus] / QuotaAmounts::kThousandthsPerUnit;
 }
 
-QuotaAmounts ShareSimulation::sum(const std::string& team) const {
+QuotaAmounts QuotaSimulation::sum(const std::string& team) const {
   QuotaAmounts total;
   for (const auto& [name, region] : regions) {
-    for (const auto& item : region.store.under(regions::kRegionsPrefix)) {
+    for (const auto& item : region.store.list(regions::kRegionsPrefix)) {
       if (item.key == regions::quota_key(team)) total += *regions::read_quota(item.data);
       if (!item.key.starts_with(regions::kOutPrefix)) continue;
       const auto transfer = *regions::read_transfer(item.data);
@@ -219,11 +221,11 @@
   return total;
 }
 
-std::int64_t ShareSimulation::sum_gpus(const std::string& team) const {
-  return sum(team)[Resource::gpus] / QuotaAmounts::kUnit;
+std::int64_t QuotaSimulation::sum_gpus(const std::string& team) const {
+  return sum(team)[Resource::gpus] / QuotaAmounts::kThousandthsPerUnit;
 }
 
-void ShareSimulation::check_team(const std::string& team) const {
+void QuotaSimulation::check_team(const std::string& team) const {
   const auto& bootstrap_region =
       regions.begin()->second.settings.operators.regions.bootstrap_region;
   const bool founded = regions.at(bootstrap_region).store.revision_of(regions::quota_key(team)) > 0;
@@ -237,17 +239,18 @@
     const auto stored = values.find(regions::quota_key(team));
     const QuotaAmounts share =
         stored == values.end() ? QuotaAmounts{} : *regions::read_quota(stored->second.data);
-    EXPECT_FALSE((share - region.ledger->held(team)).any_negative()) << name << " counts on more";
+    EXPECT_FALSE((share - region.ledger->held(team)).any_negative())
+        << name << " holds more than is stored";
     const auto work = region.work.find(team);
     if (work == region.work.end()) continue;
     used += work->second.used;
-    EXPECT_LE(work->second.used * QuotaAmounts::kUnit, share[Resource::gpus])
+    EXPECT_LE(work->second.used * QuotaAmounts::kThousandthsPerUnit, share[Resource::gpus])
         << name << ", " << team;
   }
   EXPECT_LE(static_cast<double>(used), limit_gpus) << team;
 }
 
-void ShareSimulation::check() const {
+void QuotaSimulation::check() const {
   for (const auto& team : teams) check_team(team);
 }
 
--- a/tests/quota_simulation.hpp
+++ b/tests/quota_simulation.hpp
@@ -1,6 +1,6 @@
-// Regions that share team limits, each with a state service and a leader's book, and a network that
-// loses, copies and reorders what they say. No clock and no sockets: the test decides what happens
-// next.
+// Regions that share team limits, each with a store and the quota ledger of its leader, and a
+// network that loses, duplicates and reorders messages. No clock and no sockets: the test chooses
+// each step.
 #pragma once
 
 #include <functional>
@@ -14,16 +14,16 @@
 
 namespace cranklock::testing {
 
-/// What becomes of a transaction that a leader sends.
-enum class Fate {
-  answered,      ///< carried out and answered
-  refused,       ///< not carried out, and the leader knows it
-  applied_mute,  ///< carried out, not answered
-  lost,          ///< never carried out, not answered
-  late           ///< not answered, and carried out when the test says so
+/// Outcome of a transaction that a leader writes.
+enum class WriteOutcome {
+  applied,             ///< applied, with a response
+  rejected,            ///< not applied, with a response
+  applied_unanswered,  ///< applied, without a response
+  lost,                ///< never applied, without a response
+  delayed              ///< without a response, applied later by apply_delayed()
 };
 
-/// Keys with their revisions, and conditional transactions.
+/// Key-value store with revisions and conditional transactions.
 class KeyStore {
  public:
   struct Value {
@@ -31,7 +31,7 @@
     std::uint64_t revision = 0;
   };
   store::CompareAndSwapResult apply(const regions::QuotaLedger::Transaction& transaction);
-  std::vector<wire::StoredValue> under(const std::string& prefix) const;
+  std::vector<wire::StoredValue> list(const std::string& prefix) const;
   const std::map<std::string, Value>& values() const { return values_; }
   std::uint64_t revision_of(const std::string& key) const;
 
@@ -40,12 +40,12 @@
   std::uint64_t revision_ = 0;
 };
 
-class ShareSimulation {
+class QuotaSimulation {
  public:
   static constexpr const char* kLeaderKey = "leader";
 
   /// Teams have `limit` GPUs each, half of it guaranteed. The first region is the bootstrap region.
-  ShareSimulation(std::vector<base::Region> regions, int teams, double limit = 12);
+  QuotaSimulation(std::vector<base::Region> regions, int teams, double limit = 12);
 
   /// Work of one team in one region, in GPUs.
   struct Work {
@@ -57,47 +57,48 @@
     KeyStore store;
     std::unique_ptr<regions::QuotaLedger> ledger;
     std::map<std::string, Work> work;
-    std::vector<regions::QuotaLedger::Transaction> late;  ///< of any leader
-    bool state_down = false;                              ///< refuses everything
+    std::vector<regions::QuotaLedger::Transaction>
+        delayed_writes;       ///< of the current and former leaders
+    bool store_down = false;  ///< rejects all transactions
   };
   struct Message {
     std::string from, to;
     regions::RegionFrame frame;
   };
 
-  /// Another leader takes over; what the former one sent may still be carried out.
+  /// Failover to another leader; delayed writes of the former one may still be applied.
   void change_leader(const std::string& region);
-  /// One transaction of the region's leader, if it has any to write; true if it had.
-  bool write(const std::string& region, Fate fate = Fate::answered);
-  void apply_late(const std::string& region, std::size_t index);
-  /// Puts what the region's leader has to say into `messages`.
-  void speak(const std::string& region);
-  /// Delivers a message and keeps it, if `keep`, to come once more.
+  /// Writes one transaction of the region's leader, or reloads its records; false if there is none.
+  bool write(const std::string& region, WriteOutcome outcome = WriteOutcome::applied);
+  void apply_delayed(const std::string& region, std::size_t index);
+  /// Adds all due messages of the region's leader to `messages`.
+  void send_messages(const std::string& region);
+  /// Delivers a message; with `keep`, it stays in `messages` as a duplicate.
   void deliver(std::size_t index, bool keep = false);
   void drop(std::size_t index);
-  /// Starts what waits as far as the region's quota allows, whole tasks of one GPU.
+  /// Starts waiting tasks of one GPU each, as far as the region's quota allows.
   void place(const std::string& region);
-  /// Everything is served and delivered, and all work is placed, until nothing changes.
+  /// Ends all faults and runs `rounds` rounds of placement, messages and writes.
   void settle(int rounds = 60);
 
   regions::QuotaAmounts missing(const std::string& region, const std::string& team) const;
   std::int64_t held_gpus(const std::string& region, const std::string& team) const;
-  /// GPUs of all stored quotas and of transfers that no receiver has added.
+  /// GPUs of all stored quotas and of transfers that their receivers have not added.
   std::int64_t sum_gpus(const std::string& team) const;
-  /// Fails the test unless quotas and transfers add up and nothing is used beyond its quota.
+  /// Fails the test unless quotas and transfers add up and no usage exceeds its quota.
   void check() const;
 
   std::map<std::string, Region> regions;
   std::vector<Message> messages;
   std::vector<std::string> teams;
-  /// Messages from the first to the second are lost.
-  std::vector<std::pair<std::string, std::string>> cut;
+  /// Pairs of sender and receiver between which messages are lost.
+  std::vector<std::pair<std::string, std::string>> blocked_links;
   int frames_sent = 0;
   double limit_gpus = 0;
 
  private:
   regions::TeamDemand demand(const Region& region, const std::string& team) const;
-  bool is_cut(const std::string& from, const std::string& to) const;
+  bool is_blocked(const std::string& from, const std::string& to) const;
   void check_team(const std::string& team) const;
   regions::QuotaAmounts sum(const std::string& team) const;
 };
--- a/tests/regions_cluster_test.cpp
+++ b/tests/regions_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Whole regions side by side: controllers, state service, cloud and workers of each, and leaders
-// that share the teams' limits.
+// Two complete regions, each with controllers, store, cloud and agents, whose leaders share the
+// teams' limits.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -9,7 +9,7 @@
 namespace cranklock::testing {
 namespace {
 
-TEST(RegionClusters, WorkBeyondARegionsShareRunsOnWhatTheOtherHasUnused) {
+TEST(RegionClusters, WorkBeyondARegionsQuotaUsesTheUnusedQuotaOfTheOther) {
   TwoRegionClusters all;
   all.run(4);
   EXPECT_DOUBLE_EQ(all.held(all.east), 8);
@@ -17,24 +17,24 @@
   all.west.submit(0, all.service("j-000001", 13));
   all.run(6);
   EXPECT_EQ(all.west.running("j-000001"), 13);
-  EXPECT_DOUBLE_EQ(all.held(all.east) + all.held(all.west), kLimit);
+  EXPECT_DOUBLE_EQ(all.held(all.east) + all.held(all.west), kLimitGpus);
 }
 
-TEST(RegionClusters, ApartEachUsesItsShareAndTheRestComesOnceTheyHearEachOther) {
+TEST(RegionClusters, PartitionedRegionsUseTheirOwnQuotaUntilTheyReconnect) {
   TwoRegionClusters all;
   all.run(4);
-  all.apart = true;
+  all.partitioned = true;
   all.west.submit(0, all.service("j-000001", 13));
   all.east.submit(0, all.service("j-000002", 3));
-  all.run(30);  // three worker leases
+  all.run(30);  // three agent leases
   EXPECT_EQ(all.west.running("j-000001"), 8);
   EXPECT_EQ(all.east.running("j-000002"), 3);
-  all.apart = false;
+  all.partitioned = false;
   all.run(10);
   EXPECT_EQ(all.west.running("j-000001"), 13);
 }
 
-TEST(RegionClusters, ShareUnderWayOutlivesTheLeadersOfBothRegions) {
+TEST(RegionClusters, QuotaInTransitSurvivesTheLeadersOfBothRegions) {
   TwoRegionClusters all;
   all.run(4);
   all.west.submit(0, all.service("j-000001", 13));
@@ -44,10 +44,10 @@
   all.west.crash_node(all.west.leader());
   all.run(15);
   EXPECT_EQ(all.west.running("j-000001"), 13);
-  EXPECT_DOUBLE_EQ(all.held(all.east) + all.held(all.west), kLimit);
+  EXPECT_DOUBLE_EQ(all.held(all.east) + all.held(all.west), kLimitGpus);
 }
 
-TEST(RegionClusters, AStateServiceThatIsDownInOneRegionDoesNotHoldUpTheOther) {
+TEST(RegionClusters, AStoreOutageInOneRegionDoesNotBlockTheOther) {
   TwoRegionClusters all;
   all.run(4);
   all.east.state_down = true;
@@ -59,8 +59,8 @@
   EXPECT_EQ(all.west.running("j-000001"), 13);
 }
 
-// As after a roll-back of one controller: it would use the whole of each limit.
-TEST(RegionClusters, ANodeWhoseFileNamesNoRegionsDoesNotLeadWhereLimitsAreShared) {
+// After a rollback of one controller's settings, it would use the full limit of each team.
+TEST(RegionClusters, AControllerWithoutRegionsInItsSettingsDoesNotLeadWhereLimitsAreShared) {
   TwoRegionClusters all;
   all.run(4);
   auto& west = all.west;
@@ -76,7 +76,7 @@
   EXPECT_EQ(west.leader(), 1);
 }
 
-TEST(RegionClusters, WithoutRegionsNothingOfThemIsStored) {
+TEST(RegionClusters, WithoutRegionsNoRegionRecordsAreStored) {
   TestCluster cluster;
   cluster.add_worker();
   cluster.run(3);
@@ -88,10 +88,10 @@
   }
 }
 
-// Random faults of both regions and of what is between them, with work coming and going.
-class RegionTroubles : public ::testing::TestWithParam<unsigned> {};
+// Random faults in both regions and in the network between them, while jobs arrive.
+class RegionFaults : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(RegionTroubles, NoLimitIsPassedAndAllWorkThatFitsIsServed) {
+TEST_P(RegionFaults, NoLimitIsExceededAndAllWorkThatFitsRuns) {
   std::mt19937 random(GetParam());
   const auto draw = [&](int below) {
     return std::uniform_int_distribution<>(0, below - 1)(random);
@@ -104,7 +104,7 @@
     TestCluster& cluster = *clusters[draw(2)];
     switch (draw(6)) {
       case 0:
-        all.apart = !all.apart;
+        all.partitioned = !all.partitioned;
         break;
       case 1:
         cluster.state_down = !cluster.state_down;
@@ -129,7 +129,7 @@
     }
     all.run(0.5 + draw(4));
   }
-  all.apart = false;
+  all.partitioned = false;
   for (auto* cluster : clusters) {
     cluster->state_down = false;
     cluster->lost_write_response_share = 0;
@@ -142,14 +142,14 @@
   for (const auto& [cluster, id] : services) {
     if (cluster->rules.spec(id) != nullptr) wanted += cluster->rules.spec(id)->tasks;
   }
-  if (wanted > kLimit) return;  // not all of it fits
+  if (wanted > kLimitGpus) return;  // the jobs do not all fit
   for (const auto& [cluster, id] : services) {
     ASSERT_NE(cluster->rules.spec(id), nullptr);
     EXPECT_EQ(cluster->running(id), static_cast<int>(cluster->rules.spec(id)->tasks)) << id;
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seed, RegionTroubles, ::testing::Range(1U, 41U));
+INSTANTIATE_TEST_SUITE_P(Seed, RegionFaults, ::testing::Range(1U, 41U));
 
 }  // namespace
 }  // namespace cranklock::testing
--- a/tests/task_test.cpp
+++ b/tests/task_test.cpp
@@ -1,4 +1,4 @@
-// Routines that nobody awaits: when their frames go.
+// When the frames of tasks that no coroutine awaits are destroyed.
 #include "net/task.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,8 @@
 namespace cranklock::net {
 namespace {
 
-using Socket = std::shared_ptr<int>;  // stands for one: counted while any frame holds it
+using Socket =
+    std::shared_ptr<int>;  // stands for a socket; use_count() is the number of frames that own it
 
 Task<void> hold(Reactor& reactor, double for_s, Socket /*held*/) {
   if (for_s <= 0) co_return;
@@ -24,9 +25,10 @@
   co_await holding;
 }
 
-// 1,000 sockets of connections that were over stayed open until the next connection came; with all
-// sockets taken none could, and the node was deaf for good.
-TEST(Scope, WhatARoutineHoldsGoesWithItsEndAndNotWithTheNextRoutine) {
+// Guards against ended tasks being destroyed only when the next task is spawned: 1,000 sockets of
+// closed connections stayed open until the next connection, and with all sockets in use no
+// connection could arrive, so that the controller was permanently unreachable.
+TEST(Scope, ATaskReleasesItsResourcesWhenItEndsAndNotWhenTheNextIsSpawned) {
   constexpr int kRoutines = 1000;
   testing::FakeReactor reactor;
   Scope scope;
@@ -43,7 +45,7 @@
   EXPECT_EQ(socket.use_count(), 1);
 }
 
-TEST(Scope, ARoutineMayEndBeforeItWaitsForAnything) {
+TEST(Scope, ATaskMayEndBeforeItsFirstSuspension) {
   testing::FakeReactor reactor;
   Scope scope;
   const auto socket = std::make_shared<int>(0);
@@ -52,7 +54,7 @@
   EXPECT_EQ(socket.use_count(), 1);
 }
 
-TEST(Scope, ClearingItCancelsWhatStillRuns) {
+TEST(Scope, ClearCancelsRunningTasks) {
   testing::FakeReactor reactor;
   Scope scope;
   const auto socket = std::make_shared<int>(0);
--- a/tests/test_cluster_agents.cpp
+++ b/tests/test_cluster_agents.cpp
@@ -188,7 +188,7 @@
   const auto& host = hosts_[static_cast<std::size_t>(node)];
   if (!host || host->run != worker.connected_to) {
     worker.connected_to = 0;  // it went with the node
-  } else if (answered && host->connections.keeps_answered()) {
+  } else if (answered && host->connections.may_keep_alive()) {
     host->idle.push_back(&worker);
   } else {
     host->connections.closed();
--- a/tests/token_bucket_test.cpp
+++ b/tests/token_bucket_test.cpp
@@ -1,4 +1,4 @@
-// Rate limits of requests to outside systems.
+// Rate limits of requests to external systems.
 #include "net/token_bucket.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using testing::FakeReactor;
 
-constexpr double kRate = 10;  ///< tokens a second
+constexpr double kRate = 10;  ///< tokens per second
 constexpr double kStart = 100;
 
 struct TokenBucketTest : ::testing::Test {
@@ -21,12 +21,12 @@
   void wait(double seconds) { reactor.run_until(reactor.now() + seconds); }
 };
 
-TEST_F(TokenBucketTest, HoldsOneSecondsWorthWhenNew) {
+TEST_F(TokenBucketTest, ANewBucketHoldsTheTokensOfOneSecond) {
   EXPECT_EQ(bucket.take(kRate), 0);
   EXPECT_GT(bucket.take(1), 0);
 }
 
-TEST_F(TokenBucketTest, TellsHowLongToWaitAndTakesNothingMeanwhile) {
+TEST_F(TokenBucketTest, ReturnsTheWaitAndTakesNoTokensMeanwhile) {
   bucket.take(kRate);
   const double wait_s = bucket.take(1);
   EXPECT_NEAR(wait_s, 1 / kRate, 0.002);
@@ -43,7 +43,7 @@
   EXPECT_GT(bucket.take(1), 0);
 }
 
-TEST_F(TokenBucketTest, MoreThanItHoldsWaitsForAFullBucketAndOverdrawsIt) {
+TEST_F(TokenBucketTest, ARequestAboveTheCapacityWaitsForAFullBucketAndOverdrawsIt) {
   bucket.take(1);
   EXPECT_GT(bucket.take(2 * kRate), 0);
   wait(1);
@@ -51,14 +51,14 @@
   EXPECT_NEAR(bucket.take(1), (kRate + 1) / kRate, 0.002);
 }
 
-TEST_F(TokenBucketTest, AnOverdraftGoesFirstAtTheExpenseOfOthers) {
+TEST_F(TokenBucketTest, AnOverdraftIsGrantedAtOnceAndDelaysOthers) {
   bucket.take(kRate);
   EXPECT_EQ(bucket.take(2, 2), 0);
   EXPECT_GT(bucket.take(1, 2), 0);
   EXPECT_NEAR(bucket.take(1), 3 / kRate, 0.002);
 }
 
-TEST_F(TokenBucketTest, WhatIsTakenByForceDelaysOthers) {
+TEST_F(TokenBucketTest, ForceTakeDelaysOthers) {
   bucket.force_take(2 * kRate);
   EXPECT_NEAR(bucket.take(1), (kRate + 1) / kRate, 0.002);
 }
--- a/tests/two_region_clusters.hpp
+++ b/tests/two_region_clusters.hpp
@@ -1,5 +1,5 @@
-// Two regions side by side: controllers, state service, cloud and workers of each, and leaders that
-// share the teams' limits.
+// Two regions, each with controllers, store, cloud and agents, whose leaders share the teams'
+// limits.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,9 +14,9 @@
 
 namespace cranklock::testing {
 
-inline constexpr double kLimit = 16;  // GPUs of each team, in fixtures.hpp
+inline constexpr double kLimitGpus = 16;  // GPUs of each team, in fixtures.hpp
 
-/// What the leader of one region sends comes to the cluster of the other.
+/// Delivers the region frames of each leader to the cluster of the other region.
 class TwoRegionClusters {
  public:
   TwoRegionClusters()
@@ -28,13 +28,13 @@
   }
 
   void run(double seconds) {
-    constexpr double kStep = 0.02;
-    for (double passed = 0; passed < seconds; passed += kStep) {
-      east.run(kStep);
-      west.run(kStep);
+    constexpr double kStepS = 0.02;
+    for (double passed = 0; passed < seconds; passed += kStepS) {
+      east.run(kStepS);
+      west.run(kStepS);
       for (; !frames_.empty(); frames_.pop_front()) {
         const auto& [from, frame] = frames_.front();
-        if (!apart) (from == "east" ? west : east).on_region_frame(from, frame);
+        if (!partitioned) (from == "east" ? west : east).on_region_frame(from, frame);
       }
       const auto used = [](TestCluster& cluster) {
         double gpus = 0;
@@ -43,27 +43,29 @@
         }
         return gpus;
       };
-      EXPECT_LE(used(east) + used(west), kLimit);
+      EXPECT_LE(used(east) + used(west), kLimitGpus);
     }
   }
   static double held(TestCluster& cluster) {
     const auto stored = cluster.state_service.values.find(regions::quota_key("red"));
     if (stored == cluster.state_service.values.end()) return 0;
     const auto amounts = regions::read_quota(stored->second.data);
-    return static_cast<double>((*amounts)[regions::Resource::gpus]) / regions::QuotaAmounts::kUnit;
+    return static_cast<double>((*amounts)[regions::Resource::gpus]) /
+           regions::QuotaAmounts::kThousandthsPerUnit;
   }
   static wire::JobSpec service(const std::string& id, std::uint32_t replicas) {
     return make_job(id, wire::JobKind::service, replicas, 1).spec;
   }
 
-  bool apart = false;
+  bool partitioned = false;
 
  private:
   struct Network : regions::RegionNetwork {
-    Network(TwoRegionClusters& w, std::string n) : all(w), name(std::move(n)) {}
-    std::vector<std::string> reachable() const override {
+    Network(TwoRegionClusters& clusters, std::string region)
+        : all(clusters), name(std::move(region)) {}
+    std::vector<std::string> reachable_regions() const override {
       const std::string other = name == "east" ? "west" : "east";
-      return all.apart ? std::vector<std::string>{} : std::vector<std::string>{other};
+      return all.partitioned ? std::vector<std::string>{} : std::vector<std::string>{other};
     }
     void send(const std::string&, const regions::RegionFrame& frame) override {
       all.frames_.emplace_back(name, frame);
