--- a/tests/quota_ledger_test.cpp
+++ b/tests/quota_ledger_test.cpp
@@ -84,15 +84,15 @@
           two.check();
         };
         next([&](WriteOutcome) { two.exchange("b"); });  // the request
-        next([&](WriteOutcome outcome_of_write) {
-          two.write("a", outcome_of_write);
+        next([&](WriteOutcome requested) {
+          two.write("a", requested);
         });                                              // deducted, and the transfer stored
         next([&](WriteOutcome) { two.exchange("a"); });  // the transfer
-        next([&](WriteOutcome outcome_of_write) { two.write("b", outcome_of_write); });  // added
-        next([&](WriteOutcome) { two.exchange("b"); });  // the acknowledgement
-        next([&](WriteOutcome outcome_of_write) { two.write("a", outcome_of_write); });  // cleared
+        next([&](WriteOutcome requested) { two.write("b", requested); });  // added
+        next([&](WriteOutcome) { two.exchange("b"); });                    // the acknowledgement
+        next([&](WriteOutcome requested) { two.write("a", requested); });  // cleared
         next([&](WriteOutcome) { two.exchange("a"); });
-        next([&](WriteOutcome outcome_of_write) { two.write("b", outcome_of_write); });
+        next([&](WriteOutcome requested) { two.write("b", requested); });
         two.settle(10);
         EXPECT_EQ(two.work("b").used, 9) << region << " after step " << last;
         EXPECT_EQ(two.held("a") + two.held("b"), 12);
--- a/tests/quota_simulation.cpp
+++ b/tests/quota_simulation.cpp
@@ -228,23 +228,24 @@
 void QuotaSimulation::check_team(const std::string& team) const {
   const auto& bootstrap_region =
       regions.begin()->second.settings.operators.regions.bootstrap_region;
-  const bool founded = regions.at(bootstrap_region).store.revision_of(regions::quota_key(team)) > 0;
-  const QuotaAmounts whole =
-      founded ? regions::full_quota(*regions.at(bootstrap_region).settings.team(team))
-              : QuotaAmounts{};
-  EXPECT_EQ(sum(team).values(), whole.values()) << team;
+  const bool bootstrapped =
+      regions.at(bootstrap_region).store.revision_of(regions::quota_key(team)) > 0;
+  const QuotaAmounts expected =
+      bootstrapped ? regions::full_quota(*regions.at(bootstrap_region).settings.team(team))
+                   : QuotaAmounts{};
+  EXPECT_EQ(sum(team).values(), expected.values()) << team;
   std::int64_t used = 0;
   for (const auto& [name, region] : regions) {
     const auto& values = region.store.values();
     const auto stored = values.find(regions::quota_key(team));
-    const QuotaAmounts share =
+    const QuotaAmounts stored_quota =
         stored == values.end() ? QuotaAmounts{} : *regions::read_quota(stored->second.data);
-    EXPECT_FALSE((share - region.ledger->held(team)).any_negative())
+    EXPECT_FALSE((stored_quota - region.ledger->held(team)).any_negative())
         << name << " holds more than is stored";
     const auto work = region.work.find(team);
     if (work == region.work.end()) continue;
     used += work->second.used;
-    EXPECT_LE(work->second.used * QuotaAmounts::kThousandthsPerUnit, share[Resource::gpus])
+    EXPECT_LE(work->second.used * QuotaAmounts::kThousandthsPerUnit, stored_quota[Resource::gpus])
         << name << ", " << team;
   }
   EXPECT_LE(static_cast<double>(used), limit_gpus) << team;
