--- a/tests/test_cluster_agents.cpp
+++ b/tests/test_cluster_agents.cpp
@@ -189,7 +189,7 @@
   const auto& host = hosts_[static_cast<std::size_t>(node)];
   if (!host || host->run != worker.connected_node_run) {
     worker.connected_node_run = 0;  // the connection ended with the node
-  } else if (answered && host->connections.keeps_answered()) {
+  } else if (answered && host->connections.may_keep_alive()) {
     host->idle.push_back(&worker);
   } else {
     host->connections.closed();
