--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -21,19 +21,20 @@
 namespace cranklock::lab {
 namespace {
 
-enum Listener { users = 0, peers = 1, regions_listener = 2 };
+enum Listener { client_listener = 0, peer_listener = 1, region_listener = 2 };
 
 std::string member_name(const std::string& region, int index) {
   return region + "-" + std::to_string(index);
 }
 
-/// Where controllers of region `from` reach controller `index` of region `to`.
-std::string bridge_address(int from, int to, int index) {
-  constexpr int kFirstPort = 25000, kPerRegion = 400, kPerTarget = 20;
-  return "127.0.0.1:" + std::to_string(kFirstPort + from * kPerRegion + to * kPerTarget + index);
+/// The relay address at which region `from` reaches controller `index` of region `to`.
+std::string relay_address(int from, int to, int index) {
+  constexpr int kFirstPort = 25000, kPortsPerRegion = 400, kPortsPerTarget = 20;
+  return "127.0.0.1:" +
+         std::to_string(kFirstPort + from * kPortsPerRegion + to * kPortsPerTarget + index);
 }
 
-/// The most memory that a process has used since it was executed; 0: it is gone.
+/// Peak resident memory of the process since its exec; 0 if it has exited.
 double peak_memory_mb(pid_t pid) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
   constexpr std::string_view kField = "VmHWM:";
@@ -53,17 +54,19 @@
   std::string others, teams;
   for (int i = 0; i < own.controllers; ++i) {
     if (i == index) continue;
-    others += fmt::format("[[others]]\nmember = \"{}\"\nzone = \"{}\"\naddress = \"{}\"\n",
-                          member_name(own.name, i), zone(i), region.controller_address(i, peers));
+    others +=
+        fmt::format("[[others]]\nmember = \"{}\"\nzone = \"{}\"\naddress = \"{}\"\n",
+                    member_name(own.name, i), zone(i), region.controller_address(i, peer_listener));
   }
-  std::string joined = own.zones[0];
-  for (std::size_t i = 1; i < own.zones.size(); ++i) joined += "\",\"" + own.zones[i];
-  const double part = regions > 1 ? 1 : own.initial_share;  // alone, a region has its part for good
+  std::string zone_list = own.zones[0];
+  for (std::size_t i = 1; i < own.zones.size(); ++i) zone_list += "\",\"" + own.zones[i];
+  // A single region keeps its share of the limits for the whole run.
+  const double share = regions > 1 ? 1 : own.initial_share;
   for (int i = 0; i < plan_.teams; ++i) {
     teams += fmt::format(
         "[[facts.teams]]\nname = \"team-{}\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = {}\n"
         "gpus_max = {}\n",
-        i, plan_.guarantee_gpus * part, plan_.limit_gpus * part);
+        i, plan_.guarantee_gpus * share, plan_.limit_gpus * share);
   }
   std::ofstream(path(member_name(own.name, index), ".toml")) << fmt::format(
       R"(member = "{}"
@@ -95,41 +98,42 @@
 fd_limit = {}
 ram_mb = {}
 )",
-      member_name(own.name, index), zone(index), region.controller_address(index, users),
-      region.controller_address(index, peers), others, region.cloud_address(),
-      region.state_address(), own.controllers, joined, teams, plan_.heartbeat_interval_s,
+      member_name(own.name, index), zone(index), region.controller_address(index, client_listener),
+      region.controller_address(index, peer_listener), others, region.cloud_address(),
+      region.state_address(), own.controllers, zone_list, teams, plan_.heartbeat_interval_s,
       plan_.lease_s, plan_.cancel_s, plan_.state_write_rps, plan_.fd_limit, plan_.ram_mb);
 }
 
 void Controllers::write_operator_file(const std::vector<std::unique_ptr<Region>>& regions,
                                       int region, const std::string& member) const {
   const auto& own = regions[static_cast<std::size_t>(region)]->plan();
-  std::string named;
+  std::string sections;
   for (int to = 0; to < static_cast<int>(regions.size()); ++to) {
     const Region& other = *regions[static_cast<std::size_t>(to)];
-    named +=
+    sections +=
         fmt::format("<region name='{}' share='{}'>", other.plan().name, other.plan().initial_share);
     for (int i = 0; i < other.plan().controllers; ++i) {
-      named +=
+      sections +=
           fmt::format("<controller member='{}' address='{}'/>", member_name(other.plan().name, i),
-                      to == region ? other.controller_address(i, regions_listener)
-                                   : bridge_address(region, to, i));
+                      to == region ? other.controller_address(i, region_listener)
+                                   : relay_address(region, to, i));
     }
-    named += "</region>";
+    sections += "</region>";
   }
   if (regions.size() < 2) {
-    named.clear();
+    sections.clear();
   } else {
-    named = fmt::format("<regions self='{}' founder='{}'>{}</regions>", own.name,
-                        regions[0]->plan().name, named);
+    sections = fmt::format("<regions self='{}' founder='{}'>{}</regions>", own.name,
+                           regions[0]->plan().name, sections);
   }
   if (plan_.fragments && plan_.fragments->moves) {
-    named += fmt::format("<defrag moves='on' drain='http://{}/drains'/>", Chats::router_address());
+    sections +=
+        fmt::format("<defrag moves='on' drain='http://{}/drains'/>", Chats::router_address());
   }
-  // The fleet is kept whole, so that a run has as many workers as its plan.
+  // The scaler's lower limit keeps the fleet at the number of workers in the plan.
   std::ofstream(path(member, ".xml"))
       << fmt::format("<cranklock><scaler least_machines='{}' most_machines='{}'/>{}</cranklock>\n",
-                     own.workers, 2 * own.workers, named);
+                     own.workers, 2 * own.workers, sections);
 }
 
 bool Controllers::start(net::EvReactor& reactor,
@@ -145,10 +149,10 @@
     for (int to = 0; to < count; ++to) {
       const Region& other = *regions[static_cast<std::size_t>(to)];
       for (int i = 0; from != to && i < other.plan().controllers; ++i) {
-        auto relay = std::make_unique<Relay>(reactor, bridge_address(from, to, i),
-                                             other.controller_address(i, regions_listener));
+        auto relay = std::make_unique<Relay>(reactor, relay_address(from, to, i),
+                                             other.controller_address(i, region_listener));
         if (!relay->start(scope)) return false;
-        bridges_.push_back({own.plan().name, other.plan().name, std::move(relay)});
+        region_links_.push_back({own.plan().name, other.plan().name, std::move(relay)});
       }
     }
   }
@@ -158,28 +162,28 @@
 
 void Controllers::launch(Controller& controller) const {
   const std::string config = path(controller.usage.member, ".toml");
-  const std::string operators = path(controller.usage.member, ".xml");
+  const std::string operator_file = path(controller.usage.member, ".xml");
   const std::string log = path(controller.usage.member, ".log");
   controller.pid = ::fork();
   if (controller.pid != 0) return;
-  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // nothing outlives a run that is broken off
+  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // controllers exit with the lab, also when it is interrupted
   const int fd = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   ::dup2(fd, STDERR_FILENO);
   ::execl(program_.c_str(), program_.c_str(), "--config", config.c_str(), "--operator",
-          operators.c_str(), nullptr);
+          operator_file.c_str(), nullptr);
   ::_exit(127);
 }
 
-void Controllers::end(Controller& controller, int signal) {
+void Controllers::stop(Controller& controller, int signal) {
   if (controller.pid <= 0) return;
   Usage& usage = controller.usage;
   rusage used{};
-  const std::string descriptors = "/proc/" + std::to_string(controller.pid) + "/fd";
-  // Not the maximum that wait4 tells: it counts this process before the other was executed.
+  const std::string fd_folder = "/proc/" + std::to_string(controller.pid) + "/fd";
+  // ru_maxrss from wait4 is not used: it includes the memory of the forked lab before exec.
   usage.memory_mb = std::max(usage.memory_mb, peak_memory_mb(controller.pid));
   usage.alive = ::wait4(controller.pid, nullptr, WNOHANG, &used) == 0;
   if (usage.alive) {
-    usage.sockets = static_cast<int>(std::distance(std::filesystem::directory_iterator(descriptors),
+    usage.sockets = static_cast<int>(std::distance(std::filesystem::directory_iterator(fd_folder),
                                                    std::filesystem::directory_iterator()));
     ::kill(controller.pid, signal);
     ::wait4(controller.pid, nullptr, 0, &used);
@@ -191,44 +195,44 @@
   controller.pid = -1;
 }
 
-void Controllers::crash(const std::string& region) {
-  const auto leading = serving_fencing_token(region);
+void Controllers::crash_leader(const std::string& region) {
+  const auto leader_token = serving_fencing_token(region);
   for (auto& controller : controllers_) {
-    if (controller.region == region && serving_fencing_token(controller) == leading) {
-      return end(controller, SIGKILL);
+    if (controller.region == region && serving_fencing_token(controller) == leader_token) {
+      return stop(controller, SIGKILL);
     }
   }
 }
 
-void Controllers::restart(const std::string& region) {
+void Controllers::restart_stopped(const std::string& region) {
   for (auto& controller : controllers_) {
     if (controller.region == region && controller.pid <= 0) launch(controller);
   }
 }
 
-void Controllers::set_apart(const std::string& region, bool apart) {
-  for (const auto& bridge : bridges_) {
-    if (bridge.from == region || bridge.to == region) bridge.relay->cut(apart);
+void Controllers::set_partitioned(const std::string& region, bool partitioned) {
+  for (const auto& link : region_links_) {
+    if (link.from == region || link.to == region) link.relay->set_partitioned(partitioned);
   }
 }
 
-void Controllers::end_all() {
-  for (auto& controller : controllers_) end(controller, SIGTERM);
+void Controllers::stop_all() {
+  for (auto& controller : controllers_) stop(controller, SIGTERM);
 }
 
-// ---- what they did and used ----
+// ---- logs and resource usage ----
 
-std::string Controllers::log_of(const Controller& controller) const {
+std::string Controllers::read_log(const Controller& controller) const {
   std::ifstream in(path(controller.usage.member, ".log"));
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
 std::uint64_t Controllers::serving_fencing_token(const Controller& controller) const {
-  std::istringstream log(log_of(controller));
+  std::istringstream log(read_log(controller));
   std::uint64_t fencing_token = 0;
   for (std::string line; std::getline(log, line);) {
-    const auto served = base::read_log_field(line, base::kLeadershipServing, "fencing_token");
-    if (served) fencing_token = std::max<std::uint64_t>(fencing_token, std::stoull(*served));
+    const auto token = base::read_log_field(line, base::kLeadershipServing, "fencing_token");
+    if (token) fencing_token = std::max<std::uint64_t>(fencing_token, std::stoull(*token));
   }
   return fencing_token;
 }
@@ -251,24 +255,25 @@
   return out;
 }
 
-std::vector<Controllers::Shortage> Controllers::shortages() const {
-  std::vector<Shortage> shortages;
+std::vector<Controllers::QuotaShortage> Controllers::quota_shortages() const {
+  std::vector<QuotaShortage> quota_shortages;
   for (const auto& controller : controllers_) {
-    std::istringstream log(log_of(controller));
+    std::istringstream log(read_log(controller));
     for (std::string line; std::getline(log, line);) {
       const auto seconds = base::read_log_field(line, base::kQuotaShortageOver, "seconds");
       const auto requests = base::read_log_field(line, base::kQuotaShortageOver, "requests");
-      if (seconds && requests) shortages.push_back({std::stod(*seconds), std::stoi(*requests)});
+      if (seconds && requests)
+        quota_shortages.push_back({std::stod(*seconds), std::stoi(*requests)});
     }
   }
-  return shortages;
+  return quota_shortages;
 }
 
-Controllers::Moves Controllers::moves(const std::string& region) const {
-  Moves moves;
+Controllers::MoveCounts Controllers::move_counts(const std::string& region) const {
+  MoveCounts moves;
   for (const auto& controller : controllers_) {
     if (controller.region != region) continue;
-    std::istringstream log(log_of(controller));
+    std::istringstream log(read_log(controller));
     for (std::string line; std::getline(log, line);) {
       if (base::read_log_field(line, base::kPlanBegun, "plan")) ++moves.plans_begun;
       if (base::read_log_field(line, base::kMoveDone, "task")) ++moves.done;
@@ -281,7 +286,7 @@
 
 std::uint64_t Controllers::bytes_between_regions() const {
   std::uint64_t bytes = 0;
-  for (const auto& bridge : bridges_) bytes += bridge.relay->bytes();
+  for (const auto& link : region_links_) bytes += link.relay->bytes();
   return bytes;
 }
 
--- a/lab/controllers.hpp
+++ b/lab/controllers.hpp
@@ -1,4 +1,4 @@
-// The controllers of a run: their settings files, their processes, and what these use.
+// The controller processes of a run: settings files, start and stop, resource usage and logs.
 #pragma once
 
 #include <sys/types.h>
@@ -15,47 +15,50 @@
 
 class Controllers {
  public:
-  /// `program` is the daemon; settings files and logs go to `folder`.
+  /// `program` is the path of the daemon; settings files and logs are written to `folder`.
   Controllers(const LabPlan& plan, std::string program, std::string folder)
       : plan_(plan), program_(std::move(program)), folder_(std::move(folder)) {}
-  ~Controllers() { end_all(); }
+  ~Controllers() { stop_all(); }
   Controllers(const Controllers&) = delete;
   Controllers& operator=(const Controllers&) = delete;
 
-  /// Makes relays between the regions, writes all settings files and starts all controllers.
+  /// Starts the relays between regions, writes all settings files and starts all controllers.
+  /// Returns false if a relay address cannot be listened on.
   bool start(net::EvReactor& reactor, const std::vector<std::unique_ptr<Region>>& regions,
              net::Scope& scope);
-  /// Ends the controller that leads the region, by its id, without warning; and starts it again.
-  void crash(const std::string& region);
-  /// The highest fencing token with which a controller of the region has logged that it serves; 0:
-  /// none.
+  /// Kills the leader of the region with SIGKILL.
+  void crash_leader(const std::string& region);
+  /// The highest fencing token with which a controller of the region has logged `leadership
+  /// serving`; 0 if there is none.
   std::uint64_t serving_fencing_token(const std::string& region) const;
-  void restart(const std::string& region);
-  /// Cuts a region off from all others, or joins it again.
-  void set_apart(const std::string& region, bool apart);
-  void end_all();
+  /// Starts the stopped controllers of the region.
+  void restart_stopped(const std::string& region);
+  /// Partitions a region from all others, or ends the partition.
+  void set_partitioned(const std::string& region, bool partitioned);
+  void stop_all();
 
-  /// What a controller used, known once it has ended.
+  /// Resource usage of a controller, complete once it has been stopped.
   struct Usage {
     std::string member;
-    bool led = false;    ///< its region, at some time
-    bool alive = false;  ///< when it was asked to end
+    bool led = false;    ///< whether it has been the leader of its region
+    bool alive = false;  ///< whether it was still running when it was stopped
     double cpu_s = 0, memory_mb = 0;
-    int sockets = 0;  ///< open just before
+    int sockets = 0;  ///< open file descriptors just before it was stopped
   };
   std::vector<Usage> usage() const;
-  /// How long teams lacked share, as the leaders logged it, and how often they asked.
-  struct Shortage {
+  /// A quota shortage of a team, as logged by the leader: its duration and its number of
+  /// quota requests.
+  struct QuotaShortage {
     double seconds = 0;
     int requests = 0;
   };
-  std::vector<Shortage> shortages() const;
+  std::vector<QuotaShortage> quota_shortages() const;
   std::uint64_t bytes_between_regions() const;
-  /// What the leaders of a region logged of moves.
-  struct Moves {
+  /// Defragmentation plans and moves logged by the leaders of a region.
+  struct MoveCounts {
     int plans_begun = 0, done = 0, dropped = 0;
   };
-  Moves moves(const std::string& region) const;
+  MoveCounts move_counts(const std::string& region) const;
 
  private:
   struct Controller {
@@ -63,25 +66,25 @@
     Usage usage;
     pid_t pid = -1;
   };
-  struct Bridge {
+  struct RegionLink {
     std::string from, to;
     std::unique_ptr<Relay> relay;
   };
-  std::string log_of(const Controller& controller) const;
+  std::string read_log(const Controller& controller) const;
   std::uint64_t serving_fencing_token(const Controller& controller) const;
-  std::string path(const std::string& member, const char* outcome) const {
-    return folder_ + "/" + member + outcome;
+  std::string path(const std::string& member, const char* extension) const {
+    return folder_ + "/" + member + extension;
   }
   void write_settings(const Region& region, int index, int regions) const;
   void write_operator_file(const std::vector<std::unique_ptr<Region>>& regions, int region,
                            const std::string& member) const;
   void launch(Controller& controller) const;
-  static void end(Controller& controller, int signal);
+  static void stop(Controller& controller, int signal);
 
   const LabPlan& plan_;
   std::string program_, folder_;
   std::vector<Controller> controllers_;
-  std::vector<Bridge> bridges_;
+  std::vector<RegionLink> region_links_;
 };
 
 }  // namespace cranklock::lab
--- a/lab/fragments.cpp
+++ b/lab/fragments.cpp
@@ -11,54 +11,57 @@
 using net::Task;
 
 namespace {
-constexpr int kTasksPerJob = 400;  ///< what one record holds with ease
-constexpr double kPoll = 0.1;
+/// Keeps a job's stored record well below the size limit of a value.
+constexpr int kTasksPerJob = 400;
+constexpr double kPollIntervalS = 0.1;
 }  // namespace
 
-Fragments::Fragments(net::EvReactor& reactor, const LabPlan& plan, Region& region,
-                     Controllers& controllers, Host host, unsigned seed)
+FragmentationScenario::FragmentationScenario(net::EvReactor& reactor, const LabPlan& plan,
+                                             Region& region, Controllers& controllers, Host host,
+                                             unsigned seed)
     : reactor_(reactor),
       plan_(plan),
-      fragments_(*plan.fragments),
+      scenario_plan_(*plan.fragments),
       region_(region),
       controllers_(controllers),
       host_(std::move(host)),
       chats_(reactor, *plan.fragments, region, seed) {}
 
-bool Fragments::start(net::Scope& scope) {
+bool FragmentationScenario::start(net::Scope& scope) {
   if (!chats_.start(scope)) return false;
-  scope_.spawn(play());
-  scope_.spawn(measure());
+  scope_.spawn(run_scenario());
+  scope_.spawn(measure_machine_seconds());
   return true;
 }
 
 // ---- jobs ----
 
-ClassPlan Fragments::filler(int tasks) const {
+ClassPlan FragmentationScenario::filler_class(int tasks) const {
   ClassPlan plan;
   plan.spec.job_class = "filler";
   plan.spec.kind = wire::JobKind::job_array;
   plan.spec.tasks = static_cast<std::uint32_t>(tasks);
-  const double gpus = plan_.worker_gpus - fragments_.piece_gpus;
+  const double gpus = plan_.worker_gpus - scenario_plan_.piece_gpus;
   plan.spec.resources = {gpus, gpus, 8 * gpus};
-  plan.spec.estimate_s = fragments_.filler_run_s;
+  plan.spec.estimate_s = scenario_plan_.filler_run_s;
   plan.spec.image = "img-filler";
   plan.spec.image_gb = 1;
   return plan;
 }
 
-ClassPlan Fragments::replicas(int tasks) const {
-  ClassPlan plan = filler(tasks);
+ClassPlan FragmentationScenario::replica_class(int tasks) const {
+  ClassPlan plan = filler_class(tasks);
   plan.spec.job_class = "replica";
   plan.spec.kind = wire::JobKind::service;
   plan.spec.priority = wire::Priority::high;
-  plan.spec.resources = {fragments_.piece_gpus, fragments_.piece_gpus, 8 * fragments_.piece_gpus};
+  plan.spec.resources = {scenario_plan_.piece_gpus, scenario_plan_.piece_gpus,
+                         8 * scenario_plan_.piece_gpus};
   plan.spec.image = "img-replica";
   return plan;
 }
 
-ClassPlan Fragments::demand() const {
-  ClassPlan plan = filler(fragments_.demand_tasks);
+ClassPlan FragmentationScenario::demand_class() const {
+  ClassPlan plan = filler_class(scenario_plan_.demand_tasks);
   plan.spec.job_class = "demand";
   plan.spec.kind = wire::JobKind::gang;
   plan.spec.priority = wire::Priority::high;
@@ -68,9 +71,9 @@
   return plan;
 }
 
-int Fragments::running(const std::vector<std::string>& jobs) const {
+int FragmentationScenario::count_running_tasks(const std::vector<std::string>& jobs) const {
   int count = 0;
-  region_.each_worker([&](const testing::WorkerStandIn& worker) {
+  region_.for_each_worker([&](const testing::WorkerStandIn& worker) {
     for (const auto& [name, held] : worker.tasks) {
       const auto job = wire::parse_task(name)->job;
       const bool counts = std::find(jobs.begin(), jobs.end(), job) != jobs.end();
@@ -80,104 +83,111 @@
   return count;
 }
 
-bool Fragments::is_demand_running() const {
-  return running({demand_job_}) == fragments_.demand_tasks;
+bool FragmentationScenario::is_demand_running() const {
+  return count_running_tasks({demand_job_}) == scenario_plan_.demand_tasks;
 }
 
-// ---- what is played ----
+// ---- scenario ----
 
-Task<bool> Fragments::wait_until(std::function<bool()> holds, double timeout_s) {
+Task<bool> FragmentationScenario::wait_until(std::function<bool()> condition, double timeout_s) {
   const double until = reactor_.now() + timeout_s;
-  while (!holds() && reactor_.now() < until) {
-    Sleep pause(reactor_, kPoll);
+  while (!condition() && reactor_.now() < until) {
+    Sleep pause(reactor_, kPollIntervalS);
     co_await pause;
   }
-  co_return holds();
+  co_return condition();
 }
 
-Task<void> Fragments::play() {
+Task<void> FragmentationScenario::run_scenario() {
   Sleep settle(reactor_, plan_.settle_s);
   co_await settle;
   const int workers = region_.plan().workers;
-  std::vector<std::string> fillers;
-  // Fillers first: each leaves a piece of its worker, and only a replica fits there.
-  for (int left = workers; left > 0; left -= kTasksPerJob) {
-    fillers.push_back(host_.submit(classes_.emplace_back(filler(std::min(left, kTasksPerJob)))));
+  std::vector<std::string> filler_jobs;
+  // Fillers start first: each leaves a fragment of its worker in which only a replica fits.
+  for (int tasks_left = workers; tasks_left > 0; tasks_left -= kTasksPerJob) {
+    filler_jobs.push_back(
+        host_.submit(classes_.emplace_back(filler_class(std::min(tasks_left, kTasksPerJob)))));
   }
-  auto filling = wait_until([&] { return running(fillers) == workers; }, plan_.duration_s);
-  const bool filled = co_await filling;
-  for (int left = workers; left > 0; left -= fragments_.replicas_per_job) {
-    const int tasks = std::min(left, fragments_.replicas_per_job);
-    services_.push_back(host_.submit(classes_.emplace_back(replicas(tasks))));
+  auto filling =
+      wait_until([&] { return count_running_tasks(filler_jobs) == workers; }, plan_.duration_s);
+  const bool all_filled = co_await filling;
+  for (int tasks_left = workers; tasks_left > 0; tasks_left -= scenario_plan_.replicas_per_job) {
+    const int tasks = std::min(tasks_left, scenario_plan_.replicas_per_job);
+    service_jobs_.push_back(host_.submit(classes_.emplace_back(replica_class(tasks))));
   }
   auto preparing = wait_until(
-      [&] { return running(services_) == workers && running(fillers) == 0; }, plan_.duration_s);
-  const bool pieces_left = co_await preparing;
-  prepared_ = filled && pieces_left;
-  if (!prepared_) {
+      [&] {
+        return count_running_tasks(service_jobs_) == workers &&
+               count_running_tasks(filler_jobs) == 0;
+      },
+      plan_.duration_s);
+  const bool only_replicas_left = co_await preparing;
+  is_fragmented_ = all_filled && only_replicas_left;
+  if (!is_fragmented_) {
     host_.finish();
     co_return;
   }
-  chats_.begin(services_, scope_);
-  Sleep chatting(reactor_, fragments_.demand_after_s);
+  chats_.start_traffic(service_jobs_, scope_);
+  Sleep chatting(reactor_, scenario_plan_.demand_after_s);
   co_await chatting;
-  demand_job_ = host_.submit(classes_.emplace_back(demand()));
-  demand_at_ = reactor_.now();
-  if (fragments_.kill_leader) scope_.spawn(kill_leader());
+  demand_job_ = host_.submit(classes_.emplace_back(demand_class()));
+  demand_submitted_at_ = reactor_.now();
+  if (scenario_plan_.kill_leader) scope_.spawn(kill_leader());
   auto placing = wait_until([this] { return is_demand_running(); }, plan_.duration_s);
   demand_placed_ = co_await placing;
-  demand_wait_s_ = reactor_.now() - demand_at_;
-  // All replicas serve again, and chats go on for a while.
-  auto restoring = wait_until([&] { return running(services_) == workers; }, plan_.drain_s);
+  demand_wait_s_ = reactor_.now() - demand_submitted_at_;
+  // Wait until the moved replicas run again, then continue the chats for a while.
+  auto restoring =
+      wait_until([&] { return count_running_tasks(service_jobs_) == workers; }, plan_.drain_s);
   co_await restoring;
-  Sleep chatting_on(reactor_, fragments_.demand_after_s);
-  co_await chatting_on;
+  Sleep chatting_after(reactor_, scenario_plan_.demand_after_s);
+  co_await chatting_after;
   host_.finish();
 }
 
-// Ends the leader without warning once its plan has come so far, and starts it again later.
-Task<void> Fragments::kill_leader() {
+// Kills the leader kill_after_s after its first plan began; restarts it after lease_s.
+Task<void> FragmentationScenario::kill_leader() {
   const auto& name = region_.plan().name;
-  auto beginning =
-      wait_until([&] { return controllers_.moves(name).plans_begun > 0; }, plan_.duration_s);
-  if (!co_await beginning) co_return;
-  Sleep midway(reactor_, fragments_.kill_after_s);
-  co_await midway;
-  controllers_.crash(name);
+  auto waiting =
+      wait_until([&] { return controllers_.move_counts(name).plans_begun > 0; }, plan_.duration_s);
+  if (!co_await waiting) co_return;
+  Sleep delaying(reactor_, scenario_plan_.kill_after_s);
+  co_await delaying;
+  controllers_.crash_leader(name);
   leader_killed_ = true;
-  Sleep away(reactor_, plan_.lease_s);
-  co_await away;
-  controllers_.restart(name);
+  Sleep outage(reactor_, plan_.lease_s);
+  co_await outage;
+  controllers_.restart_stopped(name);
 }
 
-Task<void> Fragments::measure() {
-  constexpr double kEvery = 0.5;
+Task<void> FragmentationScenario::measure_machine_seconds() {
+  constexpr double kIntervalS = 0.5;
   for (;;) {
-    Sleep pause(reactor_, kEvery);
+    Sleep pause(reactor_, kIntervalS);
     co_await pause;
-    machine_seconds_ += kEvery * region_.workers();
+    machine_seconds_ += kIntervalS * region_.workers();
   }
 }
 
 // ---- the report ----
 
-std::string Fragments::fault() const {
-  if (!prepared_) return "the fleet did not come to be in pieces";
+std::string FragmentationScenario::failure_reason() const {
+  if (!is_fragmented_) return "the fleet did not come to be in pieces";
   if (chats_.dropped() > 0) {
     return fmt::format("{} requests were dropped, the first: {}", chats_.dropped(),
-                       chats_.first_drop());
+                       chats_.first_drop_reason());
   }
-  if (fragments_.moves && !demand_placed_) return "the gang was not placed";
-  if (!fragments_.moves && demand_placed_) return "the gang was placed without moves";
-  if (fragments_.moves && fragments_.kill_leader && !leader_killed_) {
+  if (scenario_plan_.moves && !demand_placed_) return "the gang was not placed";
+  if (!scenario_plan_.moves && demand_placed_) return "the gang was placed without moves";
+  if (scenario_plan_.moves && scenario_plan_.kill_leader && !leader_killed_) {
     return "the leader was not killed: no plan began";
   }
   return "";
 }
 
-void Fragments::report(wire::JsonWriter& w) const {
-  const auto moves = controllers_.moves(region_.plan().name);
-  w.key("moves_on").flag(fragments_.moves).key("workers").integer(region_.plan().workers);
+void FragmentationScenario::report(wire::JsonWriter& w) const {
+  const auto moves = controllers_.move_counts(region_.plan().name);
+  w.key("moves_on").flag(scenario_plan_.moves).key("workers").integer(region_.plan().workers);
   w.key("demand_placed").flag(demand_placed_).key("demand_wait_s").amount(demand_wait_s_);
   w.key("moves_done").integer(moves.done).key("moves_dropped").integer(moves.dropped);
   w.key("plans_begun").integer(moves.plans_begun);
@@ -191,13 +201,13 @@
   w.key("machine_seconds").amount(machine_seconds_);
 }
 
-std::string Fragments::summary() const {
-  const auto moves = controllers_.moves(region_.plan().name);
+std::string FragmentationScenario::summary() const {
+  const auto moves = controllers_.move_counts(region_.plan().name);
   return fmt::format(
       "gang of {} whole machines {} after {:.1f} s, {} moves done, {} dropped; {} "
       "chat requests, {} dropped, {} chats carried over",
-      fragments_.demand_tasks, demand_placed_ ? "placed" : "not placed", demand_wait_s_, moves.done,
-      moves.dropped, chats_.requests(), chats_.dropped(), chats_.carried_over());
+      scenario_plan_.demand_tasks, demand_placed_ ? "placed" : "not placed", demand_wait_s_,
+      moves.done, moves.dropped, chats_.requests(), chats_.dropped(), chats_.carried_over());
 }
 
 }  // namespace cranklock::lab
--- a/lab/fragments.hpp
+++ b/lab/fragments.hpp
@@ -1,5 +1,5 @@
-// A fleet whose free room is in pieces, chats with the replicas between them, and a gang of whole
-// machines that finds room by moves alone.
+// Fragmentation scenario: each worker's free capacity is a fragment, chats keep the replicas busy,
+// and a gang that needs whole machines can be placed only by moving replicas.
 #pragma once
 
 #include <functional>
@@ -14,53 +14,53 @@
 
 namespace cranklock::lab {
 
-class Fragments {
+class FragmentationScenario {
  public:
-  /// What it needs of the run that it is part of.
+  /// Callbacks into the run that owns the scenario.
   struct Host {
-    /// Submits one job of the class and follows it to its end; returns its id.
+    /// Submits one job of the class and polls it until it ends; returns its id.
     std::function<std::string(const ClassPlan&)> submit;
-    std::function<void()> finish;  ///< all has been seen
+    std::function<void()> finish;  ///< ends the run
   };
-  Fragments(net::EvReactor& reactor, const LabPlan& plan, Region& region, Controllers& controllers,
-            Host host, unsigned seed);
+  FragmentationScenario(net::EvReactor& reactor, const LabPlan& plan, Region& region,
+                        Controllers& controllers, Host host, unsigned seed);
 
-  /// Opens the router; false when its address can't be listened on.
+  /// Starts the router and the scenario; false if the router's address cannot be listened on.
   bool start(net::Scope& scope);
 
-  /// Ends all that is under way.
+  /// Stops the scenario and all chats.
   void stop() { scope_.clear(), chats_.stop(); }
 
-  /// What went wrong; empty: nothing.
-  std::string fault() const;
-  /// Writes its fields into the object of the report that is open.
+  /// Why the scenario failed; empty if it succeeded.
+  std::string failure_reason() const;
+  /// Writes the scenario's fields into the report object that is open.
   void report(wire::JsonWriter& w) const;
   std::string summary() const;
 
  private:
-  net::Task<void> play();
+  net::Task<void> run_scenario();
   net::Task<void> kill_leader();
-  net::Task<void> measure();
-  ClassPlan filler(int tasks) const;
-  ClassPlan replicas(int tasks) const;
-  ClassPlan demand() const;
-  int running(const std::vector<std::string>& jobs) const;
-  net::Task<bool> wait_until(std::function<bool()> holds, double timeout_s);
+  net::Task<void> measure_machine_seconds();
+  ClassPlan filler_class(int tasks) const;
+  ClassPlan replica_class(int tasks) const;
+  ClassPlan demand_class() const;
+  int count_running_tasks(const std::vector<std::string>& jobs) const;
+  net::Task<bool> wait_until(std::function<bool()> condition, double timeout_s);
   bool is_demand_running() const;
 
   net::EvReactor& reactor_;
   const LabPlan& plan_;
-  const FragmentsPlan& fragments_;
+  const FragmentationPlan& scenario_plan_;
   Region& region_;
   Controllers& controllers_;
   Host host_;
   Chats chats_;
-  std::list<ClassPlan> classes_;  ///< that jobs refer to
-  std::vector<std::string> services_;
+  std::list<ClassPlan> classes_;  ///< a list, so that the addresses held by jobs stay valid
+  std::vector<std::string> service_jobs_;
   std::string demand_job_;
-  double demand_at_ = 0, demand_wait_s_ = 0, machine_seconds_ = 0;
-  bool prepared_ = false, demand_placed_ = false, leader_killed_ = false;
-  net::Scope scope_;  ///< last, so that its routines end before what they use
+  double demand_submitted_at_ = 0, demand_wait_s_ = 0, machine_seconds_ = 0;
+  bool is_fragmented_ = false, demand_placed_ = false, leader_killed_ = false;
+  net::Scope scope_;  ///< last member: coroutines are destroyed before the objects they use
 };
 
 }  // namespace cranklock::lab
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,4 +1,4 @@
-// cranklock-lab: real controllers on loopback between stand-ins, with the rules checked.
+// cranklock-lab: runs real controllers on loopback against stand-ins and checks the rules.
 #include <spdlog/spdlog.h>
 #include <unistd.h>
 
@@ -36,28 +36,31 @@
     return 2;
   }
   if (::access(program.c_str(), X_OK) != 0) {
-    std::cerr << program << ": expected the controller's program\n";
+    std::cerr << "--daemon " << program << ": expected an executable file\n";
     return 2;
   }
   std::string folder = (std::filesystem::temp_directory_path() / "cranklock-lab-XXXXXX").string();
   if (::mkdtemp(folder.data()) == nullptr) {
-    std::cerr << folder << ": can't be made\n";
+    const std::string reason = std::generic_category().message(errno);
+    std::cerr << "cannot create temporary directory " << folder << ": " << reason << '\n';
     return 2;
   }
   std::signal(SIGPIPE, SIG_IGN);
-  lab::Run played(plan, program, folder);
-  if (!played.play()) {
-    std::cerr << "an address of the plan can't be listened on\n";
+  lab::Run lab_run(plan, program, folder);
+  if (!lab_run.execute()) {
+    std::cerr
+        << "cannot listen on all addresses of the plan: expected 127.0.0.1:20900 (router) and "
+           "the ports from 21000 (state services, clouds) and 25000 (relays) to be free\n";
     return 2;
   }
-  const std::string text = played.report();
+  const std::string text = lab_run.report();
   if (report.empty()) {
     std::cout << text << '\n';
   } else {
     std::ofstream(report) << text << '\n';
   }
   std::cerr << '\n'
-            << (played.passed() ? "passed: " : "failed, " + played.fault() + ": ")
-            << played.summary() << "; logs in " << folder << '\n';
-  return played.passed() ? 0 : 1;
+            << (lab_run.passed() ? "passed: " : "failed, " + lab_run.failure_reason() + ": ")
+            << lab_run.summary() << "; logs in " << folder << '\n';
+  return lab_run.passed() ? 0 : 1;
 }
--- a/lab/quota_audit.cpp
+++ b/lab/quota_audit.cpp
@@ -6,7 +6,7 @@
 namespace cranklock::lab {
 namespace {
 
-/// What was sent from one region to the other and is not recorded there yet.
+/// The team's quota in transfers sent from one region and not yet recorded by the other.
 regions::QuotaAmounts in_transit(Region& from, Region& to, const std::string& team) {
   regions::QuotaAmounts sum;
   const auto& received = to.state().values;
@@ -25,8 +25,8 @@
   return sum;
 }
 
-/// What the region's state service records for the team; nothing where no record is readable.
-regions::QuotaAmounts held_by(Region& region, const std::string& team) {
+/// The team's quota in the region's state service; zero if there is no readable record.
+regions::QuotaAmounts recorded_quota(Region& region, const std::string& team) {
   const auto& values = region.state().values;
   const auto stored = values.find(regions::quota_key(team));
   if (stored == values.end()) return {};
@@ -41,7 +41,7 @@
   for (const auto& team : teams) {
     regions::QuotaAmounts sum;
     for (const auto& region : regions) {
-      const auto held = held_by(*region, team.name);
+      const auto held = recorded_quota(*region, team.name);
       sum += held;
       for (const auto& from : regions) sum += in_transit(*from, *region, team.name);
       audit.held_gpus[region->plan().name].push_back(
--- a/lab/quota_audit.hpp
+++ b/lab/quota_audit.hpp
@@ -1,5 +1,5 @@
-// Checks, at the end of a lab run, that the regions' quotas and the transfers between them add up
-// to the limits of each team.
+// Checks at the end of a lab run that, for each team, the quotas of all regions and the transfers
+// between them add up to the team's limits.
 #pragma once
 
 #include <map>
@@ -12,14 +12,14 @@
 namespace cranklock::lab {
 
 struct QuotaAudit {
-  /// Teams whose quotas, with what is on its way, differ from their limits.
+  /// Number of teams whose quotas, including transfers in transit, differ from their limits.
   int teams_with_wrong_sums = 0;
-  /// What each region holds of the teams' GPUs, by region, in the order of the teams.
+  /// GPU quota by region, one value per team in the order of the settings.
   std::map<std::string, std::vector<double>> held_gpus;
 };
 
-/// Reads the regions' state services directly. No transfer is lost from sight: it is counted until
-/// the receiving region's state service has it.
+/// Reads the regions' state services directly. A transfer counts as in transit until the receiving
+/// region's state service has recorded it, so that none is missed.
 QuotaAudit audit_quotas(const std::vector<std::unique_ptr<Region>>& regions,
                         const std::vector<base::Team>& teams);
 
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -14,21 +14,21 @@
 
 namespace {
 
-constexpr double kTick = 0.5;         ///< a worker reports changes no more often
-constexpr double kAnswerTimeout = 4;  ///< of its reports
-constexpr double kHour = 3600;
-constexpr double kMaxBody = 4 * 1024 * 1024;
+constexpr double kAgentTickS = 0.5;  ///< minimum interval between a worker's reports of changes
+constexpr double kHeartbeatTimeoutS = 4;
+constexpr double kIdleTimeoutS = 3600;
+constexpr double kMaxBodyBytes = 4 * 1024 * 1024;
 
-Response answer(int status, std::string body = "{}") {
+Response json_response(int status, std::string body = "{}") {
   return control::make_response(status, std::move(body));
 }
 
 }  // namespace
 
-net::ServerLimits many_connections() {
+net::ServerLimits stand_in_server_limits() {
   net::ServerLimits limits;
   limits.connections = 4096;
-  limits.idle_s = kHour;
+  limits.idle_s = kIdleTimeoutS;
   return limits;
 }
 
@@ -36,42 +36,42 @@
 
 bool Relay::start(net::Scope& scope) {
   listener_ = net::listen_on(listen_);
-  if (listener_.valid()) scope.spawn(accept());
+  if (listener_.valid()) scope.spawn(accept_connections());
   return listener_.valid();
 }
 
-void Relay::cut(bool apart) {
-  apart_ = apart;
-  if (apart) pumps_.clear();
+void Relay::set_partitioned(bool partitioned) {
+  partitioned_ = partitioned;
+  if (partitioned) connections_.clear();
 }
 
-Task<void> Relay::accept() {
+Task<void> Relay::accept_connections() {
   for (;;) {
-    net::Ready ready(reactor_, listener_.get(), false, kHour);
+    net::Ready ready(reactor_, listener_.get(), false, kIdleTimeoutS);
     if (!co_await ready) continue;
     for (Fd fd = net::accept_from(listener_.get()); fd.valid();
          fd = net::accept_from(listener_.get())) {
-      if (!apart_) pumps_.spawn(connect(std::move(fd)));
+      if (!partitioned_) connections_.spawn(forward(std::move(fd)));
     }
   }
 }
 
-Task<void> Relay::connect(Fd from) {
+Task<void> Relay::forward(Fd from) {
   auto connecting = net::connect_to(reactor_, to_, reactor_.now() + 1);
   Fd to = co_await connecting;
   if (!to.valid()) co_return;
-  const auto one = std::make_shared<Fd>(std::move(from));
-  const auto other = std::make_shared<Fd>(std::move(to));
-  pumps_.spawn(pump(one, other));
-  auto back = pump(other, one);
-  co_await back;
+  const auto client = std::make_shared<Fd>(std::move(from));
+  const auto server = std::make_shared<Fd>(std::move(to));
+  connections_.spawn(copy_bytes(client, server));
+  auto returning = copy_bytes(server, client);
+  co_await returning;
 }
 
-Task<void> Relay::pump(SharedFd from, SharedFd to) {
+Task<void> Relay::copy_bytes(SharedFd from, SharedFd to) {
   char bytes[8192];
   for (;;) {
     auto reading =
-        net::read_some(reactor_, from->get(), bytes, sizeof bytes, reactor_.now() + kHour);
+        net::read_some(reactor_, from->get(), bytes, sizeof bytes, reactor_.now() + kIdleTimeoutS);
     const auto count = co_await reading;
     if (count <= 0) break;
     bytes_ += static_cast<std::uint64_t>(count);
@@ -86,7 +86,7 @@
 // ---- the region ----
 
 Region::Worker::Worker(net::EvReactor& reactor)
-    : client(reactor, static_cast<std::size_t>(kMaxBody), 2) {}
+    : client(reactor, static_cast<std::size_t>(kMaxBodyBytes), 2) {}
 
 Region::Region(net::EvReactor& reactor, const LabPlan& plan, const RegionPlan& region, int index,
                testing::WorkerStandIn::TaskEnvironment& environment, unsigned seed)
@@ -102,15 +102,15 @@
 }
 
 std::string Region::address(int port) const {
-  constexpr int kFirstPort = 21000, kPorts = 100;
-  return "127.0.0.1:" + std::to_string(kFirstPort + index_ * kPorts + port);
+  constexpr int kFirstPort = 21000, kPortsPerRegion = 100;
+  return "127.0.0.1:" + std::to_string(kFirstPort + index_ * kPortsPerRegion + port);
 }
 
 bool Region::start(net::Scope& scope) {
   state_server_ = std::make_unique<net::HttpServer>(
-      reactor_, many_connections(), [this](Request r) { return serve_state(std::move(r)); });
+      reactor_, stand_in_server_limits(), [this](Request r) { return serve_state(std::move(r)); });
   cloud_server_ = std::make_unique<net::HttpServer>(
-      reactor_, many_connections(), [this](Request r) { return serve_cloud(std::move(r)); });
+      reactor_, stand_in_server_limits(), [this](Request r) { return serve_cloud(std::move(r)); });
   if (!state_server_->listen(state_address()) || !cloud_server_->listen(cloud_address())) {
     return false;
   }
@@ -118,14 +118,15 @@
   scope.spawn(cloud_server_->run());
   for (int i = 0; i < region_.workers; ++i) {
     const auto zone = static_cast<std::size_t>(i) % region_.zones.size();
-    add_worker(region_.zones[zone], false, reactor_.now() + plan_.heartbeat_interval_s * chance());
+    add_worker(region_.zones[zone], false,
+               reactor_.now() + plan_.heartbeat_interval_s * random_fraction());
   }
   return true;
 }
 
 int Region::workers() const {
   return static_cast<int>(std::count_if(workers_.begin(), workers_.end(),
-                                        [](const auto& entry) { return !entry.second->gone; }));
+                                        [](const auto& entry) { return !entry.second->deleted; }));
 }
 
 void Region::set_state_down(bool down) {
@@ -134,16 +135,16 @@
 }
 
 Task<Response> Region::serve_state(Request request) {
-  constexpr double kPoll = 0.01;
+  constexpr double kPollIntervalS = 0.01;
   if (request.path == "/follow") {
     const double hold_s = std::stod(net::query_field(request.query, "HoldMs")) / 1000;
     const double until = reactor_.now() + hold_s;
     while (reactor_.now() < until && (state_down_ || !state_.has_changes(request))) {
-      Sleep pause(reactor_, kPoll);
+      Sleep pause(reactor_, kPollIntervalS);
       co_await pause;
     }
   }
-  co_return state_down_ ? answer(503) : state_.handle(request);
+  co_return state_down_ ? json_response(503) : state_.handle(request);
 }
 
 // ---- the cloud ----
@@ -161,53 +162,53 @@
     type.zones = region_.zones;
     wire::JsonWriter w;
     wire::write_machine_types(w, {type});
-    co_return answer(200, w.take());
+    co_return json_response(200, w.take());
   }
   if (request.path == "/rentals/delete") {
     const wire::JsonDocument document(request.body);
     for (const auto& name : document.root()["Rigs"].GetArray()) {
       const auto found = workers_.find(name.GetString());
-      if (found == workers_.end() || found->second->gone) continue;
-      found->second->gone = true;
+      if (found == workers_.end() || found->second->deleted) continue;
+      found->second->deleted = true;
       found->second->stand_in.tasks.clear();
     }
-    co_return answer(200);
+    co_return json_response(200);
   }
-  co_return request.method == "POST" ? rent(request) : list(request);
+  co_return request.method == "POST" ? create_rental(request) : list_rentals(request);
 }
 
-Response Region::rent(const Request& request) {
+Response Region::create_rental(const Request& request) {
   const wire::JsonDocument document(request.body);
-  const auto& asked = document.root();
-  // As many again as the plan has, so that lost machines can be replaced.
-  // Where moves are to make the room there is nothing to rent.
-  const int resources = plan_.fragments ? 0 : 2 * region_.workers - workers();
-  const int count = std::min(asked["Count"].GetInt(), resources);
-  if (count <= 0) return answer(503, R"({"error":"no capacity"})");
-  const auto [entry, first] = rentals_.try_emplace(asked["Charter"].GetString());
-  if (first) {
+  const auto& fields = document.root();
+  // Capacity is twice the planned fleet, so that lost machines can be replaced. In a fragmentation
+  // run there is none, so that only moves can free whole machines.
+  const int available = plan_.fragments ? 0 : 2 * region_.workers - workers();
+  const int count = std::min(fields["Count"].GetInt(), available);
+  if (count <= 0) return json_response(503, R"({"error":"no capacity"})");
+  const auto [entry, created] = rentals_by_id_.try_emplace(fields["Charter"].GetString());
+  if (created) {
     wire::JsonWriter w;
     w.begin().key("Rigs").list();
     for (int i = 0; i < count; ++i) {
-      const double ready_at = reactor_.now() + plan_.boot_s * (0.6 + 0.9 * chance());
-      w.text(
-          add_worker(asked["Yard"].GetString(), asked["Loaners"].GetBool(), ready_at).stand_in.id);
+      const double ready_at = reactor_.now() + plan_.boot_s * (0.6 + 0.9 * random_fraction());
+      w.text(add_worker(fields["Yard"].GetString(), fields["Loaners"].GetBool(), ready_at)
+                 .stand_in.id);
     }
     w.list_end().end();
     entry->second = w.take();
   }
-  return answer(200, entry->second);
+  return json_response(200, entry->second);
 }
 
-Response Region::list(const Request& request) const {
-  const std::size_t most = std::stoul(net::query_field(request.query, "Most"));
+Response Region::list_rentals(const Request& request) const {
+  const std::size_t limit = std::stoul(net::query_field(request.query, "Most"));
   wire::JsonWriter w;
   w.begin().key("Rigs").list();
   std::size_t rows = 0;
-  auto next = workers_.upper_bound(net::query_field(request.query, "Since"));
-  for (; next != workers_.end() && rows < most; ++next) {
-    const Worker& worker = *next->second;
-    if (worker.gone) continue;
+  auto position = workers_.upper_bound(net::query_field(request.query, "Since"));
+  for (; position != workers_.end() && rows < limit; ++position) {
+    const Worker& worker = *position->second;
+    if (worker.deleted) continue;
     const auto& machine = worker.stand_in;
     w.begin().key("Id").text(machine.id).key("Address").text(machine.address);
     w.key("Frame").text(machine.kind.type).key("Yard").text(machine.kind.zone);
@@ -216,42 +217,42 @@
     w.key("HeldS").amount(reactor_.now() - machine.began).end();
     ++rows;
   }
-  w.list_end().key("HasNext").flag(next != workers_.end()).end();
-  return answer(200, w.take());
+  w.list_end().key("HasNext").flag(position != workers_.end()).end();
+  return json_response(200, w.take());
 }
 
 // ---- workers ----
 
 Region::Worker& Region::add_worker(const std::string& zone, bool spot, double ready_at) {
-  constexpr int kDigits = 6, kPerNet = 250;
+  constexpr int kIdDigits = 6, kWorkersPerSubnet = 250;
   auto worker = std::make_unique<Worker>(reactor_);
-  const std::string number = std::to_string(++rented_);
+  const std::string number = std::to_string(++workers_created_);
   auto& stand_in = worker->stand_in;
-  stand_in.id = "n-" + std::string(kDigits - number.size(), '0') + number;
+  stand_in.id = "n-" + std::string(kIdDigits - number.size(), '0') + number;
   stand_in.address = "127." + std::to_string(10 + index_) + "." +
-                     std::to_string(rented_ / kPerNet) + "." +
-                     std::to_string(1 + rented_ % kPerNet) + ":9000";
+                     std::to_string(workers_created_ / kWorkersPerSubnet) + "." +
+                     std::to_string(1 + workers_created_ % kWorkersPerSubnet) + ":9000";
   stand_in.kind = {"g8", zone, spot};
   stand_in.began = reactor_.now();
   worker->ready_at = ready_at;
-  worker->target = rented_ % region_.controllers;
+  worker->controller_index = workers_created_ % region_.controllers;
   Worker& added = *worker;
   workers_.emplace(stand_in.id, std::move(worker));
-  added.scope.spawn(work(added));
+  added.scope.spawn(run_agent(added));
   return added;
 }
 
 Task<Response> Region::serve_worker(Worker& worker, Request request) {
-  if (worker.gone) co_return answer(503);
-  if (request.path == "/commands" || !replica_server_) {
+  if (worker.deleted) co_return json_response(503);
+  if (request.path == "/commands" || !replica_handler_) {
     co_return worker.stand_in.commands(request, environment_, reactor_.now());
   }
-  auto serving = replica_server_(worker.stand_in, std::move(request));
+  auto serving = replica_handler_(worker.stand_in, std::move(request));
   auto response = co_await serving;
   co_return response;
 }
 
-Task<void> Region::work(Worker& worker) {
+Task<void> Region::run_agent(Worker& worker) {
   Sleep boot(reactor_, worker.ready_at - reactor_.now());
   co_await boot;
   auto& stand_in = worker.stand_in;
@@ -261,66 +262,69 @@
   if (!worker.server->listen(stand_in.address)) co_return;
   worker.scope.spawn(worker.server->run());
   stand_in.answered_sent = reactor_.now();
-  while (!worker.gone) {
-    worker.changed = stand_in.progress(environment_, reactor_.now()) || worker.changed;
+  while (!worker.deleted) {
+    worker.has_unreported_changes =
+        stand_in.progress(environment_, reactor_.now()) || worker.has_unreported_changes;
     const auto agent_epoch = stand_in.agent_epoch;
     stand_in.end_lease(plan_.lease_s, reactor_.now());
-    ended_leases_ += stand_in.agent_epoch == agent_epoch ? 0 : 1;
-    if (worker.changed || reactor_.now() >= worker.next_heartbeat) {
-      auto reporting = heartbeat(worker);
+    expired_leases_ += stand_in.agent_epoch == agent_epoch ? 0 : 1;
+    if (worker.has_unreported_changes || reactor_.now() >= worker.next_heartbeat_at) {
+      auto reporting = send_heartbeat(worker);
       co_await reporting;
     }
-    Sleep pause(reactor_, kTick * (0.9 + 0.2 * chance()));
+    Sleep pause(reactor_, kAgentTickS * (0.9 + 0.2 * random_fraction()));
     co_await pause;
   }
 }
 
-Task<void> Region::heartbeat(Worker& worker) {
-  worker.changed = false;
-  worker.next_heartbeat = reactor_.now() + plan_.heartbeat_interval_s * (0.75 + 0.5 * chance());
-  const double sent = reactor_.now();
+Task<void> Region::send_heartbeat(Worker& worker) {
+  worker.has_unreported_changes = false;
+  worker.next_heartbeat_at =
+      reactor_.now() + plan_.heartbeat_interval_s * (0.75 + 0.5 * random_fraction());
+  const double sent_at = reactor_.now();
   const auto agent_epoch = worker.stand_in.agent_epoch;
   Request request{"POST", "/checkin", "", worker.stand_in.heartbeat(), true};
-  auto calling =
-      worker.client.call(controller_address(worker.target, 0), std::move(request), kAnswerTimeout);
+  auto calling = worker.client.call(controller_address(worker.controller_index, 0),
+                                    std::move(request), kHeartbeatTimeoutS);
   const auto reply = co_await calling;
   if (reply.status() == 200) {
-    heartbeat_s_.push_back(reactor_.now() - sent);
+    heartbeat_latencies_s_.push_back(reactor_.now() - sent_at);
   } else {
     ++failed_heartbeats_;
   }
-  if (worker.gone || agent_epoch != worker.stand_in.agent_epoch) co_return;
+  if (worker.deleted || agent_epoch != worker.stand_in.agent_epoch) co_return;
   if (reply.answered()) {
-    take_answer(worker, reply.response, sent);
+    process_heartbeat_response(worker, reply.response, sent_at);
   } else {
-    worker.target = (worker.target + 1) % region_.controllers;
-    worker.next_heartbeat = reactor_.now() + 1;
+    worker.controller_index = (worker.controller_index + 1) % region_.controllers;
+    worker.next_heartbeat_at = reactor_.now() + 1;
   }
 }
 
-void Region::take_answer(Worker& worker, const Response& response, double sent) {
+void Region::process_heartbeat_response(Worker& worker, const Response& response, double sent_at) {
   auto& stand_in = worker.stand_in;
   const wire::JsonDocument document(response.body.empty() ? "{}" : response.body);
   if (response.status == 200) {
     const auto fencing_token = wire::read_count(document.root(), "KeyTurn").value_or(0);
     if (fencing_token < stand_in.fencing_token) return;
-    worker.changed = worker.changed || fencing_token > stand_in.fencing_token;
+    worker.has_unreported_changes =
+        worker.has_unreported_changes || fencing_token > stand_in.fencing_token;
     stand_in.fencing_token = fencing_token;
-    stand_in.answered_sent = sent;
+    stand_in.answered_sent = sent_at;
     const auto& commands = document.root()["Orders"];
-    worker.changed = worker.changed || commands.Size() > 0;
+    worker.has_unreported_changes = worker.has_unreported_changes || commands.Size() > 0;
     stand_in.execute(commands, environment_, reactor_.now());
     return;
   }
-  const auto named = wire::read_text(document.root(), "Foreman").value_or("");
-  const auto dash = named.rfind('-');
+  const auto leader = wire::read_text(document.root(), "Foreman").value_or("");
+  const auto dash = leader.rfind('-');
   if (response.status == 421 && dash != std::string::npos) {
-    worker.target = std::stoi(named.substr(dash + 1)) % region_.controllers;
-    worker.next_heartbeat = reactor_.now();
+    worker.controller_index = std::stoi(leader.substr(dash + 1)) % region_.controllers;
+    worker.next_heartbeat_at = reactor_.now();
     return;
   }
-  worker.target = (worker.target + 1) % region_.controllers;
-  worker.next_heartbeat = reactor_.now() + 1;
+  worker.controller_index = (worker.controller_index + 1) % region_.controllers;
+  worker.next_heartbeat_at = reactor_.now() + 1;
 }
 
 }  // namespace cranklock::lab
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -1,4 +1,4 @@
-// The course of a lab run: its start and end, what the fleet does, and faults.
+// Start and end of a lab run, the task environment of its workers, and fault injection.
 #include "lab/run.hpp"
 
 #include <unistd.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-base::Settings checked_settings(const LabPlan& plan) {
+base::Settings rule_checker_settings(const LabPlan& plan) {
   base::Settings settings;
   settings.cancel_s = plan.cancel_s;
   settings.lease_s = plan.lease_s;
@@ -28,7 +28,7 @@
 
 Run::Run(const LabPlan& plan, const std::string& program, const std::string& folder)
     : plan_(plan),
-      settings_(checked_settings(plan)),
+      settings_(rule_checker_settings(plan)),
       rules_(settings_),
       client_(reactor_, std::size_t{1024} * 1024, 1024),
       random_(plan.seed),
@@ -40,106 +40,107 @@
   }
 }
 
-bool Run::play() {
-  began_ = reactor_.now();
+bool Run::execute() {
+  started_at_s_ = reactor_.now();
   for (const auto& region : regions_) {
     if (!region->start(scope_)) return false;
   }
   if (!controllers_.start(reactor_, regions_, scope_)) return false;
   for (const auto& plan : plan_.classes) scope_.spawn(submit_jobs(plan));
-  for (const auto& fault : plan_.faults) scope_.spawn(play_fault(fault));
-  fragments_ = make_fragments();
-  if (fragments_ && !fragments_->start(scope_)) return false;
-  scope_.spawn(watch_fleet());
-  if (!fragments_) scope_.spawn(finish());
+  for (const auto& fault : plan_.faults) scope_.spawn(inject_fault(fault));
+  fragmentation_ = make_fragmentation_scenario();
+  if (fragmentation_ && !fragmentation_->start(scope_)) return false;
+  scope_.spawn(monitor_fleet());
+  if (!fragmentation_) scope_.spawn(finish_after_plan());
   reactor_.run();
   scope_.clear();
-  if (fragments_) fragments_->stop();
-  controllers_.end_all();
-  usage_ = controllers_.usage();
-  return played_;
+  if (fragmentation_) fragmentation_->stop();
+  controllers_.stop_all();
+  controller_usage_ = controllers_.usage();
+  return finished_;
 }
 
-Task<void> Run::finish() {
+Task<void> Run::finish_after_plan() {
   Sleep pause(reactor_, plan_.settle_s + plan_.duration_s + plan_.drain_s);
   co_await pause;
-  end();
+  finish();
 }
 
-void Run::end() {
-  if (regions_.size() > 1) quotas_ = audit_quotas(regions_, settings_.teams);
-  played_ = true;
+void Run::finish() {
+  if (regions_.size() > 1) quota_audit_ = audit_quotas(regions_, settings_.teams);
+  finished_ = true;
   reactor_.stop();
 }
 
-std::unique_ptr<Fragments> Run::make_fragments() {
+std::unique_ptr<FragmentationScenario> Run::make_fragmentation_scenario() {
   if (!plan_.fragments) return nullptr;
-  const Fragments::Host host{[this](const ClassPlan& plan) { return submit(plan, 0); },
-                             [this] { end(); }};
-  return std::make_unique<Fragments>(reactor_, plan_, *regions_[0], controllers_, host, plan_.seed);
+  const FragmentationScenario::Host host{[this](const ClassPlan& plan) { return submit(plan, 0); },
+                                         [this] { finish(); }};
+  return std::make_unique<FragmentationScenario>(reactor_, plan_, *regions_[0], controllers_, host,
+                                                 plan_.seed);
 }
 
-// ---- what the fleet does ----
+// ---- task environment and rule checks ----
 
-bool Run::lease_over(const testing::WorkerStandIn& worker) const {
+bool Run::is_lease_expired(const testing::WorkerStandIn& worker) const {
   return worker.lease_over(plan_.lease_s, reactor_.now());
 }
 
 double Run::run_s(const wire::TaskName& task) const {
   const auto& plan = *jobs_.at(task.job).plan;
-  constexpr double kForEver = 1e9;
-  return plan.spec.kind == wire::JobKind::service ? kForEver : plan.spec.estimate_s;
+  constexpr double kUnlimitedRunTimeS = 1e9;
+  return plan.spec.kind == wire::JobKind::service ? kUnlimitedRunTimeS : plan.spec.estimate_s;
 }
 
 bool Run::starts(const testing::WorkerStandIn& worker, const wire::TaskName& task) {
   Job& job = jobs_.at(task.job);
   std::vector<testing::HeldTask> others;
   for (const auto* machine : job.machines) {
-    if (lease_over(*machine)) continue;
+    if (is_lease_expired(*machine)) continue;
     for (const auto& [name, held] : machine->tasks) {
       const auto other = *wire::parse_task(name);
-      const bool there = held.state != wire::TaskState::exited &&
-                         held.state != wire::TaskState::fetching && other.job == task.job;
-      if (there) others.push_back({other.job, machine->id, other.index, machine->kind, true});
+      const bool is_started = held.state != wire::TaskState::exited &&
+                              held.state != wire::TaskState::fetching && other.job == task.job;
+      if (is_started) others.push_back({other.job, machine->id, other.index, machine->kind, true});
     }
   }
   rules_.starts({task.job, worker.id, task.index, worker.kind, true}, others, reactor_.now());
   job.machines.insert(&worker);
-  Counts& counts = counts_[job.plan->spec.job_class];
+  Counts& counts = counts_by_class_[job.plan->spec.job_class];
   ++counts.task_starts;
-  counts.start_s.push_back(now() - job.submitted_at);
-  ++starts_by_second_[static_cast<int>(now())];
+  counts.start_delays_s.push_back(elapsed_s() - job.submitted_at_s);
+  ++task_starts_by_second_[static_cast<int>(elapsed_s())];
   if (job.plan->spec.kind != wire::JobKind::gang) return true;
   const auto attempt = worker.tasks.at(wire::to_string(task)).attempt;
-  job.gathered[attempt].insert(task.index);
+  job.started_by_attempt[attempt].insert(task.index);
   return false;
 }
 
 bool Run::gang_complete(const wire::TaskName& task, std::uint64_t attempt) const {
   const Job& job = jobs_.at(task.job);
-  const auto gathered = job.gathered.find(attempt);
-  return gathered != job.gathered.end() && gathered->second.size() == job.plan->spec.tasks;
+  const auto started = job.started_by_attempt.find(attempt);
+  return started != job.started_by_attempt.end() && started->second.size() == job.plan->spec.tasks;
 }
 
 void Run::check_rules() {
   std::vector<testing::HeldTask> held;
   for (const auto& region : regions_) {
-    region->each_worker([&](const testing::WorkerStandIn& worker) {
-      if (lease_over(worker)) return;
+    region->for_each_worker([&](const testing::WorkerStandIn& worker) {
+      if (is_lease_expired(worker)) return;
       for (const auto& [name, task] : worker.tasks) {
         if (task.state == wire::TaskState::exited) continue;
-        const auto which = *wire::parse_task(name);
-        held.push_back({which.job, worker.id, which.index, worker.kind,
+        const auto task_name = *wire::parse_task(name);
+        held.push_back({task_name.job, worker.id, task_name.index, worker.kind,
                         task.state != wire::TaskState::fetching});
       }
     });
   }
-  running_ = held.size();
-  max_running_ = std::max(max_running_, running_);
+  held_tasks_ = held.size();
+  max_held_tasks_ = std::max(max_held_tasks_, held_tasks_);
   rules_.check_held_tasks(held, reactor_.now());
 }
 
-Task<void> Run::watch_fleet() {
+Task<void> Run::monitor_fleet() {
   for (;;) {
     check_rules();
     if (::isatty(STDERR_FILENO) != 0) show_progress();
@@ -149,25 +150,27 @@
 }
 
 void Run::show_progress() const {
-  const auto second = starts_by_second_.find(static_cast<int>(now()) - 1);
-  std::cerr << "\r" << static_cast<int>(now()) << " s of "
+  const auto second = task_starts_by_second_.find(static_cast<int>(elapsed_s()) - 1);
+  std::cerr << "\r" << static_cast<int>(elapsed_s()) << " s of "
             << static_cast<int>(plan_.settle_s + plan_.duration_s + plan_.drain_s) << ": "
-            << running_ << " tasks, " << (second == starts_by_second_.end() ? 0 : second->second)
-            << " starts a second, " << jobs_.size() << " jobs, " << rules_.broken.size()
-            << " rules broken   " << std::flush;
+            << held_tasks_ << " tasks, "
+            << (second == task_starts_by_second_.end() ? 0 : second->second) << " starts a second, "
+            << jobs_.size() << " jobs, " << rules_.broken.size() << " rules broken   "
+            << std::flush;
 }
 
-// ---- faults: add further kinds here and in FaultPlan ----
+// ---- fault injection: add further kinds here and in FaultPlan ----
 
-Task<void> Run::play_fault(const FaultPlan& fault) {
+Task<void> Run::inject_fault(const FaultPlan& fault) {
   Sleep until(reactor_, plan_.settle_s + fault.at_s);
   co_await until;
   const auto set = [&](bool on) {
     switch (fault.kind) {
       case FaultPlan::Kind::region_apart:
-        return controllers_.set_apart(fault.region, on);
+        return controllers_.set_partitioned(fault.region, on);
       case FaultPlan::Kind::controller_crash:
-        return on ? controllers_.crash(fault.region) : controllers_.restart(fault.region);
+        return on ? controllers_.crash_leader(fault.region)
+                  : controllers_.restart_stopped(fault.region);
       case FaultPlan::Kind::state_down:
         for (const auto& region : regions_) {
           if (region->plan().name == fault.region) region->set_state_down(on);
@@ -175,22 +178,22 @@
     }
   };
   set(true);
-  if (fault.kind == FaultPlan::Kind::controller_crash) scope_.spawn(time_takeover(fault.region));
+  if (fault.kind == FaultPlan::Kind::controller_crash) scope_.spawn(measure_takeover(fault.region));
   Sleep during(reactor_, fault.for_s);
   co_await during;
   set(false);
-  ++faults_played_;
+  ++faults_injected_;
 }
 
-Task<void> Run::time_takeover(std::string region) {
-  constexpr double kPoll = 0.02;
-  const double crashed = now();
-  const auto before = controllers_.serving_fencing_token(region);
-  while (controllers_.serving_fencing_token(region) == before) {
-    Sleep pause(reactor_, kPoll);
+Task<void> Run::measure_takeover(std::string region) {
+  constexpr double kPollIntervalS = 0.02;
+  const double crashed_at_s = elapsed_s();
+  const auto previous_token = controllers_.serving_fencing_token(region);
+  while (controllers_.serving_fencing_token(region) == previous_token) {
+    Sleep pause(reactor_, kPollIntervalS);
     co_await pause;
   }
-  takeover_s_.push_back(now() - crashed);
+  takeover_s_.push_back(elapsed_s() - crashed_at_s);
 }
 
 }  // namespace cranklock::lab
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -1,5 +1,5 @@
-// One run of the lab. run.cpp has its course, the fleet and the faults; run_users.cpp the users;
-// run_report.cpp the verdict and the report.
+// One run of the test bench. run.cpp starts and stops the run, tracks the fleet and injects faults;
+// run_users.cpp submits and follows jobs; run_report.cpp evaluates the run and writes the report.
 #pragma once
 
 #include <map>
@@ -18,21 +18,23 @@
 
 namespace cranklock::lab {
 
-/// Plays a plan around real controllers, with the rules checked.
+/// Executes a plan against real controllers and checks the scheduling rules throughout.
 class Run : public testing::WorkerStandIn::TaskEnvironment {
  public:
   Run(const LabPlan& plan, const std::string& program, const std::string& folder);
 
-  /// Plays the plan to its end; false when something could not be started.
-  bool play();
-  /// JSON; labelled so that its figures are not taken for those of real machines.
+  /// Executes the plan to its end; returns false if an address could not be listened on.
+  bool execute();
+  /// The report as JSON, labelled as a run with stand-ins so that its figures are not mistaken for
+  /// those of real machines.
   std::string report() const;
-  /// All was played, every submission was accepted, and no rule broke.
+  /// True if the plan and all faults were executed, every submission was accepted, no controller
+  /// exited, the quotas add up, the fragmentation scenario succeeded and no rule was violated.
   bool passed() const;
 
-  /// Why it did not pass, for a person; empty: it did.
-  std::string fault() const;
-  /// One line for a person.
+  /// Human-readable reason why the run did not pass; empty if it passed.
+  std::string failure_reason() const;
+  /// One line of human-readable results.
   std::string summary() const;
 
   double fetch_s(const wire::TaskName&) const override { return plan_.fetch_s; }
@@ -50,40 +52,41 @@
  private:
   struct Job {
     const ClassPlan* plan = nullptr;
-    double submitted_at = 0, started_at = -1;
-    std::set<const testing::WorkerStandIn*> machines;           ///< that have started a task of it
-    std::map<std::uint64_t, std::set<std::uint32_t>> gathered;  ///< of a gang, by attempt
+    double submitted_at_s = 0, started_at_s = -1;
+    std::set<const testing::WorkerStandIn*> machines;  ///< that have started one of its tasks
+    /// Indices of the started tasks of a gang, by attempt.
+    std::map<std::uint64_t, std::set<std::uint32_t>> started_by_attempt;
   };
   struct Counts {
     int submitted = 0, accepted = 0, done = 0, cancelled = 0, task_starts = 0;
-    std::vector<double> start_s;  ///< from submission to a task's start
+    std::vector<double> start_delays_s;  ///< from the job's submission to each task start
   };
 
   net::Task<void> submit_jobs(const ClassPlan& plan);
-  net::Task<void> use(wire::JobSpec spec, const ClassPlan& plan, int region);
-  net::Task<int> ask(int region, std::string method, std::string path, std::string body,
-                     std::string* state);
-  net::Task<void> watch_fleet();
-  net::Task<void> play_fault(const FaultPlan& fault);
-  /// Notes how long after now another controller of the region leads.
-  net::Task<void> time_takeover(std::string region);
-  net::Task<void> finish();
-  wire::JobSpec next_job(const ClassPlan& plan);
+  net::Task<void> follow_job(wire::JobSpec spec, const ClassPlan& plan, int region);
+  net::Task<int> send_request(int region, std::string method, std::string path, std::string body,
+                              std::string* state);
+  net::Task<void> monitor_fleet();
+  net::Task<void> inject_fault(const FaultPlan& fault);
+  /// Records the time from now until a new leader of the region serves.
+  net::Task<void> measure_takeover(std::string region);
+  net::Task<void> finish_after_plan();
+  wire::JobSpec make_job(const ClassPlan& plan);
   int pick_region();
-  /// Submits one job to the region and follows it to its end; returns its id.
+  /// Submits one job to the region and polls it until it ends; returns its id.
   std::string submit(const ClassPlan& plan, int region);
-  std::unique_ptr<Fragments> make_fragments();
-  void end();
-  double rate_factor() const;
-  /// Has the rule checker look at all that machines hold.
+  std::unique_ptr<FragmentationScenario> make_fragmentation_scenario();
+  void finish();
+  double submission_rate_factor() const;
+  /// Passes the tasks held by all machines with a valid lease to the rule checker.
   void check_rules();
   void show_progress() const;
   void write_classes(wire::JsonWriter& writer) const;
   void write_starts(wire::JsonWriter& writer) const;
   void write_regions(wire::JsonWriter& writer) const;
   void write_controllers(wire::JsonWriter& writer) const;
-  bool lease_over(const testing::WorkerStandIn& worker) const;
-  double now() const { return reactor_.now() - began_; }
+  bool is_lease_expired(const testing::WorkerStandIn& worker) const;
+  double elapsed_s() const { return reactor_.now() - started_at_s_; }
 
   const LabPlan& plan_;
   base::Settings settings_;
@@ -93,18 +96,18 @@
   std::mt19937 random_;
   std::vector<std::unique_ptr<Region>> regions_;
   Controllers controllers_;
-  double began_ = 0;
+  double started_at_s_ = 0;
   std::map<std::string, Job> jobs_;
-  std::map<std::string, Counts> counts_;  ///< by class
-  std::map<int, int> starts_by_second_;
-  std::size_t max_running_ = 0, running_ = 0;
-  int faults_played_ = 0, next_id_ = 0;
+  std::map<std::string, Counts> counts_by_class_;
+  std::map<int, int> task_starts_by_second_;
+  std::size_t max_held_tasks_ = 0, held_tasks_ = 0;
+  int faults_injected_ = 0, last_job_number_ = 0;
   std::vector<double> takeover_s_;
-  bool played_ = false;
-  std::vector<Controllers::Usage> usage_;
-  QuotaAudit quotas_;                     ///< at the end, where there are several regions
-  std::unique_ptr<Fragments> fragments_;  ///< where the plan asks for it
-  net::Scope scope_;                      ///< last, so that its routines end before what they use
+  bool finished_ = false;
+  std::vector<Controllers::Usage> controller_usage_;
+  QuotaAudit quota_audit_;  ///< filled at the end of a run with several regions
+  std::unique_ptr<FragmentationScenario> fragmentation_;  ///< null unless the plan has [fragments]
+  net::Scope scope_;  ///< last member: coroutines are destroyed before the objects they use
 };
 
 }  // namespace cranklock::lab
--- a/lab/run_report.cpp
+++ b/lab/run_report.cpp
@@ -1,5 +1,5 @@
-// What a lab run found: whether it passed, and its report. The names of the report's fields are
-// read by others and stay as they are.
+// Evaluation and report of a lab run. The field names of the report are a stable interface for
+// tools that read it.
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
@@ -28,45 +28,47 @@
 
 }  // namespace
 
-// ---- the verdict ----
+// ---- evaluation ----
 
-std::string Run::fault() const {
-  if (!played_) return "it was not played to its end";
+std::string Run::failure_reason() const {
+  if (!finished_) return "it was not played to its end";
   if (!rules_.broken.empty()) {
-    const auto& [rule, how] = *rules_.broken.begin();
-    return "the rule " + rule + " broke: " + how;
+    const auto& [rule, detail] = *rules_.broken.begin();
+    return "the rule " + rule + " broke: " + detail;
   }
-  std::string fragments = fragments_ ? fragments_->fault() : "";
+  std::string fragments = fragmentation_ ? fragmentation_->failure_reason() : "";
   if (!fragments.empty() || passed()) return fragments;
   return "a submission was not accepted, a controller ended, or shares don't add up";
 }
 
 bool Run::passed() const {
-  if (fragments_ && !fragments_->fault().empty()) return false;
-  const bool all_accepted = std::all_of(counts_.begin(), counts_.end(), [](const auto& entry) {
-    return entry.second.accepted == entry.second.submitted;
-  });
-  const bool all_alive =
-      std::all_of(usage_.begin(), usage_.end(), [](const auto& usage) { return usage.alive; });
-  return played_ && quotas_.teams_with_wrong_sums == 0 && all_accepted && all_alive &&
-         rules_.broken.empty() && faults_played_ == static_cast<int>(plan_.faults.size());
+  if (fragmentation_ && !fragmentation_->failure_reason().empty()) return false;
+  const bool all_accepted = std::all_of(
+      counts_by_class_.begin(), counts_by_class_.end(),
+      [](const auto& entry) { return entry.second.accepted == entry.second.submitted; });
+  const bool all_alive = std::all_of(controller_usage_.begin(), controller_usage_.end(),
+                                     [](const auto& usage) { return usage.alive; });
+  return finished_ && quota_audit_.teams_with_wrong_sums == 0 && all_accepted && all_alive &&
+         rules_.broken.empty() && faults_injected_ == static_cast<int>(plan_.faults.size());
 }
 
 std::string Run::summary() const {
   int accepted = 0, starts = 0;
-  std::vector<double> start_s;
-  for (const auto& [name, counts] : counts_) {
+  std::vector<double> start_delays_s;
+  for (const auto& [name, counts] : counts_by_class_) {
     accepted += counts.accepted;
     starts += counts.task_starts;
-    start_s.insert(start_s.end(), counts.start_s.begin(), counts.start_s.end());
+    start_delays_s.insert(start_delays_s.end(), counts.start_delays_s.begin(),
+                          counts.start_delays_s.end());
   }
-  std::sort(start_s.begin(), start_s.end());
-  return (fragments_ ? fragments_->summary() + "; " : "") +
+  std::sort(start_delays_s.begin(), start_delays_s.end());
+  return (fragmentation_ ? fragmentation_->summary() + "; " : "") +
          fmt::format(
              "{} regions, {} controllers: {} jobs accepted, {} task starts (half within {:.1f} s, "
              "99% within {:.1f} s), {} faults played, {} rules broken",
-             regions_.size(), usage_.size(), accepted, starts, percentile(start_s, 0.5),
-             percentile(start_s, 0.99), faults_played_, rules_.broken.size());
+             regions_.size(), controller_usage_.size(), accepted, starts,
+             percentile(start_delays_s, 0.5), percentile(start_delays_s, 0.99), faults_injected_,
+             rules_.broken.size());
 }
 
 // ---- the report ----
@@ -76,11 +78,11 @@
   writer.begin();
   writer.key("kind").text("lab run with stand-ins on loopback").key("passed").flag(passed());
   writer.key("played_s").amount(plan_.settle_s + plan_.duration_s + plan_.drain_s);
-  writer.key("teams").integer(plan_.teams).key("faults_played").integer(faults_played_);
+  writer.key("teams").integer(plan_.teams).key("faults_played").integer(faults_injected_);
   writer.key("seed").count(plan_.seed);
-  if (fragments_) fragments_->report(writer);
+  if (fragmentation_) fragmentation_->report(writer);
   writer.key("broken").begin();
-  for (const auto& [rule, how] : rules_.broken) writer.key(rule).text(how);
+  for (const auto& [rule, detail] : rules_.broken) writer.key(rule).text(detail);
   writer.end();
   write_classes(writer);
   write_starts(writer);
@@ -92,39 +94,40 @@
 
 void Run::write_classes(wire::JsonWriter& writer) const {
   writer.key("classes").begin();
-  for (const auto& [name, counts] : counts_) {
+  for (const auto& [name, counts] : counts_by_class_) {
     writer.key(name).begin().key("submitted").integer(counts.submitted);
     writer.key("accepted").integer(counts.accepted).key("done").integer(counts.done);
     writer.key("cancelled").integer(counts.cancelled);
     writer.key("task_starts").integer(counts.task_starts);
-    write_percentiles(writer, "start_s", counts.start_s);
+    write_percentiles(writer, "start_s", counts.start_delays_s);
     writer.end();
   }
   writer.end();
 }
 
 void Run::write_starts(wire::JsonWriter& writer) const {
-  int busiest = 0, in_peak = 0;
-  const double peak_from = plan_.settle_s + plan_.peak_from_s;
-  for (const auto& [second, starts] : starts_by_second_) {
+  int busiest = 0, starts_in_peak = 0;
+  const double peak_start_s = plan_.settle_s + plan_.peak_from_s;
+  for (const auto& [second, starts] : task_starts_by_second_) {
     busiest = std::max(busiest, starts);
-    if (second >= peak_from && second < peak_from + plan_.peak_for_s) in_peak += starts;
+    if (second >= peak_start_s && second < peak_start_s + plan_.peak_for_s)
+      starts_in_peak += starts;
   }
   writer.key("starts_in_busiest_second").integer(busiest);
-  writer.key("starts_a_second_in_peak").amount(in_peak / std::max(plan_.peak_for_s, 1.0));
-  writer.key("most_tasks").count(max_running_);
+  writer.key("starts_a_second_in_peak").amount(starts_in_peak / std::max(plan_.peak_for_s, 1.0));
+  writer.key("most_tasks").count(max_held_tasks_);
 }
 
 void Run::write_regions(wire::JsonWriter& writer) const {
   std::vector<double> seconds, requests;
-  for (const auto& shortage : controllers_.shortages()) {
+  for (const auto& shortage : controllers_.quota_shortages()) {
     seconds.push_back(shortage.seconds);
     requests.push_back(shortage.requests);
   }
   write_percentiles(writer, "takeover_s", takeover_s_);
   write_percentiles(writer, "shortage_s", seconds);
   write_percentiles(writer, "shortage_requests", requests);
-  writer.key("teams_with_wrong_sums").integer(quotas_.teams_with_wrong_sums);
+  writer.key("teams_with_wrong_sums").integer(quota_audit_.teams_with_wrong_sums);
   writer.key("bytes_between_regions").count(controllers_.bytes_between_regions());
   writer.key("regions").begin();
   for (const auto& region : regions_) {
@@ -133,12 +136,12 @@
     writer.key("state_requests").count(state.requests).key("state_writes").count(state.writes);
     writer.key("state_writes_refused").integer(state.refused_writes);
     writer.key("state_keys").count(state.values.size());
-    write_percentiles(writer, "report_s", region->heartbeat_seconds());
-    writer.key("reports").count(region->heartbeat_seconds().size());
+    write_percentiles(writer, "report_s", region->heartbeat_latencies_s());
+    writer.key("reports").count(region->heartbeat_latencies_s().size());
     writer.key("reports_not_answered").integer(region->failed_heartbeats());
-    writer.key("leases_ended").integer(region->ended_leases());
-    const auto held = quotas_.held_gpus.find(region->plan().name);
-    if (held != quotas_.held_gpus.end()) write_percentiles(writer, "share_gpus", held->second);
+    writer.key("leases_ended").integer(region->expired_leases());
+    const auto held = quota_audit_.held_gpus.find(region->plan().name);
+    if (held != quota_audit_.held_gpus.end()) write_percentiles(writer, "share_gpus", held->second);
     writer.end();
   }
   writer.end();
@@ -146,7 +149,7 @@
 
 void Run::write_controllers(wire::JsonWriter& writer) const {
   writer.key("controllers").list();
-  for (const auto& usage : usage_) {
+  for (const auto& usage : controller_usage_) {
     writer.begin().key("member").text(usage.member).key("led").flag(usage.led);
     writer.key("alive").flag(usage.alive).key("cpu_s").amount(usage.cpu_s);
     writer.key("memory_mb").amount(usage.memory_mb).key("sockets").integer(usage.sockets).end();
--- a/lab/run_users.cpp
+++ b/lab/run_users.cpp
@@ -1,4 +1,4 @@
-// The users of a lab run: they submit jobs at the rate of the plan, follow them, and cancel some.
+// The users of a lab run: submit jobs at the plan's rate, poll them until they end, cancel some.
 #include "lab/run.hpp"
 
 namespace cranklock::lab {
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The body of a submission.
+/// The request body of a job submission.
 std::string to_json(const wire::JobSpec& spec) {
   wire::JsonWriter writer;
   wire::write_job(writer, spec);
@@ -17,10 +17,11 @@
 
 }  // namespace
 
-double Run::rate_factor() const {
-  const double at = now() - plan_.settle_s;
-  if (at < 0 || at > plan_.duration_s) return 0;
-  const bool peak = at >= plan_.peak_from_s && at < plan_.peak_from_s + plan_.peak_for_s;
+double Run::submission_rate_factor() const {
+  const double submitting_for_s = elapsed_s() - plan_.settle_s;
+  if (submitting_for_s < 0 || submitting_for_s > plan_.duration_s) return 0;
+  const bool peak = submitting_for_s >= plan_.peak_from_s &&
+                    submitting_for_s < plan_.peak_from_s + plan_.peak_for_s;
   return peak ? plan_.peak_factor : 1;
 }
 
@@ -30,71 +31,75 @@
   return std::discrete_distribution<>(weights.begin(), weights.end())(random_);
 }
 
-wire::JobSpec Run::next_job(const ClassPlan& plan) {
+wire::JobSpec Run::make_job(const ClassPlan& plan) {
   const auto team = std::uniform_int_distribution<>(0, plan_.teams - 1)(random_);
   wire::JobSpec spec = plan.spec;
-  spec.id = "j-" + std::to_string(++next_id_);
+  spec.id = "j-" + std::to_string(++last_job_number_);
   spec.team = "team-" + std::to_string(team);
   return spec;
 }
 
 std::string Run::submit(const ClassPlan& plan, int region) {
-  auto spec = next_job(plan);
+  auto spec = make_job(plan);
   std::string id = spec.id;
   Job& job = jobs_[id];
   job.plan = &plan;
-  job.submitted_at = now();
-  ++counts_[plan.spec.job_class].submitted;
-  scope_.spawn(use(std::move(spec), plan, region));
+  job.submitted_at_s = elapsed_s();
+  ++counts_by_class_[plan.spec.job_class].submitted;
+  scope_.spawn(follow_job(std::move(spec), plan, region));
   return id;
 }
 
 Task<void> Run::submit_jobs(const ClassPlan& plan) {
-  constexpr double kTick = 0.05;
-  double initial_left = plan.initial, due = 0;
+  constexpr double kTickS = 0.05;
+  double initial_left = plan.initial, jobs_due = 0;
   Sleep settle(reactor_, plan_.settle_s);
   co_await settle;
-  while (now() < plan_.settle_s + plan_.duration_s) {
-    const double ramped = plan_.ramp_s > 0 ? kTick * plan.initial / plan_.ramp_s : plan.initial;
-    const double first = std::min(initial_left, ramped);
-    initial_left -= first;
-    due += first;
-    constexpr double kWhole = 1 - 1e-6;  // sums of parts
-    for (; due >= kWhole; --due) {
+  while (elapsed_s() < plan_.settle_s + plan_.duration_s) {
+    const double initial_per_tick =
+        plan_.ramp_s > 0 ? kTickS * plan.initial / plan_.ramp_s : plan.initial;
+    const double initial_due = std::min(initial_left, initial_per_tick);
+    initial_left -= initial_due;
+    jobs_due += initial_due;
+    constexpr double kDueThreshold = 1 - 1e-6;  // tolerates rounding errors in sums of fractions
+    for (; jobs_due >= kDueThreshold; --jobs_due) {
       submit(plan, pick_region());
     }
-    due += kTick * plan.jobs_per_s * rate_factor();
-    Sleep pause(reactor_, kTick);
+    jobs_due += kTickS * plan.jobs_per_s * submission_rate_factor();
+    Sleep pause(reactor_, kTickS);
     co_await pause;
   }
 }
 
-Task<int> Run::ask(int region, std::string method, std::string path, std::string body,
-                   std::string* state) {
-  constexpr double kTimeout = 5;
-  const auto question = rules_.ask(method, path, body);
-  const Region& asked = *regions_[static_cast<std::size_t>(region)];
-  const int node = std::uniform_int_distribution<>(0, asked.plan().controllers - 1)(random_);
+Task<int> Run::send_request(int region, std::string method, std::string path, std::string body,
+                            std::string* state) {
+  constexpr double kTimeoutS = 5;
+  const auto tracked_request = rules_.ask(method, path, body);
+  const Region& target = *regions_[static_cast<std::size_t>(region)];
+  const int controller_index =
+      std::uniform_int_distribution<>(0, target.plan().controllers - 1)(random_);
   net::Request request{std::move(method), std::move(path), "", std::move(body), true};
-  auto calling = client_.call(asked.controller_address(node, 0), std::move(request), kTimeout);
+  auto calling =
+      client_.call(target.controller_address(controller_index, 0), std::move(request), kTimeoutS);
   const auto reply = co_await calling;
   if (!reply.answered()) co_return 0;
-  rules_.answered(question, reply.status(), reply.response.body, reactor_.now());
+  rules_.answered(tracked_request, reply.status(), reply.response.body, reactor_.now());
   const wire::JsonDocument document(reply.response.body);
   *state = wire::read_text(document.root(), "Stance").value_or("");
   co_return reply.status();
 }
 
-Task<void> Run::use(wire::JobSpec spec, const ClassPlan& plan, int region) {
-  Counts& counts = counts_[plan.spec.job_class];
+Task<void> Run::follow_job(wire::JobSpec spec, const ClassPlan& plan, int region) {
+  Counts& counts = counts_by_class_[plan.spec.job_class];
   const std::string path = "/v1/jobs/" + spec.id;
   std::string state;
-  const auto chance = [this] { return std::uniform_real_distribution<>(0, 1)(random_); };
-  const bool cancels = chance() < plan.cancelled_share;
-  const double cancel_at = now() + chance() * (plan_.settle_s + plan_.duration_s - now());
-  for (;;) {  // until it is accepted
-    auto asking = ask(region, "POST", "/v1/jobs", to_json(spec), &state);
-    const int status = co_await asking;
+  const auto random_fraction = [this] { return std::uniform_real_distribution<>(0, 1)(random_); };
+  const bool will_cancel = random_fraction() < plan.cancelled_share;
+  const double cancel_at_s =
+      elapsed_s() + random_fraction() * (plan_.settle_s + plan_.duration_s - elapsed_s());
+  for (;;) {  // retries until the job is accepted or rejected as invalid
+    auto requesting = send_request(region, "POST", "/v1/jobs", to_json(spec), &state);
+    const int status = co_await requesting;
     if (status == 200 || status == 201) break;
     if (status == 400 || status == 422) co_return;
     Sleep pause(reactor_, 1);
@@ -102,12 +107,12 @@
   }
   ++counts.accepted;
   while (state != "done" && state != "withdrawn") {
-    constexpr double kPollEvery = 5, kRetryAfter = 1;
-    const bool cancel = cancels && now() >= cancel_at;
-    auto asking =
-        ask(region, cancel ? "POST" : "GET", cancel ? path + "/withdraw" : path, "", &state);
-    co_await asking;
-    Sleep pause(reactor_, cancel ? kRetryAfter : kPollEvery);
+    constexpr double kPollIntervalS = 5, kCancelRetryS = 1;
+    const bool cancel = will_cancel && elapsed_s() >= cancel_at_s;
+    auto requesting = send_request(region, cancel ? "POST" : "GET",
+                                   cancel ? path + "/withdraw" : path, "", &state);
+    co_await requesting;
+    Sleep pause(reactor_, cancel ? kCancelRetryS : kPollIntervalS);
     co_await pause;
   }
   ++(state == "done" ? counts.done : counts.cancelled);
--- a/lab/settings.cpp
+++ b/lab/settings.cpp
@@ -11,16 +11,16 @@
 
 using base::TomlReader;
 
-/// A number of the plan that the file may give.
+/// A number that the file may set; otherwise `target` keeps its default.
 struct OptionalNumber {
   const char* name;
-  double& into;
-  double least;
+  double& target;
+  double minimum;
 };
 
 void read_numbers(const TomlReader& in, std::initializer_list<OptionalNumber> numbers) {
-  for (const auto& [name, into, least] : numbers) {
-    if (in.has(name)) into = in.number(name, least);
+  for (const auto& [name, target, minimum] : numbers) {
+    if (in.has(name)) target = in.number(name, minimum);
   }
 }
 
@@ -35,15 +35,15 @@
   return region;
 }
 
-/// The value of a field that is one of these words.
+/// Maps a text field to its value; fails if the text is not a key of `values_by_name`.
 template <typename Value>
-Value read_word(const TomlReader& in, const char* field,
-                const std::map<std::string, Value>& words) {
-  const auto found = words.find(in.text(field));
-  if (found != words.end()) return found->second;
+Value read_enum(const TomlReader& in, const char* field,
+                const std::map<std::string, Value>& values_by_name) {
+  const auto found = values_by_name.find(in.text(field));
+  if (found != values_by_name.end()) return found->second;
   std::string expected = "one of";
-  for (const auto& [word, value] : words) expected += " " + word;
-  in.fail(field, expected);
+  for (const auto& [name, value] : values_by_name) expected += " " + name;
+  in.fail(field, expected + ", found " + in.text(field));
 }
 
 ClassPlan read_class(const TomlReader& in) {
@@ -52,10 +52,10 @@
   ClassPlan plan;
   auto& spec = plan.spec;
   spec.job_class = in.text("name");
-  spec.kind = read_word<JobKind>(
+  spec.kind = read_enum<JobKind>(
       in, "shape",
       {{"array", JobKind::job_array}, {"gang", JobKind::gang}, {"service", JobKind::service}});
-  spec.priority = read_word<Priority>(in, "rank",
+  spec.priority = read_enum<Priority>(in, "rank",
                                       {{"production", Priority::production},
                                        {"high", Priority::high},
                                        {"standard", Priority::standard}});
@@ -73,19 +73,19 @@
 
 FaultPlan read_fault(const TomlReader& in, const LabPlan& plan) {
   const auto kind =
-      read_word<FaultPlan::Kind>(in, "kind",
+      read_enum<FaultPlan::Kind>(in, "kind",
                                  {{"region_apart", FaultPlan::Kind::region_apart},
                                   {"controller_crash", FaultPlan::Kind::controller_crash},
                                   {"state_down", FaultPlan::Kind::state_down}});
   FaultPlan fault{kind, in.text("region"), in.number("at_s", 0), in.number("for_s", 0)};
   const bool known = std::any_of(plan.regions.begin(), plan.regions.end(),
                                  [&](const auto& region) { return region.name == fault.region; });
-  if (!known) in.fail("region", "the name of a region");
+  if (!known) in.fail("region", "the name of one of the plan's regions, found " + fault.region);
   return fault;
 }
 
-FragmentsPlan read_fragments(const TomlReader& in, const LabPlan& plan) {
-  FragmentsPlan fragments;
+FragmentationPlan read_fragments(const TomlReader& in, const LabPlan& plan) {
+  FragmentationPlan fragments;
   read_numbers(in, {{"piece_gpus", fragments.piece_gpus, 0.1},
                     {"filler_run_s", fragments.filler_run_s, 0.1},
                     {"chats_per_s", fragments.chats_per_s, 0},
@@ -97,12 +97,12 @@
                     {"endless_share", fragments.endless_share, 0},
                     {"demand_after_s", fragments.demand_after_s, 0},
                     {"kill_after_s", fragments.kill_after_s, 0}});
-  for (const auto& [name, into] :
+  for (const auto& [name, target] :
        {std::pair<const char*, int&>{"replicas_per_job", fragments.replicas_per_job},
         {"turns", fragments.turns},
         {"most_chats", fragments.max_chats},
         {"demand_tasks", fragments.demand_tasks}}) {
-    if (in.has(name)) into = in.count(name, 1);
+    if (in.has(name)) target = in.count(name, 1);
   }
   if (in.has("moves")) fragments.moves = in.flag("moves");
   if (in.has("kill_leader")) fragments.kill_leader = in.flag("kill_leader");
@@ -110,37 +110,40 @@
     in.fail("piece_gpus", "at most half of worker_gpus, so that two pieces fit on a worker");
   }
   if (fragments.endless_share > 1) in.fail("endless_share", "a number from 0 to 1");
-  if (plan.regions.size() != 1) in.fail("moves", "one region in the file");
+  if (plan.regions.size() != 1)
+    in.fail("moves",
+            "exactly one region in the plan, found " + std::to_string(plan.regions.size()));
   return fragments;
 }
 
-/// "a.b=value" put in the place of the file's own.
+/// Overrides a field of the file with a change of the form "a.b=value".
 void apply_change(toml::table& root, const std::string& change) {
   const auto fail = [&](const std::string& expected) {
     throw base::SettingsError("--set " + change + ": expected " + expected);
   };
   const auto equals = change.find('=');
   if (equals == std::string::npos || equals == 0) fail("field=value");
-  toml::table given;
+  toml::table parsed;
   try {
-    given = toml::parse(change);
+    parsed = toml::parse(change);
   } catch (const toml::parse_error&) {
-    fail("a value as in TOML");
+    fail("a TOML value after the equals sign, strings in quotes");
   }
-  toml::table* into = &root;
-  const toml::table* from = &given;
+  toml::table* target = &root;
+  const toml::table* source = &parsed;
   for (;;) {
-    const auto field = from->begin();  // outlives what it refers to
+    const auto field = source->begin();  // must outlive `key`, which refers into it
     const std::string_view key = field->first.str();
     const auto* nested = field->second.as_table();
     if (nested == nullptr) {
-      into->insert_or_assign(key, field->second);
+      target->insert_or_assign(key, field->second);
       return;
     }
-    toml::node* next = into->get(key);
-    if (next == nullptr || !next->is_table()) fail("a field of a table in the file");
-    into = next->as_table();
-    from = nested;
+    toml::node* next = target->get(key);
+    if (next == nullptr || !next->is_table())
+      fail("the name of a table of the plan before each dot");
+    target = next->as_table();
+    source = nested;
   }
 }
 
@@ -170,13 +173,14 @@
                     {"state_write_rps", plan.state_write_rps, 1}});
   if (in.has("teams")) plan.teams = in.count("teams", 1);
   if (in.has("fd_limit")) plan.fd_limit = in.count("fd_limit", 32);
-  in.each("regions", [&](const TomlReader& one) { plan.regions.push_back(read_region(one)); });
+  in.each("regions", [&](const TomlReader& entry) { plan.regions.push_back(read_region(entry)); });
   if (plan.regions.empty()) in.fail("regions", "at least one region");
-  in.each("classes", [&](const TomlReader& one) { plan.classes.push_back(read_class(one)); });
+  in.each("classes", [&](const TomlReader& entry) { plan.classes.push_back(read_class(entry)); });
   if (in.has("seed")) plan.seed = static_cast<unsigned>(in.count("seed", 0));
   if (in.has("fragments")) plan.fragments = read_fragments(in.table("fragments"), plan);
   if (plan.classes.empty() && !plan.fragments) in.fail("classes", "at least one class");
-  in.each("faults", [&](const TomlReader& one) { plan.faults.push_back(read_fault(one, plan)); });
+  in.each("faults",
+          [&](const TomlReader& entry) { plan.faults.push_back(read_fault(entry, plan)); });
   return plan;
 }
 
--- a/lab/settings.hpp
+++ b/lab/settings.hpp
@@ -1,4 +1,4 @@
-// What a lab run plays, read from a TOML file.
+// The plan of a lab run, read from a TOML file.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,21 @@
 
 namespace cranklock::lab {
 
-/// One region: its controllers, one in each of its zones in turn, and its fleet.
+/// One region: its fleet and its controllers, which are spread over its zones round-robin.
 struct RegionPlan {
   std::string name;
   std::vector<std::string> zones;
   int controllers = 1, workers = 1;
-  double initial_share = 0;  ///< of each team's limit
+  double initial_share = 0;  ///< fraction of each team's limit held at the start
 };
 
-/// Jobs of one class, submitted in every region by its part of the fleet.
+/// Jobs of one class. Regions are drawn with probabilities proportional to their workers.
 struct ClassPlan {
-  wire::JobSpec spec;          ///< without id and team; `estimate_s` is how long its tasks run
-  double jobs_per_s = 0;       ///< over all regions, outside the peak
-  int initial = 0;             ///< over all regions, within ramp_s
-  double cancelled_share = 0;  ///< by their users, at some time before the end of the run
+  wire::JobSpec spec;     ///< without id and team; `estimate_s` is the tasks' run time
+  double jobs_per_s = 0;  ///< summed over all regions, outside the peak
+  int initial = 0;        ///< jobs submitted within ramp_s, summed over all regions
+  /// Fraction that users cancel, at a random time before submissions end.
+  double cancelled_share = 0;
 };
 
 struct FaultPlan {
@@ -33,29 +34,31 @@
   double at_s = 0, for_s = 0;
 };
 
-/// A fleet in pieces, chats, and a gang that asks for whole machines (lab/fragments.toml).
-struct FragmentsPlan {
-  bool moves = true;         ///< carried out by the controllers
-  double piece_gpus = 3;     ///< of the replica on each worker; arrays fill the rest and end
-  double filler_run_s = 6;   ///< of those arrays
-  int replicas_per_job = 8;  ///< of a service
-  double chats_per_s = 4;    ///< begun, with all services
-  double rush_from_s = 0, rush_for_s = 0, rush_factor = 1;  ///< from the first chat on
-  int turns = 6;                                            ///< requests of a chat
-  double turn_s = 0.3;                                      ///< a replica's time for an answer
-  double pause_s = 0.7;                                     ///< of a user between two requests
-  double endless_share = 0;                                 ///< of chats that end only with the run
-  int max_chats = 20;                                       ///< that a replica carries
-  double demand_after_s = 4;                                ///< from the first chat on
-  int demand_tasks = 2;                                     ///< each takes a whole worker
-  bool kill_leader = false;                                 ///< in the middle of its first plan
-  double kill_after_s = 1;                                  ///< since the plan began
+/// Fragmentation scenario: a fleet with fragmented free capacity, chat traffic to replicas, and a
+/// gang that needs whole machines (lab/fragments.toml).
+struct FragmentationPlan {
+  bool moves = true;         ///< whether the controllers carry out defragmentation moves
+  double piece_gpus = 3;     ///< size of each worker's replica; job arrays fill the rest at first
+  double filler_run_s = 6;   ///< run time of the arrays' tasks
+  int replicas_per_job = 8;  ///< replicas in each service job
+  double chats_per_s = 4;    ///< rate of new chats, summed over all services
+  /// Peak of the chat rate; rush_from_s is relative to the start of chat traffic.
+  double rush_from_s = 0, rush_for_s = 0, rush_factor = 1;
+  int turns = 6;              ///< requests in a chat
+  double turn_s = 0.3;        ///< time a replica takes to answer a request
+  double pause_s = 0.7;       ///< mean time between an answer and the user's next request
+  double endless_share = 0;   ///< fraction of chats that last until the end of the run
+  int max_chats = 20;         ///< capacity of a replica
+  double demand_after_s = 4;  ///< delay after the start of chat traffic
+  int demand_tasks = 2;       ///< tasks of the gang; each needs a whole worker
+  bool kill_leader = false;   ///< during its first defragmentation plan
+  double kill_after_s = 1;    ///< delay after the plan began
 };
 
 struct LabPlan {
-  /// The time before the first submission, that of submissions, and that for what is under way.
+  /// Phases: before the first submission, during submissions, and for running work to end.
   double settle_s = 3, duration_s = 30, drain_s = 20;
-  double ramp_s = 0;  ///< over which each class's initial jobs are submitted
+  double ramp_s = 0;  ///< time over which each class's initial jobs are submitted
   double peak_from_s = 0, peak_for_s = 0, peak_factor = 1;
   int teams = 12;
   double guarantee_gpus = 8, limit_gpus = 16;  ///< of each team
@@ -68,12 +71,12 @@
   std::vector<RegionPlan> regions;
   std::vector<ClassPlan> classes;
   std::vector<FaultPlan> faults;
-  unsigned seed = 1;  ///< of everything that is drawn
-  std::optional<FragmentsPlan> fragments;
+  unsigned seed = 1;  ///< of all random numbers
+  std::optional<FragmentationPlan> fragments;
 };
 
-/// `changes` are fields that differ from the file, such as "fragments.moves=false". Throws
-/// base::SettingsError that names the file, the field and what was expected.
+/// `changes` override fields of the file, such as "fragments.moves=false". Throws a
+/// base::SettingsError that names the file, the field and the expected value.
 LabPlan load_plan(const std::string& path, const std::vector<std::string>& changes = {});
 
 }  // namespace cranklock::lab
