--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -41,7 +41,7 @@
 }
 
 bool Run::execute() {
-  started_at_s_ = reactor_.now();
+  started_at_ = reactor_.now();
   for (const auto& region : regions_) {
     if (!region->start(scope_)) return false;
   }
@@ -108,7 +108,7 @@
   job.machines.insert(&worker);
   Counts& counts = counts_by_class_[job.plan->spec.job_class];
   ++counts.task_starts;
-  counts.start_delays_s.push_back(elapsed_s() - job.submitted_at_s);
+  counts.start_delays_s.push_back(elapsed_s() - job.submitted_at);
   ++task_starts_by_second_[static_cast<int>(elapsed_s())];
   if (job.plan->spec.kind != wire::JobKind::gang) return true;
   const auto attempt = worker.tasks.at(wire::to_string(task)).attempt;
@@ -187,13 +187,13 @@
 
 Task<void> Run::measure_takeover(std::string region) {
   constexpr double kPollIntervalS = 0.02;
-  const double crashed_at_s = elapsed_s();
+  const double crashed_at = elapsed_s();
   const auto previous_token = controllers_.serving_fencing_token(region);
   while (controllers_.serving_fencing_token(region) == previous_token) {
     Sleep pause(reactor_, kPollIntervalS);
     co_await pause;
   }
-  takeover_s_.push_back(elapsed_s() - crashed_at_s);
+  takeover_s_.push_back(elapsed_s() - crashed_at);
 }
 
 }  // namespace cranklock::lab
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -52,7 +52,7 @@
  private:
   struct Job {
     const ClassPlan* plan = nullptr;
-    double submitted_at_s = 0, started_at_s = -1;
+    double submitted_at = 0, started_at = -1;
     std::set<const testing::WorkerStandIn*> machines;  ///< that have started one of its tasks
     /// Indices of the started tasks of a gang, by attempt.
     std::map<std::uint64_t, std::set<std::uint32_t>> started_by_attempt;
@@ -86,7 +86,7 @@
   void write_regions(wire::JsonWriter& writer) const;
   void write_controllers(wire::JsonWriter& writer) const;
   bool is_lease_expired(const testing::WorkerStandIn& worker) const;
-  double elapsed_s() const { return reactor_.now() - started_at_s_; }
+  double elapsed_s() const { return reactor_.now() - started_at_; }
 
   const LabPlan& plan_;
   base::Settings settings_;
@@ -96,7 +96,7 @@
   std::mt19937 random_;
   std::vector<std::unique_ptr<Region>> regions_;
   Controllers controllers_;
-  double started_at_s_ = 0;
+  double started_at_ = 0;
   std::map<std::string, Job> jobs_;
   std::map<std::string, Counts> counts_by_class_;
   std::map<int, int> task_starts_by_second_;
--- a/lab/run_users.cpp
+++ b/lab/run_users.cpp
@@ -44,7 +44,7 @@
   std::string id = spec.id;
   Job& job = jobs_[id];
   job.plan = &plan;
-  job.submitted_at_s = elapsed_s();
+  job.submitted_at = elapsed_s();
   ++counts_by_class_[plan.spec.job_class].submitted;
   scope_.spawn(follow_job(std::move(spec), plan, region));
   return id;
@@ -95,7 +95,7 @@
   std::string state;
   const auto random_fraction = [this] { return std::uniform_real_distribution<>(0, 1)(random_); };
   const bool will_cancel = random_fraction() < plan.cancelled_share;
-  const double cancel_at_s =
+  const double cancel_at =
       elapsed_s() + random_fraction() * (plan_.settle_s + plan_.duration_s - elapsed_s());
   for (;;) {  // retries until the job is accepted or rejected as invalid
     auto requesting = send_request(region, "POST", "/v1/jobs", to_json(spec), &state);
@@ -108,7 +108,7 @@
   ++counts.accepted;
   while (state != "done" && state != "withdrawn") {
     constexpr double kPollIntervalS = 5, kCancelRetryS = 1;
-    const bool cancel = will_cancel && elapsed_s() >= cancel_at_s;
+    const bool cancel = will_cancel && elapsed_s() >= cancel_at;
     auto requesting = send_request(region, cancel ? "POST" : "GET",
                                    cancel ? path + "/withdraw" : path, "", &state);
     co_await requesting;
