--- a/src/control/small_records.hpp
+++ b/src/control/small_records.hpp
@@ -30,7 +30,7 @@
 RecordResult<LeaderRecord> read_leader(const std::string& text);
 
 std::string write_pool(const sched::PoolState& pool);
-/// A missing field is read as 0; `scaled_ms` 0 means that the pool was never scaled.
+/// A missing field is read as 0; `last_scaled_ms` 0 means that the pool was never scaled.
 RecordResult<sched::PoolState> read_pool(const std::string& text);
 
 }  // namespace cranklock::control
--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -28,8 +28,8 @@
 
 namespace {
 
-/// Whether neither the machine's zone, lease, cloud status nor quarantine rules out placement; does
-/// not check that the machine is up.
+/// False if the machine's zone, lease, cloud status or quarantine rules out placement. Does not
+/// check that the machine is up.
 bool is_healthy(const ClusterState& cluster, const Machine& machine) {
   return !cluster.is_unreachable(machine.kind.zone) && !machine.lease.expired &&
          !machine.cloud.terminating && !machine.cloud.failed && !machine.quarantined() &&
@@ -75,9 +75,9 @@
 
 bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
                   const std::map<std::string, ZoneAgents>& zones, double now) {
-  constexpr double kSilentIntervalsAfterNotice = 1.5;
-  constexpr double kSilentIntervals = 3;       // tolerates one or two lost heartbeats
-  constexpr double kMinResponsiveShare = 0.9;  // of the other agents in the zone
+  constexpr double kSilentIntervalsAfterNotice = 1.5;  // after the announced time of reclaim
+  constexpr double kSilentIntervals = 3;               // tolerates one or two lost heartbeats
+  constexpr double kMinResponsiveShare = 0.9;          // of the other agents in the zone
   if (!machine.kind.spot || !machine.agent.heartbeat_received || machine.cloud.terminating)
     return false;
   const double interval_s = cluster.settings().heartbeat_interval_s;
--- a/src/sched/availability.hpp
+++ b/src/sched/availability.hpp
@@ -11,7 +11,7 @@
 namespace cranklock::sched {
 
 /// The maximum number of concurrently placed tasks of one job, at least 1. A job record is written
-/// in a single transaction, so the size limits of the key-value store bound it.
+/// in a single transaction, so the size limits of the key-value store bound this number.
 std::size_t max_live_tasks(const base::Settings& settings);
 
 /// Whether the team stays within its quota limit if it uses `additional` resources on top of its
@@ -35,9 +35,10 @@
 /// Counts the agents by zone. Zones without agents are omitted.
 std::map<std::string, ZoneAgents> count_agents_by_zone(ClusterState& cluster, double now);
 
-/// Whether the cloud has certainly reclaimed a spot machine: its heartbeats stopped after its
-/// preemption notice, or stopped for three intervals while the other agents of its zone are
-/// responsive. If those are silent too, the zone may only be partitioned. A reclaimed machine is
+/// Whether the cloud has certainly reclaimed a spot machine. True if the time announced by its
+/// preemption notice has passed and it has sent no heartbeat for one and a half intervals, or if it
+/// has sent none for three intervals while at least nine tenths of the other agents of its zone are
+/// responsive. If those send none either, the zone may only be partitioned. A reclaimed machine is
 /// deleted, which proves its tasks gone (invariant 4) long before its lease expires.
 bool is_reclaimed(const ClusterState& cluster, const Machine& machine,
                   const std::map<std::string, ZoneAgents>& zones, double now);
--- a/src/sched/best_fit.cpp
+++ b/src/sched/best_fit.cpp
@@ -19,8 +19,8 @@
 
 double placement_cost_s(const ClusterState& cluster, const Job& job, const Candidate& candidate,
                         const ZoneCount& zones) {
-  // Best fit keeps whole machines free for the largest tasks. A completely unused machine costs a
-  // tenth of its boot time.
+  // Best fit keeps whole machines free for the largest tasks. The penalty grows with the capacity
+  // that the task leaves unused, up to a tenth of the boot time for a whole machine.
   constexpr double kFragmentationWeight = 0.1;
   constexpr double kMinFetchRate = 0.01;  // GB/s, for machine types that state no rate
   const wire::MachineType& type = *candidate.type;
@@ -39,8 +39,8 @@
 
 namespace {
 
-/// Whether a task of the job may be placed on the candidate now. Ordered so that the cheapest check
-/// that rejects the most candidates runs first.
+/// Whether a task of the job may be placed on the candidate now. Cheap checks that reject many
+/// candidates run first.
 bool is_feasible(CandidateSet& candidates, const Job& job, const Candidate& candidate,
                  const ZoneCount& zones, const std::string& only_zone) {
   if (!job.spec.resources.fits_in(candidates.available_to(job, candidate))) return false;
@@ -48,8 +48,8 @@
   if (!only_zone.empty() && candidate.kind.zone != only_zone) return false;
   if (candidate.nominated_for != nullptr && candidate.nominated_for != &job) return false;
   if (!zone_rules_allow(job.spec, zones, candidate.kind.zone)) return false;
-  // One failed machine is avoided since the machine may be at fault; failures on two or more
-  // machines indicate a fault of the job.
+  // If the job failed on a single machine, that machine is avoided since it may be at fault;
+  // failures on two or more machines indicate a fault of the job.
   return job.retry.failed_machines.size() != 1 ||
          !job.retry.failed_machines.contains(candidate.machine->id);
 }
--- a/src/sched/best_fit.hpp
+++ b/src/sched/best_fit.hpp
@@ -21,8 +21,9 @@
 bool lacks_local_controller(const ClusterState& cluster, const Job& job, const std::string& zone);
 
 /// The cost, in seconds, of placing a task of the job on the candidate: the time to fetch its
-/// image, plus penalties, as fractions of the boot time, for unused capacity and for zones and
-/// machine kinds that the job should rather avoid.
+/// image, plus penalties in proportion to the boot time. Penalties apply to unused capacity, to an
+/// ordinary machine for a job that may use spot machines, to a zone without a controller for a
+/// service replica, and, if the job spreads its tasks, to each of its tasks already in the zone.
 double placement_cost_s(const ClusterState& cluster, const Job& job, const Candidate& candidate,
                         const ZoneCount& zones);
 
--- a/src/sched/boot_monitor.cpp
+++ b/src/sched/boot_monitor.cpp
@@ -25,7 +25,8 @@
 }
 
 void BootMonitor::update_overdue(double now) {
-  // Normal boots take up to 1.5 times the expected time; beyond twice that a fault is likely.
+  // Normal boots take up to 1.5 times the expected time; beyond twice the expected time a fault is
+  // likely.
   constexpr double kOverdueFactor = 2;
   for (auto& [id, machine] : machines_.all()) {
     const wire::MachineType* type = machines_.type(machine.kind.type);
--- a/src/sched/boot_monitor.hpp
+++ b/src/sched/boot_monitor.hpp
@@ -26,7 +26,8 @@
 
   /// The boot time to expect of the type in the zone; at least the `ready_s` stated by the cloud.
   double expected_boot_s(const wire::MachineType& type, const std::string& zone, double now) const;
-  /// Factor by which recent boots were worse than the cloud states; 1: as stated.
+  /// Relative cost of a machine of the type in the zone; 1: recent boots were as the cloud states.
+  /// See BootTimes::penalty.
   double penalty(const wire::MachineType& type, const std::string& zone, double now) const;
 
  private:
--- a/src/sched/boot_times.cpp
+++ b/src/sched/boot_times.cpp
@@ -8,7 +8,8 @@
 namespace {
 constexpr std::size_t kMaxBootsPerLocation = 9;
 constexpr std::size_t kMinBootsForMedian = 3;  ///< a single boot may be late by chance
-/// A boot is recent for this multiple of its own duration.
+/// A boot is recent for this multiple of its own duration or of `ready_s`, whichever is longer; an
+/// overdue boot for this multiple of `ready_s`.
 constexpr double kRecentBootDurations = 6;
 }  // namespace
 
--- a/src/sched/boot_times.hpp
+++ b/src/sched/boot_times.hpp
@@ -25,13 +25,14 @@
   /// Records an overdue machine: it may report late or never.
   void record_overdue(const Location& location, double now);
   /// The expected boot time: the median of recent boots, but at least `ready_s`; `ready_s` if there
-  /// were too few. A boot counts as recent for a few boot times, so the estimate recovers after a
-  /// disturbance even without a scale-out since. Overdue machines are left out: a machine that
-  /// never reports is paid for until it is deleted, and counting it would raise the expected time
-  /// and thereby delay the deletion further and further.
+  /// were too few. A boot counts as recent for a few times its own duration, so the estimate
+  /// recovers after a disturbance even without a scale-out since. Overdue machines are left out: a
+  /// machine that never reports is paid for until it is deleted, and counting it would raise the
+  /// expected time and thereby delay the deletion further and further.
   double expected_s(const Location& location, double ready_s, double now) const;
-  /// Relative cost of a machine at the location, 1 for boots as the cloud states: rises with the
-  /// boot time and with the share of machines that are paid for but do not come up.
+  /// Relative cost of a machine at the location, 1 if boots take as long as the cloud states. Rises
+  /// with the boot time and with the number of overdue machines, which are paid for although they
+  /// are not ready, per completed boot.
   double penalty(const Location& location, double ready_s, double now) const;
 
  private:
--- a/src/sched/candidates.cpp
+++ b/src/sched/candidates.cpp
@@ -9,7 +9,8 @@
 namespace cranklock::sched {
 namespace {
 
-/// Resources still held by tasks that are being stopped, by machine. Few tasks are, at any time.
+/// Resources still held by tasks that are being stopped, by machine. Few tasks are being stopped at
+/// any time, so the map is small.
 std::map<std::string, wire::Resources> releasing_by_machine(ClusterState& cluster) {
   std::map<std::string, wire::Resources> releasing;
   for (const auto& [id, job] : cluster.jobs()) {
@@ -50,9 +51,10 @@
   return found == schedulable_.end() ? nullptr : &*found;
 }
 
-// Resources reserved for others on the candidate, without those reserved for a job that this job
-// may preempt. Enforces, for placement, that a reservation never blocks work that is entitled to
-// preempt its holder (invariant 19).
+// Resources on the candidate that are reserved for other jobs, or for a task of this job that is
+// being moved. Omits reservations that this job may also use, and those for jobs that it may
+// preempt: a reservation must not block the placement of work that is entitled to preempt its
+// holder (invariant 19).
 wire::Resources CandidateSet::reserved_for_others(const Job& job, const Candidate& candidate) {
   wire::Resources reserved;
   for (const Reservation* reservation : reservations_) {
--- a/src/sched/candidates.hpp
+++ b/src/sched/candidates.hpp
@@ -22,8 +22,8 @@
   bool has_reservations = false;  ///< a move plan has reserved resources on it
 };
 
-/// All candidates of one pass, and the active reservations. The order of the lists and the
-/// addresses of their elements do not change during the pass.
+/// The schedulable and the starting machines of one pass, and the active reservations. The order of
+/// the lists and the addresses of their elements do not change during the pass.
 class CandidateSet {
  public:
   explicit CandidateSet(ClusterState& cluster);
--- a/src/sched/cluster_state.hpp
+++ b/src/sched/cluster_state.hpp
@@ -43,7 +43,7 @@
  public:
   using Freshness = HeartbeatFreshness;
 
-  /// `leader_since`: when this node learnt that it is the leader. `settings` must outlive this
+  /// `leader_since`: when this node began its term as leader. `settings` must outlive this
   /// object.
   ClusterState(const base::Settings& settings, std::uint64_t fencing_token, double leader_since);
   // Not copyable: members hold references to each other.
@@ -149,8 +149,8 @@
   /// Replaces all reservations by those of the current move plan.
   void set_reservations(Reservations reservations);
   const Reservations& reservations() const { return reservations_; }
-  /// Whether the reservation still holds capacity: its job is live, and the tasks that it is for
-  /// have no placement on the machine yet.
+  /// Whether the job of the reservation is live and the reservation still holds resources; see
+  /// holds_capacity().
   bool is_reservation_active(const Reservation& reservation) const;
 
   const base::Settings& settings() const { return settings_; }
--- a/src/sched/failed_searches.hpp
+++ b/src/sched/failed_searches.hpp
@@ -13,7 +13,8 @@
 class FailedSearches {
  public:
   /// Whether a search for the job must fail because an earlier one with equal or lower requirements
-  /// failed.
+  /// failed. False if resources are reserved for pending tasks of the job, since the earlier job
+  /// could not use those.
   bool rules_out(const ClusterState& cluster, const Job& job) const;
   /// Records a failed search for the job, unless the cause may not apply to other jobs: its zone
   /// rules, a machine avoided after a failure, or a reservation.
--- a/src/sched/failure_tracker.cpp
+++ b/src/sched/failure_tracker.cpp
@@ -9,18 +9,19 @@
 
 /// Number of failed rounds after which the backoff stops growing.
 constexpr int kMaxBackoffRounds = 5;
-/// Number of jobs failing on one machine, or of machines on which one job fails, from which the
-/// machine or the job is considered faulty.
+/// A machine is considered faulty if at least this many jobs fail on it, and a job if it fails on
+/// at least this many machines.
 constexpr std::size_t kFaultThreshold = 2;
 
-/// `works_elsewhere`: the failed job has completed tasks on other machines.
-void update_quarantine(MachineFaults& faults, bool works_elsewhere, double now) {
+/// `job_has_succeeded`: a task of the failed job has completed before, so its failure on this
+/// machine is attributed to the machine.
+void update_quarantine(MachineFaults& faults, bool job_has_succeeded, double now) {
   const bool suspected = faults.failed_jobs.size() >= kFaultThreshold;
-  if (faults.quarantine == Quarantine::none && (works_elsewhere || suspected)) {
+  if (faults.quarantine == Quarantine::none && (job_has_succeeded || suspected)) {
     faults.quarantine = Quarantine::suspected;
     faults.quarantined_since = now;
   }
-  if (works_elsewhere) faults.quarantine = Quarantine::confirmed;
+  if (job_has_succeeded) faults.quarantine = Quarantine::confirmed;
 }
 
 void clear_failures(Job& job) {
--- a/src/sched/failure_tracker.hpp
+++ b/src/sched/failure_tracker.hpp
@@ -10,8 +10,8 @@
 /// Applies retry backoff to failing jobs, and quarantines faulty machines.
 ///
 /// A machine is considered faulty when tasks of several jobs fail on it, or a task of a job that
-/// has completed tasks elsewhere. A job is considered crash looping when its tasks fail on several
-/// machines and none of them has ever completed.
+/// has already completed tasks, on whichever machine. A job is considered crash looping when its
+/// tasks fail on several machines and none of them has ever completed.
 class FailureTracker {
  public:
   /// All three must outlive this object.
--- a/src/sched/heartbeat_commands.cpp
+++ b/src/sched/heartbeat_commands.cpp
@@ -71,9 +71,9 @@
     Placement& placement = ref.placement();
     // Invariants 2 and 14.
     if (job.cancelled() || !placement.durable() || !job.dependencies_met) continue;
-    // Guards against a placement that never ends because a stop was requested while its start is
-    // indeterminate: its absence proves nothing in this agent epoch. After a start and a stop in
-    // one response the agent knows the attempt, and the indeterminate start has no effect.
+    // A placement that is to stop is started only if an earlier start is indeterminate in this
+    // agent epoch. Its absence proves nothing then, so it would never end. Once the agent has
+    // executed a start and a stop from one response, the indeterminate start has no effect.
     if (placement.stop_requested && placement.indeterminate_start_epoch != heartbeat.agent_epoch)
       continue;
     const wire::TaskName task{job.spec.id, placement.task};
--- a/src/sched/heartbeat_reconciler.hpp
+++ b/src/sched/heartbeat_reconciler.hpp
@@ -13,7 +13,7 @@
 /// The order of a message relative to those of the same agent that were applied before.
 enum class HeartbeatFreshness {
   fresh,
-  out_of_order,  ///< arrived after the response to a later direct command
+  out_of_order,  ///< not newer than an applied message, e.g. the response to a direct command
   stale,         ///< not newer than an earlier heartbeat; changes nothing and renews no lease
 };
 
--- a/src/sched/job.hpp
+++ b/src/sched/job.hpp
@@ -118,7 +118,7 @@
   std::uint64_t generation = 0;
   bool dirty = false;      ///< the job has changes that are not stored yet
   double dirty_since = 0;  ///< when it was first considered for writing; 0: not yet
-  bool too_large = false;  ///< exceeds any transaction; set so that it is logged only once
+  bool too_large = false;  ///< for one transaction; set so that it is logged only once
 };
 
 /// Task failures and retry backoff of a job; maintained by FailureTracker.
--- a/src/sched/job_table.cpp
+++ b/src/sched/job_table.cpp
@@ -76,7 +76,8 @@
     cancel(job, cancellation->at_ms, cancellation->since);
     return;
   }
-  // Guards against a job submitted while one of its dependencies is cancelled and still live.
+  // Guards against missing the cancellation of a dependency that is still live: its outcome is not
+  // recorded yet when the job is submitted.
   for (const std::string& dependency : dependencies_.dependencies_of(id)) {
     const Job* live = find(dependency);
     if (live == nullptr || !live->cancelled()) continue;
--- a/src/sched/lease_tracker.cpp
+++ b/src/sched/lease_tracker.cpp
@@ -25,9 +25,9 @@
 
 double LeaseTracker::latest_possible_response(const Machine& machine, double now) const {
   double latest = machine.lease.last_response;
-  // An agent that has not shown this leader's fencing token may still accept responses of a former
+  // An agent that has not sent this leader's fencing token may still accept responses of a former
   // leader. That leader last renewed its leader lease before this leadership began; it responds, or
-  // delegates responses to forwarders, for at most `response_span` after that renewal.
+  // delegates responses to forwarders, for at most `response_window_s` after that renewal.
   if (!machine.agent.token_acknowledged) {
     const double span = base::response_window_s(settings_) * (1 + 4 * base::kMaxClockDrift);
     latest = std::max(latest, leader_since_ + span);
--- a/src/sched/lease_tracker.hpp
+++ b/src/sched/lease_tracker.hpp
@@ -12,11 +12,11 @@
 
 /// Computes an upper bound for the time of the last response that an agent may have received: from
 /// this leader, from a forwarder to which responses are delegated, or from a former leader. Once
-/// the lease has expired since then, the agent has ended its tasks and their placements are free
-/// (invariant 4 c).
+/// a lease from that time has expired, the agent has ended its tasks, so their placements can be
+/// ended (invariant 4 c).
 class LeaseTracker {
  public:
-  /// `leader_since`: when this node learnt that it is the leader. `settings` must outlive this
+  /// `leader_since`: when this node began its term as leader. `settings` must outlive this
   /// object.
   LeaseTracker(const base::Settings& settings, double leader_since)
       : settings_(settings), leader_since_(leader_since) {}
--- a/src/sched/machine.hpp
+++ b/src/sched/machine.hpp
@@ -51,7 +51,8 @@
 
 /// State of a machine as known from the cloud, and from scale-out requests and deletions.
 struct CloudStatus {
-  /// When its scale-out request succeeded; for a listed machine, earlier by its listed age.
+  /// When its scale-out request succeeded, or when this leader added it; earlier if the age in the
+  /// cloud's list shows that it is older.
   double provisioned_at = 0;
   bool provisioned_by_this_leader = false;
   bool listed = false;   ///< has appeared in a list of the cloud
@@ -73,8 +74,9 @@
   double last_heartbeat = 0;       ///< when the newest message was applied
   /// Consecutive responses after which it still did not send this leader's fencing token.
   int unacknowledged_responses = 0;
-  double unresponsive_until = 0;  ///< responses seem not to reach it; 0: they do
-  int unknown_tasks = 0;          ///< reported tasks without a placement that have not exited
+  /// Until when nothing is placed on it, since responses seem not to reach it; 0: they do.
+  double unresponsive_until = 0;
+  int unknown_tasks = 0;  ///< reported tasks without a placement that have not exited
   /// Indeterminate starts of the current agent epoch: no `forget` is sent for these tasks
   /// (invariant 5).
   std::set<TaskAttempt> indeterminate_starts;
@@ -96,7 +98,7 @@
 enum class Quarantine {
   none,
   suspected,  ///< tasks of several jobs failed; the jobs may turn out to be at fault
-  confirmed,  ///< a task of a job that works on other machines failed
+  confirmed,  ///< a task failed of a job that has completed tasks before
 };
 
 /// Failures of tasks on a machine; maintained by FailureTracker.
--- a/src/sched/nomination.cpp
+++ b/src/sched/nomination.cpp
@@ -53,7 +53,8 @@
   Candidate* best = nullptr;
   for (auto& candidate : candidates.schedulable()) {
     if (candidate.nominated_for != nullptr) continue;
-    // Resources released by preemption go to the job that the preemption was for.
+    // A machine where stopping tasks release enough is nominated at once, so that resources
+    // released by a preemption go to the job that the preemption was for.
     const bool being_released = candidate.releasing.gpus + candidate.releasing.cpus > 0 &&
                                 fits_after_release(candidates, job, candidate);
     const bool waited_for_boot = now - job.known_since >= candidate.type->ready_s;
--- a/src/sched/placement_tracker.hpp
+++ b/src/sched/placement_tracker.hpp
@@ -28,7 +28,8 @@
   /// Ends an abandoned placement after a write of the record without it has succeeded. Does not
   /// make the record dirty.
   void resolve_abandoned(Job& job, Placement& placement, double now);
-  /// Erases ended placements that the durable record no longer names.
+  /// Erases those of the `written` placements that have ended. The durable record no longer
+  /// contains them, since they were left out of a write that has succeeded.
   static void erase_ended(Job& job, const std::set<PlacementKey>& written);
   /// Ends all placements on a machine whose tasks are all proven gone. Requests a stop of the other
   /// tasks of their gangs.
--- a/src/sched/pool_reading.cpp
+++ b/src/sched/pool_reading.cpp
@@ -21,7 +21,7 @@
 struct PoolUsage {
   double allocated = 0;  ///< in machines
   int schedulable = 0, starting = 0;
-  wire::Resources requested;  ///< by waiting tasks, and by tasks that should be on spot machines
+  wire::Resources requested;  ///< by waiting tasks, and by tasks that should move to spot machines
 };
 
 /// Whether the machine is an ordinary one and all its tasks, if any, may run on spot machines.
--- a/src/sched/pool_reading.hpp
+++ b/src/sched/pool_reading.hpp
@@ -15,13 +15,13 @@
   double score = 0;
   int machines = 0;  ///< schedulable and starting
   int wanted = 0;    ///< new machines needed by waiting tasks
-  int deficit = 0;   ///< machines to add until the score falls to High; may be negative
+  int deficit = 0;   ///< machines to add to reduce the score to `high`; may be negative
 };
 
-/// Measures all pools of the known machine types. A pool without schedulable machines but with
-/// waiting tasks is above High. If all tasks on an ordinary machine may run on spot machines, their
-/// resources also count as requested from the spot pool, so that the ordinary machine can be
-/// drained.
+/// Measures all pools of the known machine types. `high` is the score above which pools scale out.
+/// A pool without schedulable machines but with waiting tasks has a score above `high`. If all
+/// tasks on an ordinary machine may run on spot machines, their resources also count as requested
+/// from the spot pool, so that the ordinary machine can be drained.
 std::map<PoolId, PoolReading> read_pools(ClusterState& cluster, const Shortfall& shortfall,
                                          double high);
 
--- a/src/sched/preemption.cpp
+++ b/src/sched/preemption.cpp
@@ -123,8 +123,9 @@
   return victims;
 }
 
-/// The work lost by a stop, in seconds: the work that is not saved, or cancel_s for a service
-/// replica, whose absence takes effect at once.
+/// The work lost by a stop, in seconds: the time since the task began to run, but for a task with
+/// checkpoints at most the time to save one, since it may save one before it stops. For a service
+/// replica `cancel_s`, since its absence takes effect at once.
 double Preemptor::lost_work_s(const Job& victim, const Placement& placement) const {
   if (victim.spec.kind == wire::JobKind::service) return candidates_.cluster().settings().cancel_s;
   const double ran = placement.running_since > 0 ? now_ - placement.running_since : 0;
--- a/src/sched/reservations.hpp
+++ b/src/sched/reservations.hpp
@@ -26,8 +26,9 @@
   bool operator==(const Reservation&) const = default;
 };
 
-/// Whether the reservation for this job still holds resources: the job is not cancelled, and what
-/// the reservation is for is neither on the machine yet nor done.
+/// Whether the reservation for this job still holds resources: the job is not cancelled, and the
+/// task to be moved is neither done nor placed on the machine yet. Without such a task: no task of
+/// the job is placed on the machine yet.
 inline bool holds_capacity(const Reservation& reservation, const Job& job) {
   if (job.cancelled()) return false;
   if (reservation.task && job.done.contains(*reservation.task)) return false;
--- a/src/sched/scaler.cpp
+++ b/src/sched/scaler.cpp
@@ -60,15 +60,16 @@
   }
 }
 
-/// Whether tasks have needed new machines for a whole down window. This counts as a score above
-/// High: free resources that the waiting tasks cannot use, e.g. in another zone, would otherwise
-/// keep the score below High forever.
+/// Whether tasks have needed new machines for a whole `scale_in_window_s`. This counts as a score
+/// above `high_score`: free resources that the waiting tasks cannot use, e.g. in another zone,
+/// would otherwise keep the score below that threshold forever.
 bool Pool::has_unmet_demand(double now) const {
   return wanted_since_ && now - *wanted_since_ >= settings_.scale_in_window_s;
 }
 
-/// The machines needed by waiting tasks or to bring the score down to High, whichever is more,
-/// capped by the step and pool limits. Machines that are booting already are not requested again.
+/// The number of machines to add: those needed by waiting tasks, or those that reduce the score to
+/// `high_score`, whichever is more, capped by the step and pool limits. Machines that are already
+/// booting are not requested again: both numbers are in addition to them.
 int Pool::scale_out_step(const PoolReading& reading) const {
   const int share_of_pool = static_cast<int>(settings_.max_scale_out_step_share * reading.machines);
   const int max_step = std::max(settings_.max_scale_out_step_machines, share_of_pool);
@@ -76,7 +77,8 @@
   return std::clamp(std::max(reading.wanted, reading.deficit), 0, std::max(max_added, 0));
 }
 
-/// A fixed number or a share of the pool, whichever is larger; never below the pool's minimum.
+/// The number of machines to remove: a fixed number or a share of the pool, whichever is larger,
+/// but never so many that the pool falls below its minimum.
 int Pool::scale_in_step(const PoolReading& reading) const {
   const int above_minimum = reading.machines - settings_.min_machines;
   const int share_of_pool =
--- a/src/sched/scaler.hpp
+++ b/src/sched/scaler.hpp
@@ -25,7 +25,7 @@
   /// Discards the scores from before `time`, which no window covers any more.
   void discard_before(double time);
   /// Whether every score in the window ending now was above (below) the threshold. False until the
-  /// history covers the whole window, since nothing is known of the time before the leader's term.
+  /// history covers the whole window, since a leader has no scores from before its term.
   bool stayed_above(double threshold, double window_s, double now) const;
   bool stayed_below(double threshold, double window_s, double now) const;
 
@@ -62,7 +62,8 @@
 
   const base::ScalerSettings& settings_;
   ScoreHistory scores_;
-  /// The time since which every reading has wanted machines; none if the last one did not.
+  /// Time of the first of the latest consecutive readings with `wanted` above 0; none if the last
+  /// reading had `wanted` 0.
   std::optional<double> wanted_since_;
 };
 
--- a/src/sched/shortfall.hpp
+++ b/src/sched/shortfall.hpp
@@ -9,7 +9,7 @@
 namespace cranklock::sched {
 
 /// The unit of scaling: the ordinary machines of a type, or its spot machines. They serve different
-/// jobs at different prices, so free resources of the one say little about demand for the other.
+/// jobs at different prices, so free resources of one are no measure of the demand for the other.
 struct PoolId {
   std::string type;
   bool spot = false;
--- a/src/sched/shortfall_estimator.cpp
+++ b/src/sched/shortfall_estimator.cpp
@@ -36,7 +36,7 @@
   const Job& job = search.job;
   if (job.retry.failed_rounds > 0) return;
   for (; missing > 0; --missing) {
-    if (demand == DemandKind::pending && !within_limit(job)) return;
+    if (demand == DemandKind::pending && !count_if_within_limit(job)) return;
     Candidate* candidate = find_candidate(search, demand);
     if (candidate == nullptr) candidate = add_machine(search);
     if (candidate == nullptr) return;
@@ -46,8 +46,9 @@
   }
 }
 
-/// Counts one more task of the team, unless that would exceed the team's quota limit.
-bool ShortfallEstimator::within_limit(const Job& job) {
+/// Adds one task to the planned resources of the team and returns true, unless that would exceed
+/// the team's quota limit.
+bool ShortfallEstimator::count_if_within_limit(const Job& job) {
   wire::Resources& planned = planned_by_team_[job.spec.team];
   const wire::Resources more = planned + job.spec.resources;
   if (!within_quota_limit(candidates_.cluster(), job.spec.team, more)) return false;
@@ -112,7 +113,8 @@
   double price = (kind.spot ? type.spot_price : type.price) *
                  dominant_share(job.spec.resources, type.resources);
   if (lacks_local_controller(cluster, job, kind.zone)) price *= 1 + kNoLocalControllerWeight;
-  // Late boots mean longer waits, and more spent on machines that never become ready.
+  // Where boots are late or overdue, tasks wait longer and more is paid for machines that never
+  // become ready.
   price *= cluster.boot_penalty(type, kind.zone, now_);
   price *= 1 + kSameZoneWeight * search.zones.tasks_in(kind.zone);
   const auto wanted = shortfall_.wanted.find(kind);
--- a/src/sched/shortfall_estimator.hpp
+++ b/src/sched/shortfall_estimator.hpp
@@ -39,8 +39,8 @@
     pending,     ///< it could not be placed in this pass
     replacement  ///< its machine may be lost; the task already counts as quota usage
   };
-  /// The search for one job's tasks. A candidate on which one task does not fit
-  /// does not fit the next one either, so each list of candidates is traversed only once.
+  /// The search for one job's tasks. A candidate on which one task does not fit cannot hold the
+  /// next one either, so each list of candidates is traversed only once.
   struct Search {
     const Job& job;
     ZoneCount zones;
@@ -48,7 +48,7 @@
   };
 
   void add(Search search, std::uint32_t missing, DemandKind demand);
-  bool within_limit(const Job& job);
+  bool count_if_within_limit(const Job& job);
   Candidate* find_candidate(Search& search, DemandKind demand);
   Candidate* next_fitting(std::vector<Candidate>& list, std::size_t& position,
                           const Search& search);
--- a/src/sched/task_reconciler.cpp
+++ b/src/sched/task_reconciler.cpp
@@ -103,7 +103,8 @@
 }
 
 // Whether a heartbeat with sequence `reported` that does not name the task proves that this attempt
-// is not on the machine and will not start there.
+// is not on the machine and will not start there. Also counts such heartbeats after a sent start;
+// at kMaxUnacknowledgedResponses it marks the agent as unresponsive and returns true.
 bool TaskReconciler::is_proven_absent(Machine& machine, const Job& job, Placement& placement,
                                       AgentSequence reported, double now) const {
   const AgentSequence start = placement.last_start_sequence;
--- a/src/sched/team_shares.hpp
+++ b/src/sched/team_shares.hpp
@@ -7,8 +7,8 @@
 namespace cranklock::sched {
 
 /// This region's share of team guarantees and limits that several regions share (invariant 16).
-/// Called for every task that is placed, so implementations must answer from memory. A resource
-/// without a limit or guarantee in the settings has none here either.
+/// Called for every task that is placed, so implementations must return values held in memory. A
+/// resource without a limit or guarantee in the settings has none here either.
 class TeamShares {
  public:
   TeamShares() = default;
--- a/src/sched/waiting_queue.cpp
+++ b/src/sched/waiting_queue.cpp
@@ -43,8 +43,8 @@
 }
 
 /// The wall-clock time that determines a job's position in the queue: when it became ready or its
-/// latest start time, whichever is earlier. Jobs that are late by their deadline thus move ahead,
-/// the latest furthest.
+/// latest start time, whichever is earlier. A job that has missed its latest start time thus moves
+/// ahead, further the more it is late.
 std::int64_t queued_since_ms(const Job& job) {
   return std::min(job.ready_ms, job.urgency.start_by_ms);
 }
--- a/src/sched/waiting_queue.hpp
+++ b/src/sched/waiting_queue.hpp
@@ -11,7 +11,7 @@
 /// The jobs that a pass has to place, and the priorities of the jobs already placed.
 struct WaitingQueue {
   std::vector<Job*> jobs;   ///< most entitled first
-  PlacedPriorities placed;  ///< of all jobs, at the start of the pass
+  PlacedPriorities placed;  ///< of runnable jobs with live placements when the queue is built
 };
 
 /// Updates `Job::urgency` and `Job::guaranteed`, and returns the jobs that have tasks to place now,
--- a/src/sched/zone_reachability.cpp
+++ b/src/sched/zone_reachability.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr int kMinAgents = 3;  ///< fewer agents may fail together by chance
-/// Heartbeat intervals without a heartbeat from a zone after which it is considered silent.
+/// Heartbeat intervals without a heartbeat from a zone after which it may be marked as unreachable.
 constexpr double kSilentZoneIntervals = 3;
 /// Heartbeat intervals within which at least one agent of the fleet must have reported.
 constexpr double kFleetReportIntervals = 1.5;
@@ -29,8 +29,8 @@
       newly_unreachable.push_back(name);
     }
   }
-  // Zones past the time limit: machines without heartbeats are deleted, and replacements may be
-  // provisioned there.
+  // Zones past the time limit are no longer treated as unreachable: their machines without
+  // heartbeats are deleted, and replacements may be provisioned there.
   std::erase_if(unreachable_until_, [&](const auto& entry) { return entry.second < now; });
   return newly_unreachable;
 }
--- a/src/sched/zone_reachability.hpp
+++ b/src/sched/zone_reachability.hpp
@@ -29,7 +29,7 @@
  private:
   struct ZoneActivity {
     int agents = 0;
-    double last_heartbeat = 0;  ///< or the time when a silent listed machine became known
+    double last_heartbeat = 0;  ///< or when a listed machine without heartbeats became known
   };
   struct FleetActivity {
     std::map<std::string, ZoneActivity> zones;
--- a/tests/boot_times_test.cpp
+++ b/tests/boot_times_test.cpp
@@ -28,7 +28,7 @@
   EXPECT_EQ(boots.expected_s(kLocation, kReadyS, 5), kReadyS);
 }
 
-// Guards against a fault that reports boots of one second: if that became the expected time, every
+// Guards against a fault that records boots of one second: if that became the expected time, every
 // normal boot would count as overdue.
 TEST(BootTimes, ExpectedTimeIsAtLeastTheTimeStatedByTheCloud) {
   BootTimes boots;
@@ -47,7 +47,7 @@
   EXPECT_EQ(idle.expected_s(kLocation, kReadyS, 60 * kReadyS), kReadyS);
 }
 
-// Guards against repeated scale-out in a zone where no machine comes up.
+// Guards against repeated scale-out in a zone where no machine becomes ready.
 TEST(BootTimes, OverdueMachinesRaiseThePenaltyButNotTheExpectedTime) {
   BootTimes boots;
   EXPECT_EQ(boots.penalty(kLocation, kReadyS, 0), 1);
@@ -95,8 +95,8 @@
   EXPECT_EQ(fleet.cluster.machine("n-9")->tasks.size(), 1U);
 }
 
-// A new leader learns of running machines from the cloud's list before they report to it: they are
-// not overdue, and their zone gets no penalty.
+// A new leader adds running machines from the cloud's list before they report to it. They are not
+// overdue, and their zone gets no penalty.
 TEST(BootTimes, RunningMachinesAreNotOverdue) {
   ProvisionedFleet fleet;
   auto& machine = *fleet.cluster.machine("n-9");
--- a/tests/cluster_state_test.cpp
+++ b/tests/cluster_state_test.cpp
@@ -145,7 +145,7 @@
 
 // The lease of an agent that has not sent this leader's fencing token may be renewed by a former
 // leader until that leader's response window ends, which was fixed before this leadership began.
-// Only then does missing contact prove the expiry of the lease.
+// Only a full lease without a response after that proves its expiry.
 TEST(ClusterState, ALeaseIsTimedFromThisLeadersResponseOrAFormerLeadersLastResponse) {
   PlacedFleet fleet;
   fleet.cluster.record_response("n-1", 5);
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -72,8 +72,8 @@
   EXPECT_EQ(fleet.cluster.job("j-000003")->ready_ms, 3000);
 }
 
-// A job that is complete in memory may still be cancelled by a write that is stored before its
-// outcome.
+// A job that is complete in this leader's memory may still end as cancelled: the write of the
+// cancellation may be stored before the write of the completion.
 TEST(Dependencies, ACompleteJobWhoseOutcomeIsNotStoredStartsNoDependents) {
   Fleet fleet;
   Job& first = fleet.add(make_job("j-000001", JobKind::job_array, 1, 1));
--- a/tests/lease_tracker_test.cpp
+++ b/tests/lease_tracker_test.cpp
@@ -59,7 +59,8 @@
   EXPECT_EQ(leases.latest_possible_response(machine, 112), 108);
 }
 
-// Guards against trusting a restarted forwarder about responses sent before its restart.
+// Guards against applying the values of a restarted forwarder to responses that it sent before its
+// restart.
 TEST_F(LeaseTest, ANewIncarnationOfAForwarderDoesNotCoverTheEarlierOne) {
   machine.lease.delegated_until["n1"] = 125;
   leases.record_forwarder("n1", 1, 103, -1, 101);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -251,7 +251,7 @@
 TEST(Placement, ASilentSpotMachineInAResponsiveZoneIsReclaimed) {
   SpotFleet spot;
   for (const char* id : {"n-1", "n-2", "n-3"}) spot.receive_heartbeat(id, 1, 0);
-  EXPECT_FALSE(spot.is_first_reclaimed(5));  // the others are silent too
+  EXPECT_FALSE(spot.is_first_reclaimed(5));  // the others send no heartbeats either
   for (const char* id : {"n-2", "n-3"}) spot.receive_heartbeat(id, 2, 4);
   EXPECT_TRUE(spot.is_first_reclaimed(5));
   EXPECT_FALSE(spot.is_first_reclaimed(2.9));  // one or two heartbeats may be lost
@@ -306,7 +306,7 @@
     EXPECT_EQ(placement.stop_requested, placement.machine != "n-1");
   }
   EXPECT_EQ(fleet.pass().preempted, 0);  // the resources being released suffice
-  // The first machine is free: jobs behind the gang in the queue do not get it.
+  // The first machine is free, but jobs after the gang in the queue are not placed on it.
   scenario.end_batch_on("n-2", 2);
   EXPECT_EQ(fleet.pass(2).placed, 0);
   scenario.end_batch_on("n-3", 3);
--- a/tests/reservations_test.cpp
+++ b/tests/reservations_test.cpp
@@ -49,7 +49,7 @@
 TEST(Reservations, AMovedTaskGoesToItsTarget) {
   Scenario scenario;
   scenario.waiting.done.add(0);
-  // Without the reservation both would be on n-1.
+  // Without the reservation both tasks of the moved job would be placed on n-1.
   scenario.reserve({scenario.for_moved()});
   scenario.fleet.pass();
   EXPECT_EQ(scenario.machine_of(scenario.moved, 1), "n-2");
--- a/tests/scaler_test.cpp
+++ b/tests/scaler_test.cpp
@@ -103,7 +103,8 @@
 }
 
 // Guards against a job that is bound to a zone without machines waiting forever, because free
-// resources in another zone keep the score between Low and High. Found by the sweep.
+// resources in another zone keep the score between `low_score` and `high_score`. Found by the
+// sweep.
 TEST(Scaler, DemandThatLastsAWholeDownWindowCountsAsAboveHigh) {
   for (const double score : {0.1, 0.7}) {
     PoolScenario scenario;
@@ -190,8 +191,8 @@
   auto readings = read_pools(fleet.cluster, {}, 0.9);
   EXPECT_EQ(readings.at({"g8", true}).deficit, 2);  // one machine plus headroom
   EXPECT_GT(readings.at({"g8", true}).score, 0.9);
-  // With a replica on it the ordinary machine is kept anyway, and its remaining resources cost
-  // nothing.
+  // With a replica on it the ordinary machine is kept anyway, so the batch task on it costs
+  // nothing extra and is not requested from the spot pool.
   auto replica = testing::make_job("j-000002", wire::JobKind::service, 1, 4, "blue");
   Job& job = fleet.add(std::move(replica));
   Job& first = *fleet.cluster.job("j-000001");
