--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -48,8 +48,8 @@
 TEST(Scenario, AJobIsReportedDoneOnlyWhenAllItsTasksAreDone) {
   TestCluster cluster;
   cluster.run(1);
-  cluster.submit(
-      0, job_spec("j-000001", 6));  // needs 24 GPUs and the team's limit is 16: starts in two waves
+  // The job needs 24 GPUs and the team may use 16: its tasks run in two waves.
+  cluster.submit(0, job_spec("j-000001", 6));
   bool partly_started = false;
   for (int i = 0; i < 120 && cluster.state_of(0, "j-000001") != "done"; ++i) {
     cluster.run(0.5);
@@ -303,8 +303,8 @@
   EXPECT_EQ(cluster.duplicate_starts, 0);
   EXPECT_LE(cluster.max_calls_in_flight, settings.fd_limit / 8);
   cluster.run(180);
-  bool consecutive_requests =
-      false;  // four requests of a hundred machines each within one heartbeat interval
+  // Four requests of a hundred machines each within one heartbeat interval.
+  bool consecutive_requests = false;
   for (std::size_t i = 3; i < cluster.deletion_requests_at.size(); ++i) {
     consecutive_requests = consecutive_requests ||
                            cluster.deletion_requests_at[i] - cluster.deletion_requests_at[i - 3] <
@@ -357,8 +357,8 @@
   cluster.run(kSpanS);
   const double calls = kSpanS * settings.cloud_rps / 2;
   EXPECT_LE(cluster.list_requests, 0.5 * calls + 1);
-  EXPECT_GE(cluster.list_requests,
-            kMachines / cloud::kMaxListed);  // the whole list is read nevertheless
+  // The whole list is read nevertheless.
+  EXPECT_GE(cluster.list_requests, kMachines / cloud::kMaxListed);
 }
 
 // 4,200 workers, half of them in a zone without a controller, and five nodes with connections for
@@ -456,8 +456,8 @@
   auto settings = small_settings();
   constexpr int kWorkers = 30;
   const double max_per_second = 0.1 * settings.core_share / (2 * base::kPacketCost);
-  settings.core_share *=
-      kWorkers / 3.0 / max_per_second;  // a third of the workers is below the limit
+  // The heartbeats of a third of the workers stay below the limit.
+  settings.core_share *= kWorkers / 3.0 / max_per_second;
   TestCluster cluster(3, {"a", "a", "a"}, settings);
   cluster.run(1);
   for (int i = 0; i < kWorkers; ++i) cluster.add_worker("a");
