--- a/src/control/move_service.cpp
+++ b/src/control/move_service.cpp
@@ -141,7 +141,7 @@
   const auto reply = co_await calling;
   std::optional<DrainAnswer> answer;
   if (reply.status() == 200) answer = defrag::read_drain_answer(reply.response.body);
-  if (request.lease_s <= 0) co_return;  // the drain is cancelled; its lease expires in any case
+  if (request.lease_s <= 0) co_return;  // a cancellation: without it, the lease expires
   executor_.record_drain_answer(request, answer, sent_at, now());
   wake_.set();
 }
--- a/src/control/move_service.hpp
+++ b/src/control/move_service.hpp
@@ -14,16 +14,17 @@
 namespace cranklock::control {
 
 inline constexpr const char* kMovesKey = "moves/record";
-/// While this key exists, whatever its value, no plan begins and no task is stopped for one. The
-/// operator writes and removes it.
+/// While this key exists, whatever its value, no record that contains a plan can be written, so no
+/// plan begins and no further task is chosen to be stopped. A stop that was stored before may still
+/// be carried out. The operator writes and removes the key.
 inline constexpr const char* kMovesOffKey = "moves/off";
 
 /// Runs the executor, writes its records, and sends its drain requests to the router.
 ///
 /// Every write is conditional on the leader's key, on the record's revision and, if the record
 /// contains a plan, on `moves/off` not existing. A write without an answer is indeterminate: the
-/// record is written again under the same conditions until one of the two writes has succeeded
-/// (invariant 1).
+/// record desired by then is written with the same compared revisions, until one of the writes has
+/// succeeded (invariant 1).
 class MoveService {
  public:
   /// Constructed when a leader term begins. The context outlives the service.
@@ -52,9 +53,11 @@
   const LeaderContext& context_;
   defrag::MoveExecutor executor_;
   net::Signal wake_;
-  std::uint64_t revision_ = 0;     ///< of the last known record; 0: no record
-  bool is_indeterminate_ = false;  ///< a write was not answered
-  double next_write_at_ = 0;       ///< earliest time of the next write, after a failed one
+  std::uint64_t revision_ = 0;  ///< of the last known record; 0: no record
+  /// A write was not answered, or the revision was read again after a conflict: the stored record
+  /// may differ from the last one known, so it is written even if no write is pending.
+  bool is_indeterminate_ = false;
+  double next_write_at_ = 0;  ///< earliest time of the next write, after a failed one
   double next_search_at_ = 0;
   net::Scope scope_;  ///< declared last, so that its coroutines end before the members they use
 };
--- a/src/defrag/fleet_view.hpp
+++ b/src/defrag/fleet_view.hpp
@@ -23,11 +23,12 @@
 /// not move.
 ///
 /// The protocol stops a task before it restarts it elsewhere, so only tasks that tolerate an
-/// interruption may move: running tasks of job arrays, and replicas. A task with checkpoints loses
-/// the time to save one and about two heartbeats until it is restarted; a task without them loses
-/// all work done so far. A replica may move if a router drains it and other replicas can serve
-/// meanwhile; it costs the drain and the restart. A placement that is not yet durable or confirmed,
-/// or that is being stopped or cancelled, does not move.
+/// interruption may move: running tasks of job arrays, and replicas. Every move costs two heartbeat
+/// intervals until the task is restarted. In addition, a task with checkpoints loses the time to
+/// save one, and a task without them all work done so far. A replica may move if a router drains it
+/// and its service has another live replica; its drain is estimated to take half a lease. A
+/// placement that is not yet durable or confirmed, or that is being stopped or cancelled, does not
+/// move.
 std::optional<double> move_cost(const sched::ClusterState& cluster, const sched::Job& job,
                                 const sched::Placement& placement, const MoveRules& rules,
                                 double now);
--- a/src/defrag/move_budget.hpp
+++ b/src/defrag/move_budget.hpp
@@ -8,14 +8,15 @@
 
 namespace cranklock::defrag {
 
-/// Disruption budget.
+/// Limits on how much moves may disrupt jobs.
 struct MoveBudgetSettings {
-  /// For small jobs. A larger job may move `max_concurrent_share` of its tasks in an hour.
+  /// A job may also exceed this if `max_concurrent_share` of its tasks is more: it may then move
+  /// that share of its tasks in an hour.
   std::size_t max_moves_per_job_per_hour = 4;
   /// The share of a job's tasks that may move concurrently, but at least one task.
   double max_concurrent_share = 0.25;
   std::size_t max_concurrent_moves = 32;
-  /// A move that takes longer reduces the number of concurrent moves.
+  /// A move that takes longer is slow and halves the limit on concurrent moves of all jobs.
   double slow_move_s = 30;
 };
 
@@ -25,15 +26,16 @@
 /// source and target machines at once.
 ///
 /// A move counts against the budget of its job for an hour from its start, whether it succeeded or
-/// not. The concurrency limit grows by one with each move that ends in time and halves with each
-/// slow one.
+/// not. The limit on concurrent moves of all jobs starts at one, grows by one with each move that
+/// is not slow, up to `max_concurrent_moves`, and halves with each slow one, down to one.
 class MoveBudget {
  public:
   explicit MoveBudget(const MoveBudgetSettings& settings) : settings_(settings) {}
 
   /// Whether a task of a job with `tasks` tasks may begin to move now.
   bool may_begin(const std::string& job, std::size_t tasks, double now) const;
-  /// How many more tasks of a job with `tasks` tasks may move within this hour.
+  /// How many more tasks of a job with `tasks` tasks may move now, given its moves of the last
+  /// hour.
   std::size_t remaining_moves(const std::string& job, std::size_t tasks, double now) const;
   void record_begin(const std::string& job, double now);
   void record_end(const std::string& job, double took_s);
--- a/src/defrag/move_executor.cpp
+++ b/src/defrag/move_executor.cpp
@@ -130,8 +130,8 @@
       waiting_job_placed_ || (waiting != nullptr && is_waiting_job_placed(*waiting, plan()));
 }
 
-// The plan is done when the waiting job is placed and no move is in progress; moves that have not
-// begun are not needed.
+// The plan is done when the waiting job is placed and every task that was to be stopped has been
+// restarted or its move is over. Moves that are only reserved or draining are no longer needed.
 bool MoveExecutor::is_done() const {
   const auto& moves = plan().moves;
   return waiting_job_placed_ &&
@@ -328,8 +328,9 @@
 void MoveExecutor::cancel_drain(std::size_t index) {
   const PlannedMove& move = plan().moves[index];
   auto* placement = source_placement(cluster_, move);
-  const bool is_drained = is_replica_move(cluster_, move) && progress_[index].drain.was_requested();
-  if (!is_drained || placement == nullptr) return;
+  const bool was_requested =
+      is_replica_move(cluster_, move) && progress_[index].drain.was_requested();
+  if (!was_requested || placement == nullptr) return;
   placement->revoke_drained_stop();
   const auto* machine = cluster_.machine(move.source);
   const std::string address = machine != nullptr ? machine->address : "";
--- a/src/defrag/move_executor.hpp
+++ b/src/defrag/move_executor.hpp
@@ -41,7 +41,8 @@
         term_started_at_(now),
         budget_({}) {}
 
-  /// Adopts the stored record. Called once, before any other function.
+  /// Adopts the stored record. Called before any other function, and only if there is a readable
+  /// record.
   void load(const MoveRecord& stored, std::int64_t wall_ms, double now);
 
   /// Advances the plan as far as possible now, or drops it.
@@ -120,7 +121,7 @@
   PlanJournal journal_;
   std::vector<Progress> progress_;   ///< for each move of the plan, in order
   double plan_adopted_at_ = 0;       ///< when this leader created the plan or took it over
-  bool waiting_job_placed_ = false;  ///< the waiting job has its resources
+  bool waiting_job_placed_ = false;  ///< the waiting job has been placed during this plan
   std::uint64_t plans_created_ = 0;  ///< by this leader
   /// Earliest time of the next plan for a job whose plan was dropped.
   std::map<std::string, double> next_plan_allowed_at_;
--- a/src/defrag/move_plan.hpp
+++ b/src/defrag/move_plan.hpp
@@ -11,7 +11,8 @@
 
 namespace cranklock::defrag {
 
-/// The step of one task's move. The recorded step serves operators and budgets; the actual step is
+/// The step of one task's move. While the task is on its source, the recorded step applies, and
+/// `stopping`, once stored, permits the stop. Once the task has left its source, the step is
 /// derived from placements and heartbeats (invariant 19).
 enum class MoveStep {
   reserved,    ///< resources on the target are reserved; no request has been sent
@@ -19,14 +20,16 @@
   stopping,    ///< the stop is recorded and may be sent at any time
   freed,       ///< the source is confirmed free; not placed on the target yet
   restarting,  ///< placed on the target
-  done,        ///< running on the target, or completed meanwhile
-  diverted,    ///< left the source on its own, or was placed elsewhere; the move ends
+  done,        ///< running on the target, or its task or job was completed or cancelled meanwhile
+  diverted,    ///< left the source before its stop was recorded, or was placed on a machine other
+               ///< than the target
 };
 /// The move needs no further action.
 constexpr bool is_over(MoveStep step) {
   return step == MoveStep::done || step == MoveStep::diverted;
 }
-/// The source may have been instructed to stop the task, and the task does not run again yet.
+/// The source may have been instructed to stop the task, and the task is not running on the target
+/// yet.
 constexpr bool is_interrupted(MoveStep step) {
   return step == MoveStep::stopping || step == MoveStep::freed || step == MoveStep::restarting;
 }
--- a/src/defrag/move_progress.hpp
+++ b/src/defrag/move_progress.hpp
@@ -8,13 +8,14 @@
 
 /// Whether the placement to be moved still holds resources on the source.
 bool is_on_source(sched::ClusterState& cluster, const PlannedMove& move);
-/// The placement to be moved; nullptr once it is confirmed to have ended.
+/// The placement to be moved; nullptr if it is confirmed to have ended, or is unknown.
 sched::Placement* source_placement(sched::ClusterState& cluster, const PlannedMove& move);
 /// Whether the task is a replica of a service.
 bool is_replica_move(sched::ClusterState& cluster, const PlannedMove& move);
 
-/// The current step of the move. It follows from placements, so a successor that reads the same
-/// record derives the same step; the recorded step only decides whether the task left its source
+/// The current step of the move: the recorded step while the placement is on its source or if the
+/// move is over. Otherwise it is derived from placements, so that a successor that reads the same
+/// record derives the same step; the recorded step then only shows whether the task left its source
 /// because of the plan.
 MoveStep current_step(sched::ClusterState& cluster, const PlannedMove& move);
 
--- a/src/defrag/plan_check.cpp
+++ b/src/defrag/plan_check.cpp
@@ -13,11 +13,11 @@
 
 using sched::ClusterState;
 
-bool has_begun(const PlannedMove& move) {
+bool is_in_progress(const PlannedMove& move) {
   return move.step != MoveStep::reserved && !is_over(move.step);
 }
 
-/// Whether the move does not occupy its target yet, and will.
+/// Whether the task of the move is still to be placed on its target.
 bool needs_target_capacity(const PlannedMove& move) {
   return move.step != MoveStep::restarting && !is_over(move.step);
 }
@@ -54,7 +54,8 @@
   std::map<std::string, wire::Resources> wanted;  // by target
   for (const auto& move : plan.moves) {
     const sched::Job* job = cluster.job(move.task.job);
-    if (job == nullptr || !needs_target_capacity(move) || (placed && !has_begun(move))) continue;
+    if (job == nullptr || !needs_target_capacity(move) || (placed && !is_in_progress(move)))
+      continue;
     if (!target_allows(cluster, move, *job)) return true;
     wanted[move.target] += job->spec.resources;
   }
--- a/src/defrag/plan_events.hpp
+++ b/src/defrag/plan_events.hpp
@@ -22,7 +22,7 @@
   MovePlan plan;
 };
 
-/// The waiting job is placed, and no move is in progress.
+/// The waiting job is placed, and no task is between its stop and its restart on the target.
 struct PlanDone {
   std::string plan;
   std::string job;
@@ -33,7 +33,7 @@
   std::string plan;
   std::string job;
   double took_s = 0;
-  std::size_t moves_undone = 0;
+  std::size_t moves_undone = 0;  ///< moves that are not at step `done`
   DropReason reason = DropReason::disabled;
 };
 
--- a/src/defrag/plan_journal.hpp
+++ b/src/defrag/plan_journal.hpp
@@ -24,15 +24,15 @@
   /// Whether a plan is stored, even one that has ended.
   bool has_stored_plan() const { return stored_.plan.has_value(); }
 
-  /// Whether the current plan is stored.
+  /// Whether the current plan is stored; the stored steps of its moves may be earlier ones.
   bool is_durable() const;
-  /// Whether the stored record allows to stop the task of this move.
+  /// Whether the stored record permits the stop of this move's task.
   bool is_stop_durable(std::size_t move) const;
   /// The record to write now; none if the stored record is sufficient.
   std::optional<MoveRecord> pending_write() const;
   /// A write of this record has succeeded.
   void record_stored(const MoveRecord& record) { stored_ = record; }
-  /// Removes moves that no longer count against the budget of their job.
+  /// Removes moves that no longer count against the budget of their job, whatever the clock error.
   void prune_past_moves(std::int64_t wall_ms, double clock_error_s);
 
  private:
--- a/src/defrag/plan_search.cpp
+++ b/src/defrag/plan_search.cpp
@@ -72,9 +72,9 @@
   double shortest_s = 0;
   for (const auto& [name, type] : cluster.types()) {
     const auto& allowed = job.spec.types;
-    const bool fits =
+    const bool may_use =
         allowed.empty() || std::find(allowed.begin(), allowed.end(), name) != allowed.end();
-    if (fits && (shortest_s <= 0 || type.ready_s < shortest_s)) shortest_s = type.ready_s;
+    if (may_use && (shortest_s <= 0 || type.ready_s < shortest_s)) shortest_s = type.ready_s;
   }
   return shortest_s;
 }
--- a/src/defrag/plan_search.hpp
+++ b/src/defrag/plan_search.hpp
@@ -27,20 +27,21 @@
 /// Number of tasks of the job that have to be placed together.
 std::size_t tasks_placed_together(const sched::Job& job);
 
-/// The shortest boot time of the machine types that the job may use.
+/// The shortest boot time of the machine types that the job may use; 0 if there are none.
 double shortest_boot_s(const sched::ClusterState& cluster, const sched::Job& job);
 
 /// Whether the job lacks only capacity, however long it has waited: it may start now, and its team
 /// is within its limit.
 bool waits_only_for_capacity(const sched::ClusterState& cluster, const sched::Job& job, double now);
 
-/// Whether booting machines will hold the tasks that have to be placed together, so that moves gain
-/// nothing.
+/// Whether booting machines have enough free resources for the tasks that have to be placed
+/// together, so that moves gain nothing.
 bool has_booting_capacity(sched::ClusterState& cluster, const sched::Job& job);
 
-/// The cheapest plan found for the first job in placement order that has lacked only capacity for
-/// as long as a machine boots; none if no plan costs less than that boot time for each of its
-/// tasks. `eligible` filters the jobs to plan for.
+/// The cheapest plan found for the first job in placement order that lacks only capacity and has
+/// been known to this leader for at least the shortest boot time of its machine types; none if each
+/// plan found costs more than that boot time for each task placed together. `eligible` filters the
+/// jobs to plan for.
 std::optional<FoundPlan> find_plan(sched::ClusterState& cluster, const MoveRules& rules,
                                    const std::function<bool(const sched::Job&)>& eligible,
                                    double now);
--- a/src/defrag/planner.cpp
+++ b/src/defrag/planner.cpp
@@ -52,10 +52,12 @@
     std::set<std::size_t> evicted;
     std::size_t places = 0;
     bool is_source = false, is_target = false;
-    bool cannot_evict = false;  ///< its tasks found no other machine
+    bool cannot_evict = false;  ///< no other machine was found for the tasks to evict
   };
 
   bool may_place_on(std::size_t host, const std::string& zone) const;
+  /// Whether the zone may get one more task. With a spread demand, a zone gets at most half of the
+  /// job's tasks, rounded up.
   bool is_zone_share_free(const std::string& zone) const;
   bool place_in_free_capacity(const std::string& zone);
   bool evict_and_place(const std::string& zone, Preference preference);
--- a/src/defrag/replica_drain.cpp
+++ b/src/defrag/replica_drain.cpp
@@ -29,9 +29,9 @@
     drained_until_ = sent_at + request.lease_s * (1 - 2 * base::kMaxClockDrift);
     return Result::drained;
   }
-  // A drain that was granted earlier may still expire.
-  constexpr double kMaxDrainTimeFactor =  // of the time within which the replica has to be drained
-      2;  ///< of the time within which the replica was to be drained
+  // A multiple of `lease_s`, the time within which the replica has to be drained. While a drain
+  // that was granted earlier is in force, its renewal does not time out.
+  constexpr double kMaxDrainTimeFactor = 2;
   const bool has_timed_out = !is_in_force(now) && now - begun_at_ > kMaxDrainTimeFactor * lease_s;
   return has_timed_out ? Result::timed_out : Result::pending;
 }
--- a/src/defrag/replica_drain.hpp
+++ b/src/defrag/replica_drain.hpp
@@ -7,15 +7,16 @@
 
 namespace cranklock::defrag {
 
-/// Records when the router was requested to take a replica out of service, and until when it has
-/// done so. The replica may be stopped only while its drain is in force; the request is repeated to
-/// renew it. All times are in seconds of the steady clock; 0: not set.
+/// Records when the router was requested to take a replica out of service, and until when it is
+/// certain to send the replica no requests. The replica may be stopped only while its drain is in
+/// force; the request is repeated to renew it. All times are in seconds of the steady clock; 0: not
+/// set.
 class ReplicaDrain {
  public:
   enum class Result {
     pending,  ///< no answer yet, or requests are still open
     drained,
-    refused,    ///< refused by the router, or answered for another attempt
+    refused,    ///< refused by the router, or the answer is for another task or attempt
     timed_out,  ///< not drained within the allowed time
   };
 
@@ -35,8 +36,8 @@
   double drained_until() const { return drained_until_; }
   /// Records that the router no longer has the drain: the replica counts as in service.
   void revoke(double now);
-  /// Whether the drain was revoked so long ago that heartbeats would have shown the replica as
-  /// ended if it had.
+  /// Whether the drain was revoked so long ago that a heartbeat would have reported the end of the
+  /// replica if it had ended.
   bool is_revocation_final(double now, double heartbeat_interval_s) const;
 
  private:
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 messages and an incremental parser for requests and responses. No pipelining: bytes
-// after a message stay in the buffer for the next one.
+// HTTP/1.1 messages and an incremental parser for requests and responses. It parses one message at
+// a time: bytes after a message stay in the buffer until next() is called.
 #pragma once
 
 #include <cstddef>
@@ -39,7 +39,8 @@
   HttpParser(Kind kind, HttpLimits limits) : kind_(kind), limits_(limits) {}
 
   State feed(std::string_view bytes);
-  /// The peer has closed the connection, which completes a response without a length.
+  /// The peer has closed the connection. This completes a response without a length; any other
+  /// incomplete message fails.
   State finish();
   /// Starts the next message with the bytes of it that have already arrived.
   State next();
--- a/src/net/reactor.hpp
+++ b/src/net/reactor.hpp
@@ -36,6 +36,8 @@
  protected:
   /// Resumes every coroutine whose timer is due.
   void run_due_timers();
+  /// Sets the next wakeup to the first timer. Called when a timer was added that is due before all
+  /// others.
   virtual void rearm() = 0;
   const std::map<Timer, std::coroutine_handle<>>& timers() const { return timers_; }
 
@@ -67,8 +69,8 @@
   bool armed_ = false;
 };
 
-/// A signal that one coroutine at a time awaits, with a timeout. Signals set while no coroutine
-/// waits are kept, as one.
+/// A signal that one coroutine at a time awaits, with a timeout. A signal that is set while no
+/// coroutine waits is kept for the next wait; several count as one.
 class Signal {
  public:
   explicit Signal(Reactor& reactor) : reactor_(reactor) {}
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -12,8 +12,9 @@
 }
 
 bool HttpServer::close_longest_idle() {
-  // Slow or silent clients must not use up the sockets that agents need, so the connection that has
-  // been idle longest is shut down. Its coroutine then reads the end of the stream and closes it.
+  // Clients that seldom or never send a request must not use up the sockets that agents need, so
+  // the connection that has been idle longest is shut down. Its coroutine then reads the end of the
+  // stream and closes it.
   for (auto& connection : open_connections_) {
     if (!connection.idle) continue;
     ::shutdown(connection.fd, SHUT_RDWR);
@@ -71,7 +72,7 @@
 Task<Response> HttpServer::answer(HttpParser& parser, Received received) {
   Response response;
   if (received == Received::over_budget) {
-    // A flood of large bodies would exhaust the memory of a process with a small limit.
+    // A flood of large bodies would exhaust the memory of a process with a small memory limit.
     response.status = 503;
     response.retry_after_s = 1;
     response.body = R"({"error":"too many large requests"})";
@@ -80,7 +81,8 @@
   }
   if (parser.state() == HttpParser::State::failed) {
     response.status = parser.error_status();
-    response.body = R"({"error":"broken request"})";
+    response.body =
+        R"({"error":"request malformed, too large or in an unsupported transfer encoding"})";
     response.keep_alive = false;
     co_return response;
   }
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -16,7 +16,7 @@
 
 struct ServerLimits {
   std::size_t max_connections = 256;
-  /// Budget of all requests together.
+  /// Budget of the requests of all connections together (BufferBudget).
   std::size_t max_request_bytes = std::size_t{8} * 1024 * 1024;
   double idle_timeout_s = 60.0;    ///< of a connection between requests
   double request_timeout_s = 5.0;  ///< from the first to the last byte of a request
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -19,7 +19,8 @@
                      double deadline);
 /// A listening socket, or an invalid one on failure.
 Fd listen_on(const std::string& address);
-/// The next pending connection, or an invalid socket if there is none.
+/// The next pending connection, or an invalid socket if there is none or on failure; errno has the
+/// reason.
 Fd accept_from(int listener);
 
 }  // namespace cranklock::net
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -19,7 +19,8 @@
 // - Everything runs on one thread. A coroutine runs without interruption from one co_await to the
 //   next; shared state may have changed after each co_await.
 // - A Signal (net/reactor.hpp) wakes one waiting coroutine, from the event loop and never from
-//   within the call of set(). Signals that are set while no coroutine waits are kept, as one.
+//   within the call of set(). A signal that is set while no coroutine waits is kept for the next
+//   wait; several count as one.
 #pragma once
 
 #include <coroutine>
--- a/src/net/token_bucket.cpp
+++ b/src/net/token_bucket.cpp
@@ -18,12 +18,12 @@
 }
 
 double TokenBucket::take(double tokens, double overdraft) {
-  constexpr double kTimerResolution = 0.001;  // rounds the wait up, so that it is not too short
+  constexpr double kTimerResolutionS = 0.001;  // rounds the wait up, so that it is not too short
   refill();
   // A request above the capacity waits for a full bucket.
   const double needed = std::min(tokens, capacity_);
   const double min_level = needed - overdraft;
-  if (level_ < min_level) return (min_level - level_) / rate_ + kTimerResolution;
+  if (level_ < min_level) return (min_level - level_) / rate_ + kTimerResolutionS;
   level_ -= tokens;
   return 0.0;
 }
--- a/src/regions/links.cpp
+++ b/src/regions/links.cpp
@@ -12,7 +12,8 @@
 /// Heartbeat intervals without data after which a connection is closed, and after which the last
 /// heartbeat no longer counts as proof of leadership.
 constexpr double kHeartbeatsUntilTimeout = 3;
-/// Checks per heartbeat interval whether a missing connection should be opened.
+/// Number of times per heartbeat interval that a missing connection is checked and, if this
+/// controller leads, opened.
 constexpr double kConnectChecksPerHeartbeat = 4;
 /// Maximum frames queued for one link; further frames are dropped, and sent again by their owner.
 constexpr std::size_t kMaxQueuedFrames = 1024;
@@ -66,7 +67,8 @@
 // ---- incoming connections ----
 
 Task<void> Links::accept_connections() {
-  // The old connection of a leader that restarts stays open until it times out.
+  // Several connections for each link, because the old connection of a leader that restarts stays
+  // open until it times out.
   const std::size_t max_connection_tasks = 4 * (links_.size() + 1);
   for (;;) {
     // New connections wake this loop; the timeout only repeats the wait.
--- a/src/regions/links.hpp
+++ b/src/regions/links.hpp
@@ -59,6 +59,8 @@
 
   net::Task<void> accept_connections();
   net::Task<void> serve(net::Fd fd);
+  /// While this controller leads, opens the connection if it is missing and sends heartbeats and
+  /// queued frames; otherwise closes it.
   net::Task<void> maintain(Link& link);
   net::Task<void> connect(Link& link);
   net::Task<void> read_heartbeats(Link& link, SharedFd fd);
--- a/src/regions/quota_ledger.cpp
+++ b/src/regions/quota_ledger.cpp
@@ -133,8 +133,8 @@
       if (write_unresolved_) return false;
       pending_.reset();
       return true;
-    case store::Status::not_found:  // compare-and-swap never returns this one and the next
-    case store::Status::compacted:
+    case store::Status::not_found:  // never the result of a compare-and-swap
+    case store::Status::compacted:  // never the result of a compare-and-swap
     case store::Status::indeterminate:
       // A late repeated removal of acknowledged transfers is harmless.
       write_unresolved_ = !is_clear;
--- a/src/regions/quota_ledger.hpp
+++ b/src/regions/quota_ledger.hpp
@@ -56,7 +56,8 @@
   /// The next transaction to write, with at most `max_mutations` mutations; none if there is
   /// nothing to write, or the last one has not been finished. `demand_of` returns current usage.
   std::optional<Transaction> next_transaction(const DemandOf& demand_of, std::size_t max_mutations);
-  /// Takes the result of the last transaction. Returns whether this region's quota has changed.
+  /// Takes the result of the last transaction. Returns whether the quota that may be used here may
+  /// have changed.
   bool finish_transaction(const store::CompareAndSwapResult& result);
   /// The stored records differ from those in memory: they must be read again and passed to load().
   bool reload_needed() const { return reload_needed_; }
--- a/src/regions/quota_operations.hpp
+++ b/src/regions/quota_operations.hpp
@@ -36,7 +36,7 @@
   /// transaction without a response was applied: at most one of the two can be.
   wire::Mutation guard;
   std::map<std::string, QuotaAmounts> quotas;    ///< new values, by team
-  std::map<std::string, QuotaAmounts> deducted;  ///< not usable until the result is known, by team
+  std::map<std::string, QuotaAmounts> deducted;  ///< by team; not usable while result unknown
   std::map<std::string, std::vector<QuotaTransfer>> to_send;  ///< by region
   std::string region;               ///< sender of received, or receiver of cleared transfers
   std::uint64_t last_sequence = 0;  ///< of the transfers received or cleared
@@ -63,6 +63,8 @@
  private:
   bool is_bootstrap_region() const;
   QuotaAmounts full_quota_of(const std::string& team) const;
+  /// An operation without mutations. It compares the leader's key and `guard_key`; its guard writes
+  /// `guard_data`, the value that `guard_key` is to keep.
   QuotaOperation begin(QuotaOperation::Kind kind, const std::string& guard_key,
                        std::string guard_data, std::uint64_t guard_revision) const;
   void set_quota(QuotaOperation& operation, const std::string& team,
--- a/src/regions/quota_policy.hpp
+++ b/src/regions/quota_policy.hpp
@@ -10,7 +10,7 @@
 
 /// Quota that a team uses and waits for in one region.
 struct TeamDemand {
-  /// Placements not known to have ended, and those of writes without a response.
+  /// By placements that are not known to have ended, including those whose write has no response.
   QuotaAmounts used;
   QuotaAmounts waiting;               ///< tasks placeable at once, given capacity and quota
   std::int64_t waiting_since_ms = 0;  ///< wall clock; of the oldest job with waiting tasks
--- a/src/regions/quota_service.hpp
+++ b/src/regions/quota_service.hpp
@@ -45,15 +45,15 @@
   QuotaService(net::Reactor& reactor, const base::Settings& settings, store::Client& store,
                RegionNetwork& network, wire::Compare leader, Callbacks callbacks);
 
-  /// Reads the stored quotas; false if the read from the store failed. Until it succeeds, this
-  /// region holds no quota.
+  /// Reads the stored quotas; false if the read from the store failed. Until it has succeeded for
+  /// the first time, this region holds no quota.
   net::Task<bool> load();
   void start(net::Scope& scope);
   void on_region_frame(const std::string& region, const RegionFrame& frame);
   /// New work has arrived and may lack quota.
   void on_new_work();
   const QuotaLedger& ledger() const { return ledger_; }
-  /// Interval between evaluations of the teams' demand.
+  /// Time after which the teams' demand is evaluated again if no message is due earlier.
   static double request_interval_s(const base::Settings& settings) {
     return settings.heartbeat_interval_s / 4;
   }
--- a/src/regions/request_schedule.hpp
+++ b/src/regions/request_schedule.hpp
@@ -19,7 +19,8 @@
   RequestSchedule(double min_interval_s, double max_interval_s)
       : min_interval_s_(min_interval_s), max_interval_s_(max_interval_s) {}
 
-  /// Whether to send a request now; if so, it is recorded as sent.
+  /// Whether to send a request now; if so, it is recorded as sent. If nothing is missing, the
+  /// team's shortage is over and its backoff is forgotten.
   bool take_due(const std::string& team, const QuotaAmounts& missing, double now) {
     if (missing.is_zero()) {
       requested_.erase(team);
--- a/tests/moves_property_test.cpp
+++ b/tests/moves_property_test.cpp
@@ -213,8 +213,8 @@
     RC_ASSERT(age_s < fragments_.max_plan_time_s() ||
               store_available_s < 2 * cluster.base_settings.lease_s);
   }
-  // No capacity is allocated twice: the resources that the leader has allocated on a machine fit
-  // it, reservations included.
+  // No capacity is allocated twice: the resources that the leader has allocated to tasks on a
+  // machine do not exceed the machine's. Reservations are not part of the sum.
   void check_machines() {
     const int leader = fragments_.rightful_leader();
     if (leader < 0) return;
--- a/tests/quota_ledger_test.cpp
+++ b/tests/quota_ledger_test.cpp
@@ -29,7 +29,7 @@
 
 TEST(QuotaLedger, BootstrapGivesEachRegionItsInitialShareUpToTheUnusedQuota) {
   QuotaSimulation simulation({{"a", 0.5, {}}, {"b", 0.5, {}}}, 3);
-  // In use before limits were shared between regions.
+  // Quota that was in use before limits were shared between regions.
   simulation.regions.at("a").work["team-1"].used = 8;
   EXPECT_EQ(simulation.held_gpus("a", "team-1"), 0);
   while (simulation.write("a")) {
