--- a/src/base/defrag_settings.cpp
+++ b/src/base/defrag_settings.cpp
@@ -24,7 +24,7 @@
   return seconds;
 }
 
-bool read_switch(const pugi::xml_attribute& attribute, const std::string& path) {
+bool read_on_off(const pugi::xml_attribute& attribute, const std::string& path) {
   const std::string_view value = attribute.value();
   if (value != "on" && value != "off") fail(path, attribute, "on or off");
   return value == "on";
@@ -61,7 +61,7 @@
     if (name == "advise_every_s") {
       settings.advise_every_s = read_interval(attribute, path);
     } else if (name == "moves") {
-      settings.moves = read_switch(attribute, path);
+      settings.moves = read_on_off(attribute, path);
     } else if (name == "drain") {
       settings.drain = read_endpoint(attribute, path);
     } else {
--- a/src/control/heartbeat_handler.cpp
+++ b/src/control/heartbeat_handler.cpp
@@ -111,7 +111,7 @@
   // forwarder does not respond as a delegate before its leader timeout has passed since then. The
   // factor allows for drift between the two clocks.
   constexpr double kClockDriftFactor = 0.98;
-  constexpr double kNever = -1;
+  constexpr double kNeverResponded = -1;
   const auto& settings = context_.services.settings;
   const double now = context_.now();
   const bool echoes_this_term =
@@ -121,7 +121,7 @@
     no_response_before = static_cast<double>(peer_heartbeat.echoed_clock_ms) / 1000 +
                          HeartbeatForwarder::leader_timeout(settings) * kClockDriftFactor;
   }
-  double responded_at = kNever;
+  double responded_at = kNeverResponded;
   if (peer_heartbeat.delegate_responded_ms != peer::kNeverMs) {
     responded_at = now - peer_heartbeat.delegate_responded_ms / 1000.0;
   }
--- a/src/control/machine_supervisor.cpp
+++ b/src/control/machine_supervisor.cpp
@@ -50,7 +50,7 @@
 std::optional<TerminationReason> MachineSupervisor::termination_reason(const Machine& machine,
                                                                        const Zones& zones,
                                                                        double now) {
-  if (machine.cloud.failed) return TerminationReason::stopped;
+  if (machine.cloud.failed) return TerminationReason::listed_as_failed;
   if (!machine.agent.heartbeat_received) {
     if (is_boot_timed_out(machine, now)) return TerminationReason::boot_timeout;
     return std::nullopt;
--- a/src/control/machine_termination.hpp
+++ b/src/control/machine_termination.hpp
@@ -4,7 +4,7 @@
 namespace cranklock::control {
 
 enum class TerminationReason {
-  stopped,                     ///< the cloud lists it as failed
+  listed_as_failed,            ///< in the cloud's list of machines
   boot_timeout,                ///< it never sent a heartbeat
   lease_expired,               ///< no response was sent to its agent for two leases
   reclaimed,                   ///< the cloud has reclaimed the spot machine
@@ -17,7 +17,7 @@
 /// The value of the `reason` field of log lines.
 constexpr const char* to_string(TerminationReason reason) {
   switch (reason) {
-    case TerminationReason::stopped:
+    case TerminationReason::listed_as_failed:
       return "listed as failed";
     case TerminationReason::boot_timeout:
       return "boot timeout";
--- a/src/control/pool_scaler.cpp
+++ b/src/control/pool_scaler.cpp
@@ -68,9 +68,9 @@
 }
 
 void PoolScaler::scale_pool(const PoolId& id, const sched::PoolReading& reading, double now) {
-  const double down_window_s =
+  const double scale_in_window_s =
       context_.services.settings.operator_settings.scaler.scale_in_window_s;
-  const bool settled = is_first_term_ || now - context_.term_started_at >= down_window_s;
+  const bool settled = is_first_term_ || now - context_.term_started_at >= scale_in_window_s;
   const std::string name = id.name();
   sched::Pool& scaled = pool(name);
   const auto wall_ms = context_.services.reactor.wall_ms();
--- a/src/sched/availability.cpp
+++ b/src/sched/availability.cpp
@@ -17,13 +17,13 @@
 
 bool within_quota_limit(const ClusterState& cluster, const std::string& team,
                         const wire::Resources& additional) {
-  constexpr double kTolerance = 1e-6;  // rounding of sums of decimal amounts
+  constexpr double kAmountTolerance = 1e-6;  // rounding of sums of decimals
   const auto* team_settings = cluster.settings().find_team(team);
   if (team_settings == nullptr) return false;
   const wire::Resources total = cluster.team_allocation(team) + additional;
   const wire::Resources limit = cluster.limit_for(*team_settings);
-  return (team_settings->gpus_max <= 0 || total.gpus <= limit.gpus + kTolerance) &&
-         (team_settings->cpus_max <= 0 || total.cpus <= limit.cpus + kTolerance);
+  return (team_settings->gpus_max <= 0 || total.gpus <= limit.gpus + kAmountTolerance) &&
+         (team_settings->cpus_max <= 0 || total.cpus <= limit.cpus + kAmountTolerance);
 }
 
 namespace {
--- a/src/sched/pool_reading.cpp
+++ b/src/sched/pool_reading.cpp
@@ -57,14 +57,14 @@
 
 PoolReading make_reading(const PoolUsage& usage, const wire::MachineType& type, int wanted,
                          double high) {
-  constexpr double kTolerance = 1e-9;  // in machines; rounding of sums
+  constexpr double kMachineTolerance = 1e-9;  // rounding of sums
   const double requested = dominant_compute_share(usage.requested, type.resources);
   PoolReading reading;
   reading.wanted = wanted;
   reading.machines = usage.schedulable + usage.starting;
   if (usage.schedulable > 0) reading.score = usage.allocated / usage.schedulable;
   if (reading.machines > 0) reading.score += requested / reading.machines;
-  const double needed = std::ceil((usage.allocated + requested) / high - kTolerance);
+  const double needed = std::ceil((usage.allocated + requested) / high - kMachineTolerance);
   reading.deficit = static_cast<int>(needed) - reading.machines;
   if (usage.schedulable == 0 && requested > 0) reading.score = std::max(reading.score, high + 1);
   return reading;
--- a/src/sched/scaler.cpp
+++ b/src/sched/scaler.cpp
@@ -11,10 +11,10 @@
 
 template <class Condition>
 bool ScoreHistory::holds_throughout(double window_s, double now, Condition condition) const {
-  constexpr double kTolerance = 1e-6;  // in seconds; rounding of times
+  constexpr double kTimeToleranceS = 1e-6;  // rounding of times
   for (auto entry = entries_.rbegin(); entry != entries_.rend(); ++entry) {
     if (!condition(entry->score)) return false;
-    if (entry->time <= now - window_s + kTolerance) return true;
+    if (entry->time <= now - window_s + kTimeToleranceS) return true;
   }
   return false;
 }
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -27,9 +27,9 @@
     return {a.cpus * n, a.gpus * n, a.memory_gb * n};
   }
   bool fits_in(const Resources& other) const {
-    constexpr double kTolerance = 1e-6;  // rounding of sums of decimal amounts
-    return cpus <= other.cpus + kTolerance && gpus <= other.gpus + kTolerance &&
-           memory_gb <= other.memory_gb + kTolerance;
+    constexpr double kAmountTolerance = 1e-6;  // rounding of sums of decimals
+    return cpus <= other.cpus + kAmountTolerance && gpus <= other.gpus + kAmountTolerance &&
+           memory_gb <= other.memory_gb + kAmountTolerance;
   }
 };
 
--- a/tests/leadership_status_test.cpp
+++ b/tests/leadership_status_test.cpp
@@ -11,10 +11,10 @@
 namespace cranklock::control {
 namespace {
 
-constexpr double kTimeout = 10;
+constexpr double kTimeoutS = 10;
 
 net::Task<bool> wait_for(net::Signal& signal) {
-  net::Signal::Wait wait(signal, kTimeout);
+  net::Signal::Wait wait(signal, kTimeoutS);
   const bool signalled = co_await wait;
   co_return signalled;
 }
--- a/tests/test_cluster_users.cpp
+++ b/tests/test_cluster_users.cpp
@@ -10,9 +10,9 @@
 net::Task<std::optional<Response>> TestCluster::send_user_request(int node, std::string method,
                                                                   std::string path,
                                                                   std::string body) {
-  constexpr double kTimeout = 5;
+  constexpr double kTimeoutS = 5;
   const auto user_request = rules.on_request(method, path, body);
-  auto asking = exchange(node, {method, path, "", body, true}, kTimeout);
+  auto asking = exchange(node, {method, path, "", body, true}, kTimeoutS);
   auto response = co_await asking;
   if (response) rules.on_response(user_request, response->status, response->body, reactor.now());
   co_return response;
