--- a/lab/chats.cpp
+++ b/lab/chats.cpp
@@ -113,7 +113,8 @@
 
 // ---- replicas ----
 
-// Answers 200 if the same attempt runs at the start and at the end of the request.
+// Responds with 200 if the same attempt runs at the start and at the end of the request, else with
+// 503.
 Task<Response> Chats::serve_replica(const testing::WorkerStandIn& worker, Request request) {
   const wire::JsonDocument document(request.body);
   const auto task = wire::read_text(document.root(), "task").value_or("");
--- a/lab/chats.hpp
+++ b/lab/chats.hpp
@@ -22,15 +22,18 @@
 
   /// Starts the router; false if its address cannot be listened on.
   bool start(net::Scope& scope);
-  /// Starts chats with replicas of these jobs at the plan's rate until the scope ends.
+  /// Starts new chats with replicas of these jobs at the plan's rate until the scope ends.
   void start_traffic(std::vector<std::string> jobs, net::Scope& scope);
+  /// Ends all chats in progress.
   void stop() { scope_.clear(); }
   static std::string router_address() { return "127.0.0.1:20900"; }
 
+  /// Users' requests that have ended, and those of them without a response of status 200.
   int requests() const { return requests_; }
   int dropped() const { return dropped_; }
   double slowest_s() const { return slowest_s_; }
   int in_progress() const { return in_progress_; }
+  /// Chats that the router has reassigned to another replica, and requests to its drain endpoint.
   int carried_over() const { return router_.reassigned_chats(); }
   int drains_asked() const { return router_.drain_requests(); }
   const std::string& first_drop_reason() const { return first_drop_reason_; }
--- a/lab/controllers.cpp
+++ b/lab/controllers.cpp
@@ -130,7 +130,7 @@
     sections +=
         fmt::format("<defrag moves='on' drain='http://{}/drains'/>", Chats::router_address());
   }
-  // The scaler's lower limit keeps the fleet at the number of workers in the plan.
+  // The scaler's lower limit keeps the fleet from shrinking below the plan's number of workers.
   std::ofstream(path(member, ".xml"))
       << fmt::format("<cranklock><scaler least_machines='{}' most_machines='{}'/>{}</cranklock>\n",
                      own.workers, 2 * own.workers, sections);
--- a/lab/controllers.hpp
+++ b/lab/controllers.hpp
@@ -26,12 +26,13 @@
   /// Returns false if a relay address cannot be listened on.
   bool start(net::EvReactor& reactor, const std::vector<std::unique_ptr<Region>>& regions,
              net::Scope& scope);
-  /// Kills the leader of the region with SIGKILL.
+  /// Kills the leader of the region with SIGKILL. The leader is the controller that has logged the
+  /// highest serving fencing token; if none has logged one, it is the first controller.
   void crash_leader(const std::string& region);
   /// The highest fencing token with which a controller of the region has logged `leadership
   /// serving`; 0 if there is none.
   std::uint64_t serving_fencing_token(const std::string& region) const;
-  /// Starts the stopped controllers of the region.
+  /// Starts the controllers of the region that have been killed or stopped.
   void restart_stopped(const std::string& region);
   /// Partitions a region from all others, or ends the partition.
   void set_partitioned(const std::string& region, bool partitioned);
@@ -41,7 +42,7 @@
   struct Usage {
     std::string member;
     bool led = false;    ///< whether it has been the leader of its region
-    bool alive = false;  ///< whether it was still running when it was stopped
+    bool alive = false;  ///< whether it still ran when it was last killed or stopped
     double cpu_s = 0, memory_mb = 0;
     int sockets = 0;  ///< open file descriptors just before it was stopped
   };
@@ -54,7 +55,8 @@
   };
   std::vector<QuotaShortage> quota_shortages() const;
   std::uint64_t bytes_between_regions() const;
-  /// Defragmentation plans and moves logged by the leaders of a region.
+  /// Defragmentation plans and moves logged by the leaders of a region. `dropped` counts the moves
+  /// that dropped plans left undone.
   struct MoveCounts {
     int plans_begun = 0, done = 0, dropped = 0;
   };
--- a/lab/fragments.cpp
+++ b/lab/fragments.cpp
@@ -11,7 +11,7 @@
 using net::Task;
 
 namespace {
-/// Keeps a job's stored record well below the size limit of a value.
+/// Keeps a job's stored record well below the state service's size limit of a value.
 constexpr int kTasksPerJob = 400;
 constexpr double kPollIntervalS = 0.1;
 }  // namespace
@@ -103,7 +103,7 @@
   co_await settle;
   const int workers = region_.plan().workers;
   std::vector<std::string> filler_jobs;
-  // Fillers start first: each leaves a fragment of its worker in which only a replica fits.
+  // Fillers start first. Each leaves piece_gpus of its worker free, the size of a replica.
   for (int tasks_left = workers; tasks_left > 0; tasks_left -= kTasksPerJob) {
     filler_jobs.push_back(
         host_.submit(classes_.emplace_back(filler_class(std::min(tasks_left, kTasksPerJob)))));
@@ -136,7 +136,7 @@
   auto placing = wait_until([this] { return is_demand_running(); }, plan_.duration_s);
   demand_placed_ = co_await placing;
   demand_wait_s_ = reactor_.now() - demand_submitted_at_;
-  // Wait until the moved replicas run again, then continue the chats for a while.
+  // Waits until the moved replicas run again, and then continues the chats for demand_after_s.
   auto restoring =
       wait_until([&] { return count_running_tasks(service_jobs_) == workers; }, plan_.drain_s);
   co_await restoring;
@@ -145,7 +145,8 @@
   host_.finish();
 }
 
-// Kills the leader kill_after_s after its first plan began; restarts it after lease_s.
+// Kills the leader kill_after_s after the first plan began, and restarts it lease_s later. Does
+// nothing if no plan begins within duration_s.
 Task<void> FragmentationScenario::kill_leader() {
   const auto& name = region_.plan().name;
   auto waiting =
--- a/lab/fragments.hpp
+++ b/lab/fragments.hpp
@@ -33,7 +33,7 @@
 
   /// Why the scenario failed; empty if it succeeded.
   std::string failure_reason() const;
-  /// Writes the scenario's fields into the report object that is open.
+  /// Writes the scenario's fields into the report's JSON object, which the caller has begun.
   void report(wire::JsonWriter& w) const;
   std::string summary() const;
 
@@ -41,10 +41,14 @@
   net::Task<void> run_scenario();
   net::Task<void> kill_leader();
   net::Task<void> measure_machine_seconds();
+  /// Job arrays whose tasks occupy all of a worker except the capacity of a replica.
   ClassPlan filler_class(int tasks) const;
+  /// Services whose replicas serve the chats.
   ClassPlan replica_class(int tasks) const;
+  /// The gang whose tasks each need a whole worker.
   ClassPlan demand_class() const;
   int count_running_tasks(const std::vector<std::string>& jobs) const;
+  /// Polls the condition until it holds or the timeout has passed; returns whether it holds.
   net::Task<bool> wait_until(std::function<bool()> condition, double timeout_s);
   bool is_demand_running() const;
 
--- a/lab/region.cpp
+++ b/lab/region.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr double kAgentTickS = 0.5;  ///< minimum interval between a worker's reports of changes
+constexpr double kAgentTickS = 0.5;  ///< mean pause between an agent's checks for changes
 constexpr double kHeartbeatTimeoutS = 4;
 constexpr double kIdleTimeoutS = 3600;
 constexpr double kMaxBodyBytes = 4 * 1024 * 1024;
@@ -180,8 +180,8 @@
 Response Region::create_rental(const Request& request) {
   const wire::JsonDocument document(request.body);
   const auto& fields = document.root();
-  // Capacity is twice the planned fleet, so that lost machines can be replaced. In a fragmentation
-  // run there is none, so that only moves can free whole machines.
+  // The cloud has capacity for twice the planned fleet, so that lost machines can be replaced. In a
+  // fragmentation run it creates no machines, so that only moves can free whole ones.
   const int available = plan_.fragments ? 0 : 2 * region_.workers - workers();
   const int count = std::min(fields["Count"].GetInt(), available);
   if (count <= 0) return json_response(503, R"({"error":"no capacity"})");
--- a/lab/region.hpp
+++ b/lab/region.hpp
@@ -24,7 +24,7 @@
   Relay(net::EvReactor& reactor, std::string listen, std::string to)
       : reactor_(reactor), listen_(std::move(listen)), to_(std::move(to)) {}
   bool start(net::Scope& scope);
-  /// A partition closes all connections and refuses new ones until it ends.
+  /// A partition closes all connections, and until it ends every new one at once.
   void set_partitioned(bool partitioned);
   std::uint64_t bytes() const { return bytes_; }  ///< forwarded in both directions
 
@@ -59,6 +59,8 @@
   std::string controller_address(int controller, int listener) const {
     return address(10 + 3 * controller + listener);
   }
+  /// While the state service is down, it responds with 503, to a watch at its timeout. When it is
+  /// up again, all its leases are renewed.
   void set_state_down(bool down);
   /// Handles requests to a worker's address other than agent commands.
   using ReplicaHandler =
@@ -96,6 +98,8 @@
   net::Response create_rental(const net::Request& request);
   net::Response list_rentals(const net::Request& request) const;
   Worker& add_worker(const std::string& zone, bool spot, double ready_at);
+  /// Boots the worker, then serves its address, advances its tasks and sends its heartbeats until
+  /// it is deleted.
   net::Task<void> run_agent(Worker& worker);
   net::Task<void> send_heartbeat(Worker& worker);
   void process_heartbeat_response(Worker& worker, const net::Response& response, double sent_at);
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -160,7 +160,7 @@
             << std::flush;
 }
 
-// ---- fault injection: add further kinds here and in FaultPlan ----
+// ---- fault injection: add further kinds here, in FaultPlan and in read_fault ----
 
 Task<void> Run::inject_fault(const FaultPlan& fault) {
   Sleep until(reactor_, plan_.settle_s + fault.at_s);
--- a/lab/run.hpp
+++ b/lab/run.hpp
@@ -29,7 +29,8 @@
   /// those of real machines.
   std::string report() const;
   /// True if the plan and all faults were executed, every submission was accepted, no controller
-  /// exited, the quotas add up, the fragmentation scenario succeeded and no rule was violated.
+  /// exited by itself, the quotas add up, the fragmentation scenario succeeded and no rule was
+  /// violated. Quotas are checked with several regions only.
   bool passed() const;
 
   /// Human-readable reason why the run did not pass; empty if it passed.
@@ -55,8 +56,8 @@
   struct Job {
     const ClassPlan* plan = nullptr;
     double submitted_at = 0, started_at = -1;
-    std::set<const testing::WorkerStandIn*> machines;  ///< that have started one of its tasks
-    /// Indices of the started tasks of a gang, by attempt.
+    std::set<const testing::WorkerStandIn*> machines;  ///< those that have fetched its image
+    /// Indices of the tasks of a gang that have fetched their image, by attempt.
     std::map<std::uint64_t, std::set<std::uint32_t>> started_by_attempt;
   };
   struct Counts {
@@ -66,6 +67,8 @@
 
   net::Task<void> submit_jobs(const ClassPlan& plan);
   net::Task<void> follow_job(wire::JobSpec spec, const ClassPlan& plan, int region);
+  /// Sends a user's request to a random controller of the region. Returns the status, or 0 without
+  /// a response, and stores the job's state from the response.
   net::Task<int> send_request(int region, std::string method, std::string path, std::string body,
                               std::string* state);
   net::Task<void> monitor_fleet();
@@ -79,6 +82,7 @@
   std::string submit(const ClassPlan& plan, int region);
   std::unique_ptr<FragmentationScenario> make_fragmentation_scenario();
   void finish();
+  /// The factor of the plan's submission rates now: 0 before and after the submissions.
   double submission_rate_factor() const;
   /// Passes the tasks held by all machines with a valid lease to the rule checker.
   void check_rules();
--- a/lab/settings.hpp
+++ b/lab/settings.hpp
@@ -22,11 +22,12 @@
 struct ClassPlan {
   wire::JobSpec spec;     ///< without id and team; `estimate_s` is the tasks' run time
   double jobs_per_s = 0;  ///< summed over all regions, outside the peak
-  int initial = 0;        ///< jobs submitted within ramp_s, summed over all regions
-  /// Fraction that users cancel, at a random time before submissions end.
+  int initial = 0;        ///< jobs submitted in the first ramp_s, summed over all regions
+  /// Fraction of the jobs that users cancel, at a random time before submissions end.
   double cancelled_share = 0;
 };
 
+/// A fault that begins `at_s` after the start of submissions and lasts for `for_s`.
 struct FaultPlan {
   enum class Kind { region_apart, controller_crash, state_down };
   Kind kind = Kind::region_apart;
@@ -40,25 +41,31 @@
   bool moves = true;         ///< whether the controllers carry out defragmentation moves
   double piece_gpus = 3;     ///< size of each worker's replica; job arrays fill the rest at first
   double filler_run_s = 6;   ///< run time of the arrays' tasks
-  int replicas_per_job = 8;  ///< replicas in each service job
+  int replicas_per_job = 8;  ///< maximum number of replicas in a service job
   double chats_per_s = 4;    ///< rate of new chats, summed over all services
-  /// Peak of the chat rate; rush_from_s is relative to the start of chat traffic.
+  /// Peak of the chat rate: its start after that of chat traffic, its duration, and the factor by
+  /// which the rate rises.
   double rush_from_s = 0, rush_for_s = 0, rush_factor = 1;
-  int turns = 6;              ///< requests in a chat
-  double turn_s = 0.3;        ///< time a replica takes to answer a request
-  double pause_s = 0.7;       ///< mean time between an answer and the user's next request
-  double endless_share = 0;   ///< fraction of chats that last until the end of the run
-  int max_chats = 20;         ///< capacity of a replica
-  double demand_after_s = 4;  ///< delay after the start of chat traffic
-  int demand_tasks = 2;       ///< tasks of the gang; each needs a whole worker
-  bool kill_leader = false;   ///< during its first defragmentation plan
-  double kill_after_s = 1;    ///< delay after the plan began
+  int turns = 6;             ///< requests in a chat
+  double turn_s = 0.3;       ///< time a replica takes to answer a request
+  double pause_s = 0.7;      ///< mean time between an answer and the user's next request
+  double endless_share = 0;  ///< fraction of chats that last until the end of the run
+  int max_chats = 20;        ///< capacity of a replica
+  /// Delay from the start of chat traffic to the gang's submission, and how long the chats continue
+  /// at the end.
+  double demand_after_s = 4;
+  int demand_tasks = 2;      ///< tasks of the gang; each needs a whole worker
+  bool kill_leader = false;  ///< whether the leader is killed during the first plan of moves
+  double kill_after_s = 1;   ///< delay of the kill after that plan began
 };
 
 struct LabPlan {
-  /// Phases: before the first submission, during submissions, and for running work to end.
+  /// Durations of the phases: before the first submission, of submissions, and for running work to
+  /// end. In a fragmentation run the last two are also timeouts of its steps.
   double settle_s = 3, duration_s = 30, drain_s = 20;
   double ramp_s = 0;  ///< time over which each class's initial jobs are submitted
+  /// Peak of the submission rate: its start after that of submissions, its duration, and the factor
+  /// by which the rate rises.
   double peak_from_s = 0, peak_for_s = 0, peak_factor = 1;
   int teams = 12;
   double guarantee_gpus = 8, limit_gpus = 16;  ///< of each team
--- a/tests/compound_failures_test.cpp
+++ b/tests/compound_failures_test.cpp
@@ -1,5 +1,5 @@
-// Two failures at the same time. The rule checker of each cluster checks all rules; a test itself
-// checks that the failures occurred and that jobs are served afterwards.
+// Tests of two failures at the same time. The rule checker of each cluster checks all rules; a test
+// itself checks that the failures occurred and that jobs are served afterwards.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -526,7 +526,7 @@
 
 // ---- heartbeats ----
 
-// Guards against a leader that trusts heartbeats sent before its term: they may report deleted
+// Guards against a leader that acts on heartbeats sent before its term: they may report deleted
 // machines, earlier agent epochs or earlier attempts.
 TEST(CompoundFailures, JobsRunWhenOldHeartbeatsReachANewLeader) {
   for (const double replay_delay_s : {0.0, 3.0}) {
--- a/tests/moves_property_test.cpp
+++ b/tests/moves_property_test.cpp
@@ -1,6 +1,6 @@
-// Plans of moves with random fleets and faults on the in-memory cluster: controllers that crash,
-// pause or lose the state service, writes without answers, machines that hang or crash, jobs that
-// are submitted and cancelled.
+// Checks moves on the in-memory cluster under random sequences of faults and user actions:
+// controllers crash, pause or lose the state service, writes are late or get no response, machines
+// hang or crash, heartbeats are delivered a second time, and jobs are submitted and cancelled.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -132,7 +132,7 @@
     run(step.pause_ms / 1000.0);
   }
 
-  /// The maximum number of moves seen in a record.
+  /// The largest number of past moves that a record has held.
   std::size_t max_moves() const { return max_moves_; }
 
   /// Clears all faults and checks that no plan exceeds its maximum duration and no reservations
--- a/tests/operational_failures_test.cpp
+++ b/tests/operational_failures_test.cpp
@@ -1,4 +1,4 @@
-// Failures that operators reported in addition to those that they first named. The rule checker of
+// Tests of further failures, which operators reported after their first list. The rule checker of
 // each cluster checks all rules; a test itself checks that the failure occurred and that jobs keep
 // running.
 #include <gtest/gtest.h>
@@ -176,7 +176,7 @@
 }
 
 // Guards against a deletion by a resumed leader. In its outdated view the machine still holds a
-// cancelled task; it has seen neither the task's end nor the tasks placed there by its successor.
+// cancelled task: it knows of neither the task's end nor the tasks placed there by its successor.
 TEST(OperationalFailures, AResumedLeaderDeletesNoMachineForAnOldCancellation) {
   auto settings = small_settings();
   settings.heartbeat_interval_s = 3;
--- a/tests/router_stand_in.hpp
+++ b/tests/router_stand_in.hpp
@@ -1,5 +1,5 @@
 // A router in front of replicas: distributes chats over them, keeps each chat at its replica, and
-// drains replicas on request (docs/defragmentation.md). No I/O, time passed in.
+// drains replicas on request (docs/defragmentation.md). It does no I/O; callers pass the time.
 #pragma once
 
 #include <cstddef>
@@ -26,7 +26,7 @@
   /// `max_chats`: capacity of one replica.
   explicit RouterStandIn(std::size_t max_chats) : max_chats_(max_chats) {}
 
-  /// Sets the replicas that are running.
+  /// Sets the replicas that are running, and removes the drains that have expired.
   void set_replicas(std::vector<Replica> replicas, double now);
 
   /// Handles a request to the drain endpoint.
@@ -38,6 +38,7 @@
   void end_request(int chat);
   void end_chat(int chat);
 
+  /// Whether a drain of the replica's running attempt is in force; chats may still be there.
   bool is_drained(const wire::TaskName& task, double now) const;
   int reassigned_chats() const { return reassigned_chats_; }
   int drain_requests() const { return drain_requests_; }
@@ -47,16 +48,18 @@
   struct Chat {
     wire::TaskName replica;
     std::uint64_t attempt = 0;
-    bool open = false;
+    bool open = false;  ///< whether a request of the chat is open
   };
   struct Drain {
     std::uint64_t attempt = 0;
+    /// When the drain expires, and when the reassignment of its chats begins.
     double until = 0, reassign_at = 0;
   };
   defrag::DrainState handle_drain(const defrag::DrainRequest& request, double now);
   const Replica* find(const wire::TaskName& task) const;
   const Replica* least_busy(const std::string& job, double now) const;
   std::size_t chats_at(const wire::TaskName& task, bool open_only) const;
+  /// Whether the job's other replicas that are not drained have capacity for all chats of the job.
   bool others_have_capacity(const wire::TaskName& task, double now) const;
   bool must_be_reassigned(const Chat& chat, double now) const;
 
--- a/tests/rule_checker.hpp
+++ b/tests/rule_checker.hpp
@@ -1,5 +1,5 @@
-// Records violations of PROTOCOL's rules: in responses to users, and in where tasks start and run.
-// Every test cluster has one, so that each test checks all rules.
+// Records violations of PROTOCOL's rules in responses to users and in the places and times at which
+// tasks start and run. Every test cluster has one, so that each test checks all rules.
 #pragma once
 
 #include <map>
@@ -18,7 +18,7 @@
   std::string job, machine;
   std::uint32_t task = 0;
   sched::MachineKind kind;
-  bool has_image = true;  ///< from then on PROTOCOL counts it as on its machine
+  bool has_image = true;  ///< PROTOCOL counts a task as on its machine once its image is fetched
 };
 
 class RuleChecker {
@@ -54,7 +54,7 @@
   }
   /// Checks a task that starts while machines hold `others`.
   void on_task_started(const HeldTask& task, const std::vector<HeldTask>& others, double now);
-  /// Checks all tasks that machines hold now.
+  /// Checks that the tasks held now exceed no quota and include none cancelled over cancel_s ago.
   void check_held_tasks(const std::vector<HeldTask>& held, double now);
   /// Records that a start command has reached a machine.
   void on_start_command(const std::string& job, double now);
@@ -63,6 +63,7 @@
   std::vector<std::string> accepted_jobs() const;
   /// The end state reported to users; "" before that.
   std::string outcome(const std::string& job) const;
+  /// When a cancellation was first reported to users; negative: not yet.
   double cancelled_at(const std::string& job) const;
 
  private:
@@ -76,8 +77,10 @@
   };
   /// The job's dependencies, direct and transitive.
   std::set<std::string> ancestors(const std::string& job) const;
-  /// When the first cancellation among them was reported; negative: none.
+  /// When the cancellation of a dependency, direct or transitive, was first reported; negative:
+  /// none.
   double dependency_cancelled_at(const std::string& job) const;
+  /// Whether a user has requested the cancellation of the job or of one of its dependencies.
   bool cancel_requested(const std::string& job) const;
   void check_dependencies_done(const std::string& job, const std::string& task);
   void report_violation(const std::string& rule, const std::string& how);
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -1,5 +1,5 @@
-// The rule checker detects each kind of violation: each test cluster here violates one rule on
-// purpose.
+// Each test cluster here violates rules on purpose, and the rule checker must detect that.
+// Violations of "too_early" and "orphaned" are not tested here.
 #include <gtest/gtest.h>
 
 #include "test_cluster.hpp"
--- a/tests/scenarios_test.cpp
+++ b/tests/scenarios_test.cpp
@@ -262,9 +262,9 @@
   EXPECT_EQ(cluster.send_request(0, "POST", "/checkin", body).status, 421);
 }
 
-// 1,300 machines lose the leader and a third of the machines at once. Guards against deletions that
-// wait for each other, a new leader that contacts only a few workers at a time, and hung machines
-// that exhaust the sockets.
+// A fleet of 1,300 machines loses a third of them and the leader at once. Guards against deletions
+// that wait for each other, a new leader that contacts only a few workers at a time, and hung
+// machines that exhaust the sockets.
 TEST(Scenario, ALargeFleetRecoversFromLosingAThirdOfItsMachinesAndTheLeader) {
   auto settings = small_settings();
   settings.teams = {{"red", 0, 0, 10'000, 20'000}};
--- a/tests/state_stand_in.hpp
+++ b/tests/state_stand_in.hpp
@@ -30,13 +30,14 @@
     double write_rps = 0;                          ///< replaces default_write_rps if above 0
   };
   Limits limits;
-  bool enforces_write_rate = false;  ///< 429 above the write rate, in changes/s
-  double default_write_rps = 0;
+  bool enforces_write_rate = false;  ///< transactions above the write rate get 429
+  double default_write_rps = 0;      ///< changes per second
   int refused_writes = 0;
   int refused_as_too_large = 0;
   std::uint64_t requests = 0, writes = 0;  ///< requests handled, changes applied
 
-  /// Responds at once; a watch without changes gets the response that it gets on its timeout.
+  /// Responds at once. A watch without changes gets an empty list of changes, as it does on its
+  /// timeout.
   net::Response handle(const net::Request& request);
   /// Whether the response to this watch would contain changes.
   bool has_changes(const net::Request& watch) const;
@@ -55,6 +56,7 @@
   net::Response renew_or_revoke_lease(const net::Request& request);
   net::Response execute_transaction(const net::Request& request);
   bool exceeds_limits(const wire::Json& changes) const;
+  /// Takes tokens from a bucket for one second's changes; false if it holds too few.
   bool take_write_tokens(double count);
   void apply_changes(const wire::Json& changes);
   void put(const std::string& key, const std::string& data, std::uint64_t lease);
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -31,9 +31,10 @@
 struct UserBehavior {
   /// Seconds from submission to cancellation; negative: never cancelled.
   double cancel_after_s = -1;
-  /// Cancels the job when one of its tasks ends.
+  /// Cancels the job when one of its tasks has exited or is due to complete within half a
+  /// second. Ignored if cancel_after_s is set.
   bool cancel_at_end = false;
-  /// After each state change, queries all nodes and resubmits the job within milliseconds.
+  /// After each state change, queries and resubmits the job at every node within milliseconds.
   bool queries_all_nodes = false;
 };
 
@@ -49,8 +50,8 @@
   explicit TestCluster(int nodes = 3, std::vector<std::string> zones = {},
                        base::Settings settings = small_settings(),
                        regions::RegionNetwork* network = nullptr);
-  /// Fails the test on a violation that is not in `expected_violations`, or on one there that did
-  /// not occur.
+  /// Fails the test if a rule outside `expected_violations` was violated, or if an expected
+  /// violation did not occur.
   ~TestCluster();
   TestCluster(const TestCluster&) = delete;
   TestCluster& operator=(const TestCluster&) = delete;
@@ -73,7 +74,8 @@
   bool is_up(int node) const { return hosts_[static_cast<std::size_t>(node)] != nullptr; }
 
   // ---- users ----
-  /// Sends a user's request to one node and runs the cluster until the response arrives.
+  /// Sends a user's request to one node and runs the cluster until the response arrives. Fails the
+  /// test if that takes more than 10 s.
   net::Response send_request(int node, const std::string& method, const std::string& path,
                              const std::string& body = "");
   /// Submits a job to a node and expects 201.
@@ -94,7 +96,7 @@
   /// lease has not expired.
   int live_tasks(const std::string& job) const;
 
-  /// Delivers a frame from the leader of another region to all nodes.
+  /// Delivers a frame from the leader of another region to all nodes that are up.
   void on_region_frame(const std::string& region, const regions::RegionFrame& frame);
 
   FakeReactor reactor;
@@ -116,15 +118,15 @@
 
   // ---- the state service and its faults ----
   StateStandIn state_service{reactor};
-  bool state_down = false;
+  bool state_down = false;               ///< all nodes are refused as in refused_by_state
   double max_state_delay_s = 0;          ///< upper bound of the random delay of requests
   int state_requests = 0;                ///< from nodes; a watch counts once
-  std::set<int> refused_by_state;        ///< nodes that receive 503; their watches hang
+  std::set<int> refused_by_state;        ///< nodes that receive 503; their open watches hang
   std::set<int> hanging_watches;         ///< nodes whose watches hang; other requests are served
   std::set<int> cut_from_state;          ///< nodes whose requests are lost
-  int lost_write_responses = 0;          ///< the next transactions whose responses are lost
+  int lost_write_responses = 0;          ///< count of transactions to apply without a response
   double lost_write_response_share = 0;  ///< share of transactions with lost responses
-  double late_write_share = 0;           ///< share executed 2 to 12 s late, responses lost
+  double late_write_share = 0;           ///< share executed 2 to 12 s late without a response
   std::set<int> late_write_nodes;        ///< nodes whose writes may be late; empty: all nodes
 
   // ---- the network ----
@@ -140,7 +142,7 @@
   int machines_created = 0;
   bool cloud_down = false;
   bool cloud_without_capacity = false;       ///< the cloud refuses every scale-out request
-  int lost_scale_out_responses = 0;          ///< the next scale-outs whose responses are lost
+  int lost_scale_out_responses = 0;          ///< count of scale-outs to execute without a response
   double list_delay_s = 0;                   ///< delay until new machines appear in the list
   std::vector<double> deletion_requests_at;  ///< arrival times
   std::map<std::string, std::string> scale_out_responses;  ///< response bodies by request name
@@ -162,7 +164,7 @@
     bool is_hung = false;            ///< neither sends heartbeats nor executes commands
     bool cannot_receive = false;     ///< heartbeats arrive; responses and commands do not
     bool cannot_send = false;        ///< its heartbeats are lost; commands arrive and are executed
-    int lost_command_responses = 0;  ///< the next commands whose responses are lost
+    int lost_command_responses = 0;  ///< count of commands to execute without a response
     /// Delay of commands, whose responses are lost; 0: commands arrive at once and are answered.
     double command_delay_s = 0;
     /// Commands that arrived while the machine was hung; executed when it resumes.
@@ -172,7 +174,7 @@
   /// Ends a hang: ends the lease if it has expired, then executes the queued commands.
   void resume_worker(Worker& worker);
   /// Random variation of the heartbeat interval, as a share of it. If not 0, the first heartbeat is
-  /// sent at a random time within the interval.
+  /// also delayed by a random part of an interval.
   double heartbeat_spread = 0;
   /// Connections that nodes refused to agents, and idle ones that nodes closed for a new agent.
   int refused_connections = 0, broken_connections = 0;
@@ -182,13 +184,14 @@
   std::map<std::string, double> run_s_by_task;  ///< of tasks that differ from run_s
   std::set<std::string> broken_jobs;            ///< jobs whose tasks fail on every machine
   std::set<std::string> faulty_machines;        ///< machines on which every task fails
-  /// Share of heartbeats that are delivered a second time, 2 s to 1.5 leases later.
+  /// Share of heartbeats that are delivered a second time, to a random node, 2 s to 1.5 leases
+  /// later.
   double late_heartbeat_share = 0;
   /// After each leader change, delivers each machine's first heartbeat since the previous change to
   /// all nodes again, `replay_delay_s` later.
   bool replays_heartbeats = false;
   double replay_delay_s = 0;
-  int duplicate_starts = 0;  ///< starts of tasks that run on another machine
+  int duplicate_starts = 0;  ///< task starts while another machine held the same task
   int calls_in_flight = 0, max_calls_in_flight = 0;  ///< calls to agents from all nodes
   std::map<std::string, int> start_counts;           ///< by task
 
@@ -222,21 +225,27 @@
   /// Waits for the timeout and returns a reply without a response.
   net::Task<net::Reply> time_out(double timeout_s);
   net::Task<net::Reply> call_router(net::Request request, double timeout_s);
+  /// The node's response to a request; reports both as traffic.
   net::Task<net::Response> handle(int node, net::Request request);
+  /// Stores the node's response in the exchange and signals its caller.
   net::Task<void> serve(int node, net::Request request, std::shared_ptr<Exchange> exchange);
+  /// Serves the request once the paused node is resumed; drops it if the node crashes before.
   net::Task<void> serve_when_resumed(int node, net::Request request,
                                      std::shared_ptr<Exchange> exchange);
 
   // test_cluster_state_service.cpp
   net::Task<net::Reply> call_state_service(int node, net::Request request, double timeout_s);
   bool state_refuses(int node) const { return state_down || refused_by_state.contains(node); }
+  /// Decide about one transaction, at random or by the count of responses still to be lost.
   bool is_write_delayed(int node);
   bool write_response_is_lost();
   net::Task<void> apply_late(net::Request request, double delay_s);
 
   // test_cluster_cloud.cpp
+  /// Calls the cloud, stores the reply in `call` and signals the caller.
   net::Task<void> serve_cloud(net::Request request, double timeout_s,
                               std::shared_ptr<CloudCall> call);
+  /// Applies the cloud's faults to the request or to its response.
   net::Task<net::Reply> call_cloud(net::Request request, double timeout_s);
   net::Response handle_cloud_request(const net::Request& request);
   net::Response delete_machines(const wire::Json& request);
@@ -251,8 +260,12 @@
   net::Task<net::Reply> call_agent(int node, std::string address, net::Request request,
                                    double timeout_s);
   bool can_receive_commands(int node, const Worker& worker) const;
+  /// Executes a command after the delay, or queues it if the machine hangs then. Its response is
+  /// lost.
   net::Task<void> execute_late(Worker& worker, net::Request request, double delay_s);
-  /// Opens a connection to the node or reuses the open one; false if the node is at its limit.
+  /// Reuses the worker's connection to the node, or opens one and closes that to another node. At
+  /// its limit the node closes its longest idle connection for a new one. False if it refuses the
+  /// connection.
   bool connect(Worker& worker, int node);
   /// After a response: keeps the connection open and idle, or closes it, as the node decides.
   void release_connection(Worker& worker, int node, bool answered);
@@ -263,14 +276,18 @@
   void copy_heartbeat(const Worker& worker, const std::string& body);
   void on_heartbeat_response(Worker& worker, const net::Response& response, double sent);
   net::Task<void> deliver_late_heartbeat(int node, std::string body, double delay_s);
-  /// Periodically ends expired leases, advances tasks and checks the rules.
+  /// Every 0.25 s: renews the leases of a state service that is down, ends expired agent leases,
+  /// advances tasks, checks the rules and detects leader changes.
   net::Task<void> run_periodic_checks();
+  /// Delivers the recorded heartbeats to all nodes again if there is a leader.
   void on_leader_change();
 
   // test_cluster_users.cpp
   net::Task<void> follow_job(wire::JobSpec spec, UserBehavior behavior);
   void query_all_nodes(const wire::JobSpec& spec);
+  /// Queries or resubmits the job at the node after a random delay below 10 ms.
   net::Task<void> query_once(int node, wire::JobSpec spec, bool submits);
+  /// Whether a task of the job has exited or is due to complete within half a second.
   bool has_ending_task(const std::string& job) const;
 
   // test_cluster_peers.cpp
@@ -294,14 +311,14 @@
   return condition();
 }
 
-/// Whether users have seen the end of every accepted job.
+/// Whether a response to a user has reported the end of every accepted job.
 inline bool all_jobs_ended(const TestCluster& cluster) {
   const auto accepted = cluster.rules.accepted_jobs();
   return std::all_of(accepted.begin(), accepted.end(),
                      [&](const std::string& id) { return !cluster.rules.outcome(id).empty(); });
 }
 
-/// The job id for a number.
+/// The id of the job with this number.
 inline std::string job_id(int i) {
   return "j-" + std::to_string(100'000 + i);
 }
--- a/tests/test_cluster_agents.cpp
+++ b/tests/test_cluster_agents.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr double kHeartbeatTimeout = 4;  ///< seconds until an agent gives up on a response
+constexpr double kHeartbeatTimeout = 4;  ///< seconds that an agent waits for a response
 
 }  // namespace
 
@@ -80,7 +80,7 @@
 std::vector<HeldTask> TestCluster::tasks_on_machines() const {
   std::vector<HeldTask> held;
   for (const auto& [id, worker] : workers) {
-    // An agent that hung past the end of its lease kills its tasks first when it resumes.
+    // An agent whose lease expired while it hung drops its tasks before all else when it resumes.
     if (worker->is_deleted || is_lease_expired(*worker)) continue;
     for (const auto& [name, task] : worker->tasks) {
       const auto parsed = wire::parse_task(name);
@@ -298,7 +298,7 @@
   Sleep delay(reactor, delay_s);
   co_await delay;
   auto sending = exchange(node, {"POST", "/checkin", "", std::move(body), true}, kHeartbeatTimeout);
-  co_await sending;  // the response is dropped: the agent has had one to the original
+  co_await sending;  // the agent does not receive the response to a copy
 }
 
 // ---- periodic checks ----
--- a/tests/test_cluster_state_service.cpp
+++ b/tests/test_cluster_state_service.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kWatchPollDelay = 0.02;  ///< seconds between polls of a watch
+constexpr double kWatchPollDelay = 0.02;  ///< seconds between checks of a watch for changes
 
 /// Whether this response to a watch contains no changes.
 bool has_no_changes(const Response& response) {
--- a/tests/test_cluster_users.cpp
+++ b/tests/test_cluster_users.cpp
@@ -42,7 +42,7 @@
 net::Task<void> TestCluster::follow_job(wire::JobSpec spec, UserBehavior behavior) {
   const double began = reactor.now();
   const auto path = "/v1/jobs/" + spec.id;
-  std::string known;  // the state in the last response; empty: not accepted yet
+  std::string known;  // state in the last successful response; empty: not accepted yet
   for (;;) {
     const bool cancels =
         behavior.cancel_after_s >= 0 && reactor.now() - began >= behavior.cancel_after_s;
--- a/tests/traffic_digest.cpp
+++ b/tests/traffic_digest.cpp
@@ -1,6 +1,7 @@
 // Prints a digest of all messages of the controllers in fixed scenarios of the simulated cluster.
-// If the lines of two versions agree, the versions have sent the same bytes at the same simulated
-// times, as they must after a change that only renames or moves code. Not part of the tests:
+// If the lines of two versions agree, the versions have sent and received the same bytes at the
+// same simulated times, as they must after a change that only renames or moves code. Not part of
+// the tests:
 //   cmake -S . -B target-bench -DCRANKLOCK_TESTS=ON -DCRANKLOCK_TRAFFIC_DIGEST=ON
 //   cmake --build target-bench --target traffic_digest && target-bench/tests/traffic_digest
 // One line per scenario and seed: name, seed, messages, hash. With an argument, runs only scenarios
@@ -46,10 +47,10 @@
 class TrafficDigest {
  public:
   void add(const TrafficEvent& event) {
-    constexpr double kMicroseconds = 1e6;
+    constexpr double kMicrosecondsPerS = 1e6;
     ++messages_;
     hash_.add(static_cast<std::uint64_t>(event.kind));
-    hash_.add(static_cast<std::uint64_t>(std::llround(event.time_s * kMicroseconds)));
+    hash_.add(static_cast<std::uint64_t>(std::llround(event.time_s * kMicrosecondsPerS)));
     hash_.add(event.region);
     hash_.add(static_cast<std::uint64_t>(event.node));
     for (const auto text : {event.address, event.method, event.path, event.query, event.body}) {
--- a/tests/worker_stand_in.hpp
+++ b/tests/worker_stand_in.hpp
@@ -58,12 +58,12 @@
   bool is_lease_expired(double lease_s, double now) const {
     return now - last_answered_sent_at > lease_s;
   }
-  /// If the lease has expired, drops all tasks and begins a new agent epoch.
+  /// If the lease has expired, drops all tasks and begins a new agent epoch and lease.
   void end_expired_lease(double lease_s, double now);
   void execute_commands(const wire::Json& commands, TaskEnvironment& environment, double now);
   /// Increments the sequence number and returns the body of the next heartbeat.
   std::string next_heartbeat();
-  /// Handles POST /commands.
+  /// Handles POST /commands; 409 for a lower fencing token or another agent epoch.
   net::Response handle_commands(const net::Request& request, TaskEnvironment& environment,
                                 double now);
 };
