--- a/tests/test_cluster_users.cpp
+++ b/tests/test_cluster_users.cpp
@@ -10,9 +10,9 @@
 net::Task<std::optional<Response>> TestCluster::send_user_request(int node, std::string method,
                                                                   std::string path,
                                                                   std::string body) {
-  constexpr double kTimeout = 5;
+  constexpr double kTimeoutS = 5;
   const auto user_request = rules.on_request(method, path, body);
-  auto asking = exchange(node, {method, path, "", body, true}, kTimeout);
+  auto asking = exchange(node, {method, path, "", body, true}, kTimeoutS);
   auto response = co_await asking;
   if (response) rules.on_response(user_request, response->status, response->body, reactor.now());
   co_return response;
@@ -42,7 +42,7 @@
 net::Task<void> TestCluster::follow_job(wire::JobSpec spec, UserBehavior behavior) {
   const double began = reactor.now();
   const auto path = "/v1/jobs/" + spec.id;
-  std::string known;  // the state in the last response; empty: not accepted yet
+  std::string known;  // state in the last successful response; empty: not accepted yet
   for (;;) {
     const bool cancels =
         behavior.cancel_after_s >= 0 && reactor.now() - began >= behavior.cancel_after_s;
